--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -112,8 +112,9 @@
 			return w.gateway.state.Roster.Find("leaves").View(time.Now()).Leaving
 		})
 		l.leaves.Store(false)
-		listed["born"] = later
-		w.store.Put("servers", leaving.ID, listed)
+		restarted := record(leaving, "ready")
+		restarted["born"] = later
+		w.store.Put("servers", leaving.ID, restarted)
 		w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
 	})
 }
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -111,8 +111,7 @@
 	})
 	assertColdBound(t, &reached, began)
 	assert.Contains(t, w.call(t, "POST", "/once/x", "body").body, verdictCold)
-	listed["cold_remaining_ms"] = 0
-	store.Put("servers", r.ID, listed)
+	store.Put("servers", r.ID, record(r, "ready"))
 	w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
 	for range coldLoad {
 		require.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status, "a warm runner takes all")
