--- a/admission/backlog.go
+++ b/admission/backlog.go
@@ -13,20 +13,20 @@
 	retrySpread = 0.5
 )
 
-// Backlog observes how fast waiting requests are admitted; its zero value has seen nothing.
-type Backlog struct {
+// RateEstimator observes how fast waiting requests are admitted; its zero value has seen nothing.
+type RateEstimator struct {
 	rate float64
 	at   time.Time
 }
 
-// Admitted records that a waiting request was admitted.
-func (b *Backlog) Admitted(now time.Time, tokens int) {
+// Record records that a waiting request was admitted.
+func (b *RateEstimator) Record(now time.Time, tokens int) {
 	b.decay(now)
 	b.rate += float64(tokens) / rateMemory.Seconds()
 }
 
 // decay takes away what was observed too long ago.
-func (b *Backlog) decay(now time.Time) {
+func (b *RateEstimator) decay(now time.Time) {
 	if !b.at.IsZero() {
 		passed := max(now.Sub(b.at), 0)
 		b.rate *= max(0, 1-passed.Seconds()/rateMemory.Seconds())
@@ -34,8 +34,8 @@
 	b.at = now
 }
 
-// Wait is how long the tokens that wait before a request take to be admitted; it reports whether enough was seen to say so.
-func (b *Backlog) Wait(now time.Time, tokens int) (time.Duration, bool) {
+// EstimateWait is how long the tokens that wait before a request take to be admitted; it reports whether enough was seen to say so.
+func (b *RateEstimator) EstimateWait(now time.Time, tokens int) (time.Duration, bool) {
 	b.decay(now)
 	if b.rate < 1 {
 		return 0, false
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -46,10 +46,10 @@
 	engines  []*engine
 	line     []*prompt
 	sent     map[*prompt]time.Time
-	usual    predict.Usual
+	usual    predict.DurationEstimator
 	refused  int
-	standing Standing
-	backlog  Backlog
+	standing StandingQueue
+	backlog  RateEstimator
 }
 
 // replayOverload plays a load, and gives the prompts in the order of their arrival and how many were refused.
@@ -62,7 +62,7 @@
 	for d := time.Duration(0); d < coldEnd; d += tick {
 		now := at(d)
 		for due += float64(burst(d)) * tick.Seconds(); due >= 1; due-- {
-			p := &prompt{Request: Request{Arrived: now, Due: now.Add(coldTarget), End: now.Add(coldPatience), Need: o.need(), Tokens: coldTokens}}
+			p := &prompt{Request: Request{Arrived: now, TargetTime: now.Add(coldTarget), Deadline: now.Add(coldPatience), ExpectedTTFT: o.need(), Tokens: coldTokens}}
 			all = append(all, p)
 			o.line = append(o.line, p)
 		}
@@ -86,14 +86,14 @@
 	if !o.policy.learnNeed {
 		return least
 	}
-	return max(least, o.usual.Time(1))
+	return max(least, o.usual.UpperBound(1))
 }
 
 // observe learns from first tokens.
 func (o *overload) observe(now time.Time) {
 	for p, sent := range o.sent {
 		if !p.first.IsZero() {
-			o.usual.Add(now.Sub(sent))
+			o.usual.Observe(now.Sub(sent))
 			delete(o.sent, p)
 		}
 	}
@@ -104,33 +104,33 @@
 	slices.SortStableFunc(o.line, func(a, b *prompt) int { return Compare(a.Request, b.Request, now) })
 	before := 0
 	o.line = slices.DeleteFunc(o.line, func(p *prompt) bool {
-		done := p.Lost(now) || o.admit(p, now) || o.refuse(p, before, now)
+		done := p.MissesDeadline(now) || o.admit(p, now) || o.refuse(p, before, now)
 		if !done {
 			before += p.Tokens
 		}
 		return done
 	})
-	o.standing.Note(now, slices.ContainsFunc(o.line, func(p *prompt) bool { return !p.Late(now) }))
+	o.standing.Observe(now, slices.ContainsFunc(o.line, func(p *prompt) bool { return !p.MissesTarget(now) }))
 }
 
 // admit sends a prompt to the engine with the least to read, if that has room; it reports whether it did.
 func (o *overload) admit(p *prompt, now time.Time) bool {
-	best := slices.MinFunc(o.engines, func(a, b *engine) int { return int(a.reported.Ahead - b.reported.Ahead) })
-	if !best.reported.Admits(p.Tokens) || p.Late(now) && !best.reported.Idle() {
+	best := slices.MinFunc(o.engines, func(a, b *engine) int { return int(a.reported.PendingPrefill - b.reported.PendingPrefill) })
+	if !best.reported.Admits(p.Tokens) || p.MissesTarget(now) && !best.reported.Idle() {
 		return false
 	}
 	best.waiting = append(best.waiting, p)
-	best.reported.Sent += p.Tokens
-	best.reported.Ahead += time.Duration(p.Tokens/readPerTick) * tick
+	best.reported.SentSinceReport += p.Tokens
+	best.reported.PendingPrefill += time.Duration(p.Tokens/readPerTick) * tick
 	o.sent[p] = now
-	o.backlog.Admitted(now, p.Tokens)
+	o.backlog.Record(now, p.Tokens)
 	return true
 }
 
 // refuse refuses a prompt that a lasting backlog dooms; it reports whether it did.
 func (o *overload) refuse(p *prompt, before int, now time.Time) bool {
-	wait, known := o.backlog.Wait(now, before)
-	if !o.policy.shed || !known || !o.standing.Dooms(now, p.Request, wait) {
+	wait, known := o.backlog.EstimateWait(now, before)
+	if !o.policy.shed || !known || !o.standing.ShouldShed(now, p.Request, wait) {
 		return false
 	}
 	o.refused++
@@ -145,7 +145,7 @@
 			continue
 		}
 		count++
-		if !p.first.IsZero() && !p.first.After(p.Due) {
+		if !p.first.IsZero() && !p.first.After(p.TargetTime) {
 			inTime++
 		}
 	}
--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -38,7 +38,7 @@
 // engine reads its prompts one after the other, and holds them in its memory from their admission to the end of their answer.
 type engine struct {
 	waiting, running []*prompt
-	reported         Room
+	reported         EngineState
 }
 
 func (e *engine) used() int {
@@ -55,7 +55,7 @@
 // stepFor lets one tick pass where answers take so long.
 func (e *engine) stepFor(now time.Time, answerTime time.Duration) {
 	e.running = slices.DeleteFunc(e.running, func(p *prompt) bool { return !p.ends.IsZero() && now.After(p.ends) })
-	e.waiting = slices.DeleteFunc(e.waiting, func(p *prompt) bool { return now.After(p.End) })
+	e.waiting = slices.DeleteFunc(e.waiting, func(p *prompt) bool { return now.After(p.Deadline) })
 	for len(e.waiting) > 0 && e.used()+e.waiting[0].Tokens <= capacity {
 		p := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -85,7 +85,7 @@
 }
 
 func (e *engine) report() {
-	e.reported = Room{Capacity: capacity, Used: e.used()}
+	e.reported = EngineState{Capacity: capacity, Used: e.used()}
 	unread := 0
 	for _, p := range e.waiting {
 		e.reported.Queued += p.Tokens
@@ -94,7 +94,7 @@
 	for _, p := range e.running {
 		unread += p.unread
 	}
-	e.reported.Ahead = time.Duration(unread/readPerTick) * tick
+	e.reported.PendingPrefill = time.Duration(unread/readPerTick) * tick
 }
 
 // replay plays the load, with requests that wait for room or without, and returns the share that was in time by second of arrival.
@@ -141,7 +141,7 @@
 
 // arrival is every fifth time a long prompt, else a short one.
 func arrival(now time.Time, i int) *prompt {
-	p := &prompt{Request: Request{Arrived: now, Due: now.Add(target), End: now.Add(patience), Tokens: 2400}, cached: 1860}
+	p := &prompt{Request: Request{Arrived: now, TargetTime: now.Add(target), Deadline: now.Add(patience), Tokens: 2400}, cached: 1860}
 	if i%5 == 0 {
 		p.Tokens, p.cached = 12000, 9100
 	}
@@ -152,15 +152,15 @@
 func send(line []*prompt, live []*engine, now time.Time, held bool) []*prompt {
 	slices.SortStableFunc(line, func(a, b *prompt) int { return Compare(a.Request, b.Request, now) })
 	return slices.DeleteFunc(line, func(p *prompt) bool {
-		if p.Lost(now) {
+		if p.MissesDeadline(now) {
 			return true
 		}
-		best := slices.MinFunc(live, func(a, b *engine) int { return b.reported.Free() - a.reported.Free() })
+		best := slices.MinFunc(live, func(a, b *engine) int { return b.reported.FreeTokens() - a.reported.FreeTokens() })
 		if held && !best.reported.Admits(p.Tokens) {
 			return false
 		}
 		best.waiting = append(best.waiting, p)
-		best.reported.Sent += p.Tokens
+		best.reported.SentSinceReport += p.Tokens
 		return true
 	})
 }
@@ -171,7 +171,7 @@
 	for _, p := range arrived {
 		i := int(p.Arrived.Sub(start) / time.Second)
 		counts[i]++
-		if !p.first.IsZero() && !p.first.After(p.Due) {
+		if !p.first.IsZero() && !p.first.After(p.TargetTime) {
 			seconds[i]++
 		}
 	}
--- a/agent/slots.go
+++ b/agent/slots.go
@@ -165,7 +165,7 @@
 func (s *slots) estimate() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.queue.Wait("")
+	return s.queue.EstimateWait("")
 }
 
 func (s *slots) backlog() float64 {
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// Verdict says what becomes of a request that comes while the process stops.
-type Verdict int
+// Action says what becomes of a request that comes while the process stops.
+type Action int
 
 // The verdicts.
 const (
 	// Refuse turns the request away at once: it would not be done before the end.
-	Refuse Verdict = iota
+	Refuse Action = iota
 	// Buffer takes the request, but nothing of its answer goes out before that is whole, so that the end can still replace it by a
 	// final answer where it would otherwise have to cut it.
 	Buffer
-	// Pass takes the request and passes its answer on as it comes.
-	Pass
+	// Stream takes the request and passes its answer on as it comes.
+	Stream
 )
 
-// Stop is the plan of one planned stop.
-type Stop struct {
-	// Signalled is when the process was told to stop.
-	Signalled time.Time
-	// Notice is how long after that callers may still come without a chance to know of it.
-	Notice time.Duration
-	// End is when every request must have its final answer.
-	End time.Time
+// Shutdown is the plan of one planned stop.
+type Shutdown struct {
+	// SignalTime is when the process was told to stop.
+	SignalTime time.Time
+	// NoticePeriod is how long after that callers may still come without a chance to know of it.
+	NoticePeriod time.Duration
+	// Deadline is when every request must have its final answer.
+	Deadline time.Time
 }
 
 // Request is what is known of a request that has come whole.
 type Request struct {
-	// Due is when it gets its final answer whatever happens.
-	Due time.Time
-	// Likely is enough time for most requests of its kind, Surely for nearly all; zero says that it is not known.
-	Likely time.Duration
-	Surely time.Duration
-	// Quiet is how long its caller stays while nothing comes; zero says until it is due.
-	Quiet time.Duration
+	// Deadline is when it gets its final answer whatever happens.
+	Deadline time.Time
+	// TypicalDuration is enough time for most requests of its kind, Surely for nearly all; zero says that it is not known.
+	TypicalDuration      time.Duration
+	ConservativeDuration time.Duration
+	// CallerIdleTimeout is how long its caller stays while nothing comes; zero says until it is due.
+	CallerIdleTimeout time.Duration
 }
 
 // Decide judges a request.
-func (s Stop) Decide(now time.Time, r Request) Verdict {
-	inTime := func(d time.Duration) bool { return d > 0 && !now.Add(d).After(s.End) }
+func (s Shutdown) Decide(now time.Time, r Request) Action {
+	inTime := func(d time.Duration) bool { return d > 0 && !now.Add(d).After(s.Deadline) }
 	switch {
-	case !now.Before(s.End):
+	case !now.Before(s.Deadline):
 		return Refuse
-	case !r.Due.After(s.End):
-		return Pass
-	case !inTime(r.Likely):
+	case !r.Deadline.After(s.Deadline):
+		return Stream
+	case !inTime(r.TypicalDuration):
 		return Refuse
-	case inTime(r.Surely) && now.Before(s.Signalled.Add(s.Notice)):
-		return Pass
-	case r.Quiet > 0 && r.Likely > r.Quiet:
+	case inTime(r.ConservativeDuration) && now.Before(s.SignalTime.Add(s.NoticePeriod)):
+		return Stream
+	case r.CallerIdleTimeout > 0 && r.TypicalDuration > r.CallerIdleTimeout:
 		return Refuse
 	default:
 		return Buffer
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -13,38 +13,38 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 func TestDecide(t *testing.T) {
-	s := Stop{Signalled: start, Notice: 2 * time.Second, End: at(7 * time.Second)}
-	assertVerdict := func(t *testing.T, want Verdict, now, patience time.Duration, r Request) {
+	s := Shutdown{SignalTime: start, NoticePeriod: 2 * time.Second, Deadline: at(7 * time.Second)}
+	assertVerdict := func(t *testing.T, want Action, now, patience time.Duration, r Request) {
 		t.Helper()
-		r.Due = at(now + patience)
+		r.Deadline = at(now + patience)
 		assert.Equal(t, want, s.Decide(at(now), r))
 	}
-	quick := Request{Likely: time.Second, Surely: 3 * time.Second}
+	quick := Request{TypicalDuration: time.Second, ConservativeDuration: 3 * time.Second}
 	t.Run("what is due before the end is passed on, whatever it usually takes", func(t *testing.T) {
-		assertVerdict(t, Pass, 4*time.Second, 2*time.Second, Request{Likely: 9 * time.Second, Surely: 9 * time.Second})
-		assertVerdict(t, Pass, 4*time.Second, 3*time.Second, Request{})
+		assertVerdict(t, Stream, 4*time.Second, 2*time.Second, Request{TypicalDuration: 9 * time.Second, ConservativeDuration: 9 * time.Second})
+		assertVerdict(t, Stream, 4*time.Second, 3*time.Second, Request{})
 	})
 	t.Run("while callers cannot know yet, what surely ends in time is passed on", func(t *testing.T) {
-		assertVerdict(t, Pass, time.Second, time.Minute, quick)
+		assertVerdict(t, Stream, time.Second, time.Minute, quick)
 	})
 	t.Run("what only likely ends in time is buffered until it is whole", func(t *testing.T) {
-		assertVerdict(t, Buffer, time.Second, time.Minute, Request{Likely: time.Second, Surely: 7 * time.Second})
+		assertVerdict(t, Buffer, time.Second, time.Minute, Request{TypicalDuration: time.Second, ConservativeDuration: 7 * time.Second})
 	})
 	t.Run("once callers can know, everything that is not due is buffered", func(t *testing.T) {
 		assertVerdict(t, Buffer, 2*time.Second, time.Minute, quick)
 		assertVerdict(t, Buffer, 5*time.Second, time.Minute, quick)
 	})
 	t.Run("nothing is buffered for longer than its caller stays without a word", func(t *testing.T) {
-		assertVerdict(t, Buffer, 3*time.Second, time.Minute, Request{Likely: 2 * time.Second, Surely: 3 * time.Second, Quiet: 2 * time.Second})
-		assertVerdict(t, Refuse, 3*time.Second, time.Minute, Request{Likely: 3 * time.Second, Surely: 3 * time.Second, Quiet: 2 * time.Second})
+		assertVerdict(t, Buffer, 3*time.Second, time.Minute, Request{TypicalDuration: 2 * time.Second, ConservativeDuration: 3 * time.Second, CallerIdleTimeout: 2 * time.Second})
+		assertVerdict(t, Refuse, 3*time.Second, time.Minute, Request{TypicalDuration: 3 * time.Second, ConservativeDuration: 3 * time.Second, CallerIdleTimeout: 2 * time.Second})
 	})
 	t.Run("what likely ends too late, or nobody knows when, is refused", func(t *testing.T) {
-		assertVerdict(t, Refuse, time.Second, time.Minute, Request{Likely: 7 * time.Second, Surely: 7 * time.Second})
+		assertVerdict(t, Refuse, time.Second, time.Minute, Request{TypicalDuration: 7 * time.Second, ConservativeDuration: 7 * time.Second})
 		assertVerdict(t, Refuse, time.Second, time.Minute, Request{})
 		assertVerdict(t, Refuse, 6500*time.Millisecond, time.Minute, quick)
 	})
 	t.Run("from the end on everything is refused", func(t *testing.T) {
-		assertVerdict(t, Refuse, 7*time.Second, 0, Request{Likely: time.Millisecond, Surely: time.Millisecond})
+		assertVerdict(t, Refuse, 7*time.Second, 0, Request{TypicalDuration: time.Millisecond, ConservativeDuration: time.Millisecond})
 	})
 }
 
@@ -54,13 +54,13 @@
 		drawn := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, name))
 		}
-		s := Stop{Signalled: start, Notice: drawn("notice"), End: at(drawn("end"))}
+		s := Shutdown{SignalTime: start, NoticePeriod: drawn("notice"), Deadline: at(drawn("end"))}
 		now := at(drawn("now"))
-		r := Request{Due: now.Add(drawn("patience")), Likely: drawn("likely"), Surely: drawn("surely"), Quiet: drawn("quiet")}
-		if s.Decide(now, r) == Pass && r.Due.After(s.End) {
-			assert.True(t, now.Before(s.Signalled.Add(s.Notice)))
-			assert.Positive(t, r.Surely)
-			assert.False(t, now.Add(r.Surely).After(s.End))
+		r := Request{Deadline: now.Add(drawn("patience")), TypicalDuration: drawn("likely"), ConservativeDuration: drawn("surely"), CallerIdleTimeout: drawn("quiet")}
+		if s.Decide(now, r) == Stream && r.Deadline.After(s.Deadline) {
+			assert.True(t, now.Before(s.SignalTime.Add(s.NoticePeriod)))
+			assert.Positive(t, r.ConservativeDuration)
+			assert.False(t, now.Add(r.ConservativeDuration).After(s.Deadline))
 		}
 	})
 }
--- a/fetch/nearest.go
+++ b/fetch/nearest.go
@@ -1,9 +1,9 @@
 package fetch
 
-// Nearest are the holders from which the tokens of a part come soonest, soonest first, at most as many as asked for. Those that hold
+// FastestHolders are the holders from which the tokens of a part come soonest, soonest first, at most as many as asked for. Those that hold
 // less than the whole part come last. Where thousands of runners and stores hold a part, a plan for each of many runners looks at these
 // alone: with 300 engines and 60 stores before an entry, one decision took 15 ms and 33 MB while each plan looked at all holders.
-func Nearest(e Engine, tokens int, holders []Holder, most int) []Holder {
+func FastestHolders(e Engine, tokens int, holders []Holder, most int) []Holder {
 	near := make([]Holder, 0, most)
 	for i := range holders {
 		at := len(near)
--- a/fetch/plan.go
+++ b/fetch/plan.go
@@ -10,15 +10,15 @@
 
 // Holder is a runner or a store that holds a part.
 type Holder struct {
-	Place netip.AddrPort
-	Store bool
+	Address netip.AddrPort
+	IsStore bool
 	// Tokens is how much of the part it holds.
 	Tokens int
 	// BitsPerSecond is the rate of its link, First what passes before a move begins, Busy how long its link is
 	// taken by moves that this process knows of.
 	BitsPerSecond float64
-	First         time.Duration
-	Busy          time.Duration
+	StartDelay    time.Duration
+	LinkBusy      time.Duration
 	// OtherZone says that it is in another zone than the runner, which makes a move take twice as long.
 	OtherZone bool
 }
@@ -26,48 +26,48 @@
 // Part is one shared part of a prompt.
 type Part struct {
 	Tokens int
-	// Local is how much of it the runner holds itself.
-	Local int
+	// LocalTokens is how much of it the runner holds itself.
+	LocalTokens int
 	// Holders are the others that hold it.
 	Holders []Holder
 }
 
 // Engine is what moves depend on at the runner's side.
 type Engine struct {
-	TokenBytes    float64
+	BytesPerToken float64
 	BitsPerSecond float64
 }
 
 // Plan is what a runner does to have the shared parts of a prompt.
 type Plan struct {
-	// From names the holder for each part, an invalid address where none is needed or there is none.
-	From []netip.AddrPort
-	// Fetched is how many tokens are moved, Afar how many of them between zones; Time is how long that takes.
-	Fetched int
-	Afar    int
-	Time    time.Duration
-	// Missing is how many tokens of the parts have to be read, Again how many of these somebody has read before.
-	Missing int
-	Again   int
-	// Moves are the fetches by part, for the books of who uses which link.
-	Moves []Move
+	// Sources names the holder for each part, an invalid address where none is needed or there is none.
+	Sources []netip.AddrPort
+	// FetchedTokens is how many tokens are moved, Afar how many of them between zones; Time is how long that takes.
+	FetchedTokens   int
+	CrossZoneTokens int
+	TransferTime    time.Duration
+	// PrefillTokens is how many tokens of the parts have to be read, Again how many of these somebody has read before.
+	PrefillTokens    int
+	RecomputedTokens int
+	// Transfers are the fetches by part, for the books of who uses which link.
+	Transfers []Transfer
 }
 
-// Move is one fetch.
-type Move struct {
-	From netip.AddrPort
-	Took time.Duration
+// Transfer is one fetch.
+type Transfer struct {
+	Source   netip.AddrPort
+	Duration time.Duration
 }
 
-// Make plans the parts in their order; after the first part that nobody holds, the rest have to be read.
-func Make(e Engine, parts []Part, budget time.Duration) Plan {
-	p := Plan{From: make([]netip.AddrPort, len(parts))}
+// NewPlan plans the parts in their order; after the first part that nobody holds, the rest have to be read.
+func NewPlan(e Engine, parts []Part, budget time.Duration) Plan {
+	p := Plan{Sources: make([]netip.AddrPort, len(parts))}
 	broken := false
 	for i, part := range parts {
 		switch {
 		case broken:
 			p.miss(part.Tokens, part)
-		case part.Tokens-part.Local < blockTokens:
+		case part.Tokens-part.LocalTokens < blockTokens:
 			p.standBy(e, i, part)
 		default:
 			broken = !p.add(e, i, part, budget)
@@ -78,28 +78,28 @@
 
 // add plans the fetch of one part; it reports whether the runner has the whole part then.
 func (p *Plan) add(e Engine, i int, part Part, budget time.Duration) bool {
-	need := part.Tokens - part.Local
+	need := part.Tokens - part.LocalTokens
 	best, took := e.nearest(need, part)
-	if best < 0 || p.Time+took > budget {
+	if best < 0 || p.TransferTime+took > budget {
 		p.miss(need, part)
 		return false
 	}
 	h := part.Holders[best]
-	p.From[i] = h.Place
-	p.Fetched += need
+	p.Sources[i] = h.Address
+	p.FetchedTokens += need
 	if h.OtherZone {
-		p.Afar += need
+		p.CrossZoneTokens += need
 	}
-	p.Time += took
-	p.Moves = append(p.Moves, Move{From: h.Place, Took: took - h.Busy})
+	p.TransferTime += took
+	p.Transfers = append(p.Transfers, Transfer{Source: h.Address, Duration: took - h.LinkBusy})
 	return true
 }
 
 // miss counts tokens that have to be read.
 func (p *Plan) miss(tokens int, part Part) {
-	p.Missing += tokens
-	if part.Local > 0 || len(part.Holders) > 0 {
-		p.Again += tokens
+	p.PrefillTokens += tokens
+	if part.LocalTokens > 0 || len(part.Holders) > 0 {
+		p.RecomputedTokens += tokens
 	}
 }
 
@@ -107,7 +107,7 @@
 // runner has it, nothing is moved.
 func (p *Plan) standBy(e Engine, i int, part Part) {
 	if best, _ := e.nearest(part.Tokens, part); best >= 0 {
-		p.From[i] = part.Holders[best].Place
+		p.Sources[i] = part.Holders[best].Address
 	}
 }
 
@@ -135,9 +135,9 @@
 	if rate <= 0 {
 		return time.Hour
 	}
-	t := float64(tokens) * e.TokenBytes * 8 / rate
+	t := float64(tokens) * e.BytesPerToken * 8 / rate
 	if h.OtherZone {
 		t *= 2
 	}
-	return time.Duration(t*float64(time.Second)) + h.First + h.Busy
+	return time.Duration(t*float64(time.Second)) + h.StartDelay + h.LinkBusy
 }
--- a/fetch/save.go
+++ b/fetch/save.go
@@ -14,21 +14,21 @@
 
 // Store is a store that may take parts.
 type Store struct {
-	Place         netip.AddrPort
+	Address       netip.AddrPort
 	Capacity      int
-	Total         int
+	UsedTokens    int
 	BitsPerSecond float64
-	First         time.Duration
-	Busy          time.Duration
+	StartDelay    time.Duration
+	LinkBusy      time.Duration
 	OtherZone     bool
 	// Holds says that the store holds the part already, or is about to.
 	Holds bool
 }
 
-// SaveTo chooses the store for a part that the runner is going to have: an opening, which many prompts share, goes to a
+// ChooseStore chooses the store for a part that the runner is going to have: an opening, which many prompts share, goes to a
 // fast store of the runner's own zone, a small part to any fast one, the rest to where there is room. An invalid address
 // means that the part is kept well enough, or that nobody has room.
-func SaveTo(e Engine, tokens int, opening bool, stores []Store) netip.AddrPort {
+func ChooseStore(e Engine, tokens int, opening bool, stores []Store) netip.AddrPort {
 	if keptWell(opening, stores) {
 		return netip.AddrPort{}
 	}
@@ -39,7 +39,7 @@
 		if !s.suits(tokens, opening, stores) {
 			continue
 		}
-		h := Holder{BitsPerSecond: s.BitsPerSecond, First: s.First, Busy: s.Busy, OtherZone: s.OtherZone}
+		h := Holder{BitsPerSecond: s.BitsPerSecond, StartDelay: s.StartDelay, LinkBusy: s.LinkBusy, OtherZone: s.OtherZone}
 		if t := e.moveTime(tokens, &h); best == nil || t < cost {
 			best, cost = s, t
 		}
@@ -47,7 +47,7 @@
 	if best == nil {
 		return netip.AddrPort{}
 	}
-	return best.Place
+	return best.Address
 }
 
 // keptWell reports that the part needs no further store: an opening is wanted in the runner's own zone, any other anywhere.
@@ -63,7 +63,7 @@
 // suits reports that the store may take the part.
 func (s *Store) suits(tokens int, opening bool, stores []Store) bool {
 	switch {
-	case s.Holds, float64(s.Total+tokens) > fullFrom*float64(s.Capacity):
+	case s.Holds, float64(s.UsedTokens+tokens) > fullFrom*float64(s.Capacity):
 		return false
 	case opening:
 		return !s.OtherZone || !held(stores)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -61,7 +61,7 @@
 	}
 	t := &target{
 		runner: o.runners[i], view: *o.views[i], choice: choice, held: o.question.Tokens, plan: o.plans[i],
-		reading: o.candidates[i].Missing, before: o.candidates[i].Reading,
+		reading: o.candidates[i].PrefillTokens, before: o.candidates[i].QueuedPrefillTokens,
 	}
 	if x.needsEngine() {
 		t.weights = t.view.Weights[x.wire.Prompt.Model]
@@ -78,14 +78,14 @@
 // logChoice records what decided on the runner, for whoever has to explain what became of the request.
 func (g *Gateway) logChoice(x *exchange, t *target, o *options, now time.Time) {
 	fetchUntil := time.Time{}
-	if t.kept != nil && len(t.plan.From) > 0 {
+	if t.kept != nil && len(t.plan.Sources) > 0 {
 		fetchUntil = t.kept.until
 	}
 	g.Log.Info("runner chosen", "decision", "send", "request", x.wire.ID, "account", x.accountName(), "route", x.route.Name,
 		"chosen", t.view.ID, "candidates", len(o.candidates), "cost", t.choice.Cost, "estimate", t.choice.Estimate.String(), "attempt", x.sends.sent()+1,
 		"weights", t.weights, "replacedFor", g.replacedFor(x, t.weights, now).String(),
-		"held", now.Sub(x.arrived).String(), "before", t.before, "perToken", o.question.Speed.PerToken.String(), "base", o.question.Speed.Base.String(),
-		"missing", t.reading, "again", t.plan.Again, "fetched", t.plan.Fetched, "fetchUntil", fetchUntil,
+		"held", now.Sub(x.arrived).String(), "before", t.before, "perToken", o.question.Latency.PerToken.String(), "base", o.question.Latency.Base.String(),
+		"missing", t.reading, "again", t.plan.RecomputedTokens, "fetched", t.plan.FetchedTokens, "fetchUntil", fetchUntil,
 		"avoided", t.view.Avoid, "cold", t.view.Cold, "limited", t.view.Limit.Bounded, "reported", t.view.Reported, "loading", t.view.Load.Busy, "reportAge", t.view.ReportAge.String(),
 		"listAge", g.listAge(now).String())
 }
@@ -118,8 +118,8 @@
 
 // bookMoves records which links the chosen runner's fetches take.
 func (g *Gateway) bookMoves(t *target, now time.Time) {
-	for _, m := range t.plan.Moves {
-		g.stores.book(m.From, m.Took, now)
+	for _, m := range t.plan.Transfers {
+		g.stores.book(m.Source, m.Duration, now)
 	}
 }
 
@@ -135,9 +135,9 @@
 		d.Salt = "request/" + string(x.wire.ID)
 		return
 	}
-	if len(t.plan.From) > 0 && !t.kept.until.IsZero() {
+	if len(t.plan.Sources) > 0 && !t.kept.until.IsZero() {
 		d.Fetch = make([]netip.AddrPort, len(x.wire.Prompt.Parts))
-		copy(d.Fetch, t.plan.From)
+		copy(d.Fetch, t.plan.Sources)
 		d.FetchUntil = t.kept.until
 	}
 	d.Save = g.saves(x, t.kept, &t.view, time.Now())
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -33,7 +33,7 @@
 	o := g.options(x, g.viewsAt(now), now)
 	for i, v := range o.views {
 		g.planAt(x, o, i, now)
-		assert.NotContains(t, o.plans[i].From, v.Address)
-		assert.True(t, o.plans[i].From[0].IsValid())
+		assert.NotContains(t, o.plans[i].Sources, v.Address)
+		assert.True(t, o.plans[i].Sources[0].IsValid())
 	}
 }
--- a/gateway/firsts.go
+++ b/gateway/firsts.go
@@ -11,15 +11,15 @@
 // firstTokens learns for each service how long prompts take to their first token; its zero value knows nothing.
 type firstTokens struct {
 	mu        sync.Mutex
-	byService map[rillreach.ServiceID]*predict.FirstToken
+	byService map[rillreach.ServiceID]*predict.TTFTEstimator
 }
 
 // of is how fast the service's engines are.
-func (f *firstTokens) of(service rillreach.ServiceID) predict.Speed {
+func (f *firstTokens) of(service rillreach.ServiceID) predict.LatencyModel {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known := f.byService[service]; known != nil {
-		return known.Speed()
+		return known.Model()
 	}
 	return predict.Prior()
 }
@@ -29,12 +29,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.byService == nil {
-		f.byService = map[rillreach.ServiceID]*predict.FirstToken{}
+		f.byService = map[rillreach.ServiceID]*predict.TTFTEstimator{}
 	}
 	known := f.byService[x.service.Name]
 	if known == nil {
-		known = &predict.FirstToken{}
+		known = &predict.TTFTEstimator{}
 		f.byService[x.service.Name] = known
 	}
-	known.Observe(t.before+t.reading, wait-t.plan.Time)
+	known.Observe(t.before+t.reading, wait-t.plan.TransferTime)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -107,7 +107,7 @@
 	began time.Time
 	// leaving says that plan holds what was planned for the stop; over ends when requests without an answer get their last one.
 	leaving atomic.Bool
-	plan    drain.Stop
+	plan    drain.Shutdown
 	over    context.Context
 	// usual are the times to the whole answer, firstWaits those from a send to the first token beyond the time to read the prompt's own part.
 	usual      routeTimes
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -96,7 +96,7 @@
 	default:
 		choice = place.Choose(o.question, o.candidates, g.offset(len(o.views)))
 	}
-	if choice.Index >= 0 && !o.candidates[choice.Index].Suits() {
+	if choice.Index >= 0 && !o.candidates[choice.Index].Preferred() {
 		choice.Index = -1
 	}
 	return choice
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -54,7 +54,7 @@
 		return p
 	}
 	engine := x.service.Engine
-	p.engine = fetch.Engine{TokenBytes: engine.TokenBytes, BitsPerSecond: engine.LinkBitsPerSecond}
+	p.engine = fetch.Engine{BytesPerToken: engine.TokenBytes, BitsPerSecond: engine.LinkBitsPerSecond}
 	p.budget = min(max(time.Duration(fetchShare*float64(x.route.Target)), leastFetch), mostFetch)
 	for _, v := range views {
 		if !v.Avoid {
@@ -99,12 +99,12 @@
 	parts := make([]fetch.Part, len(p.holders))
 	near := p.nearTo(v.Zone)
 	for i, holders := range p.holders {
-		parts[i] = fetch.Part{Tokens: p.shared[i].Tokens, Local: holders[v.Address], Holders: except(near[i], v.Address)}
+		parts[i] = fetch.Part{Tokens: p.shared[i].Tokens, LocalTokens: holders[v.Address], Holders: except(near[i], v.Address)}
 	}
-	plan := fetch.Make(p.engine, parts, p.budget)
+	plan := fetch.NewPlan(p.engine, parts, p.budget)
 	if len(p.holders) == 0 {
 		for _, part := range p.shared {
-			plan.Missing += part.Tokens
+			plan.PrefillTokens += part.Tokens
 		}
 	}
 	return plan
@@ -117,7 +117,7 @@
 	}
 	near := make([][]fetch.Holder, len(p.holders))
 	for i := range p.holders {
-		near[i] = fetch.Nearest(p.engine, p.shared[i].Tokens, p.askable(i, zone), mostNear)
+		near[i] = fetch.FastestHolders(p.engine, p.shared[i].Tokens, p.askable(i, zone), mostNear)
 	}
 	p.near[zone] = near
 	return near
@@ -132,7 +132,7 @@
 			continue
 		}
 		all = append(all, fetch.Holder{
-			Place: place, Store: info.store, Tokens: tokens, BitsPerSecond: info.bitsPerSecond, First: info.first, Busy: info.busy,
+			Address: place, IsStore: info.store, Tokens: tokens, BitsPerSecond: info.bitsPerSecond, StartDelay: info.first, LinkBusy: info.busy,
 			OtherZone: info.zone != zone,
 		})
 	}
@@ -141,7 +141,7 @@
 
 // except are the holders but for the one at the address.
 func except(holders []fetch.Holder, address netip.AddrPort) []fetch.Holder {
-	i := slices.IndexFunc(holders, func(h fetch.Holder) bool { return h.Place == address })
+	i := slices.IndexFunc(holders, func(h fetch.Holder) bool { return h.Address == address })
 	if i < 0 {
 		return holders
 	}
@@ -157,7 +157,7 @@
 	for i, part := range p.shared {
 		key := holdings.Key{Salt: p.salt, Part: part.ID}
 		stores := g.saveStores(x, p, v, key, p.holders[i], now)
-		to[i] = fetch.SaveTo(p.engine, part.Tokens, i == 0, stores)
+		to[i] = fetch.ChooseStore(p.engine, part.Tokens, i == 0, stores)
 		if to[i].IsValid() {
 			g.stores.save(key, to[i], now)
 		}
@@ -175,8 +175,8 @@
 		}
 		_, holds := holders[s.Address]
 		stores = append(stores, fetch.Store{
-			Place: s.Address, Capacity: s.CapacityTokens, Total: g.stores.index.Total(s.Address), BitsPerSecond: s.LinkBitsPerSecond,
-			First: s.FirstDelay, Busy: info.busy, OtherZone: s.Zone != v.Zone, Holds: holds || g.stores.isSaving(key, s.Address, now),
+			Address: s.Address, Capacity: s.CapacityTokens, UsedTokens: g.stores.index.Total(s.Address), BitsPerSecond: s.LinkBitsPerSecond,
+			StartDelay: s.FirstDelay, LinkBusy: info.busy, OtherZone: s.Zone != v.Zone, Holds: holds || g.stores.isSaving(key, s.Address, now),
 		})
 	}
 	return stores
--- a/gateway/left_out.go
+++ b/gateway/left_out.go
@@ -92,10 +92,10 @@
 	if l.resting == 0 || l.cold+l.limited > 0 {
 		return false
 	}
-	if r.Begun {
-		return !r.Lost(l.restEnds)
+	if r.AnswerStarted {
+		return !r.MissesDeadline(l.restEnds)
 	}
-	return !r.Late(l.restEnds)
+	return !r.MissesTarget(l.restEnds)
 }
 
 // nextUnderLimit is how long the runners that are limited take to take one more request.
--- a/gateway/line.go
+++ b/gateway/line.go
@@ -40,9 +40,9 @@
 
 	mu       sync.Mutex
 	waiting  []*waitingRequest
-	backlog  admission.Backlog
-	late     admission.Backlog
-	standing admission.Standing
+	backlog  admission.RateEstimator
+	late     admission.RateEstimator
+	standing admission.StandingQueue
 	// mostCold says that most engines were cold when requests were last decided on.
 	mostCold bool
 	wake     chan struct{}
@@ -122,7 +122,7 @@
 func (l *line) enter(w *waitingRequest, now time.Time) (decision, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting) == 0 || w.request.Begun {
+	if len(l.waiting) == 0 || w.request.AnswerStarted {
 		if d, done := l.decide(w, l.gateway.viewsAt(now), nil, l.drainTime(now), now); done {
 			return d, true
 		}
@@ -207,7 +207,7 @@
 		return decision{verdict: o.leftOut.refuse(x)}, true
 	}
 	l.mostCold = o.mostCold()
-	choice, room := g.chooseWithRoom(x, o, roomQuery{claimed: claimed, senders: l.senders(claimed), idle: w.request.GivesWay(now)}, now)
+	choice, room := g.chooseWithRoom(x, o, roomQuery{claimed: claimed, senders: l.senders(claimed), idle: w.request.Deprioritized(now)}, now)
 	switch {
 	case choice.Index >= 0:
 		t := g.assign(x, o, choice, now)
@@ -216,7 +216,7 @@
 		}
 		*o.views[choice.Index] = t.runner.View(now) // the next request finds less room there
 		return decision{target: t}, true
-	case w.request.Lost(now):
+	case w.request.MissesDeadline(now):
 		x.comeBack = drain
 		return decision{verdict: verdictNoRoom}, true
 	case room >= 0 && claimed != nil:
--- a/gateway/line_test.go
+++ b/gateway/line_test.go
@@ -76,7 +76,7 @@
 		g.state.Roster.Find("r0").SetReport(roster.Report{Load: deployment.Load{Running: 1, Used: 70000}, At: time.Now().Add(time.Hour)})
 		now := time.Now()
 		x.arrived, x.ends = now, now.Add(3*time.Second)
-		g.line.backlog.Admitted(now, 3000) // 1,000 tokens a second
+		g.line.backlog.Record(now, 3000) // 1,000 tokens a second
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		first := make(chan string, 1)
--- a/gateway/loads_soon_test.go
+++ b/gateway/loads_soon_test.go
@@ -68,7 +68,7 @@
 		report := roster.Report{At: now}
 		change(g, x, &report)
 		g.state.Roster.Find("r0").SetReport(report)
-		return g.options(x, g.viewsAt(now), now).candidates[0].Avoid
+		return g.options(x, g.viewsAt(now), now).candidates[0].Avoided
 	}
 	loadsIn := func(d time.Duration) func(*Gateway, *exchange, *roster.Report) {
 		return func(_ *Gateway, _ *exchange, r *roster.Report) { r.LoadsAt = r.At.Add(d) }
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -16,7 +16,7 @@
 
 // options are the runners that may take a request, and what each would do for it.
 type options struct {
-	question   place.Question
+	question   place.Request
 	views      []*roster.View
 	runners    []*roster.Runner
 	candidates []place.Candidate
@@ -56,7 +56,7 @@
 			continue
 		}
 		c := g.candidate(x, v, conversation, meanRead)
-		c.Old = x.needsEngine() && replacedFor(state.window, now) > oldFrom
+		c.OldWeights = x.needsEngine() && replacedFor(state.window, now) > oldFrom
 		c.Tried = slices.Contains(asked, v.ID)
 		o.views = append(o.views, v)
 		o.runners = append(o.runners, group.runners[i])
@@ -86,11 +86,11 @@
 }
 
 // question is what the choice has to know of the request.
-func (g *Gateway) question(x *exchange) place.Question {
-	q := place.Question{Target: x.route.Target}
+func (g *Gateway) question(x *exchange) place.Request {
+	q := place.Request{Target: x.route.Target}
 	if x.needsEngine() {
 		q.Tokens = x.wire.Prompt.Tokens + x.wire.Prompt.MaxOut
-		q.Speed = g.firsts.of(x.service.Name)
+		q.Latency = g.firsts.of(x.service.Name)
 	}
 	return q
 }
@@ -98,13 +98,13 @@
 // candidate is a runner as the choice sees it, for a conversation by its hash, where prompts on average leave so many tokens to read.
 func (g *Gateway) candidate(x *exchange, v *roster.View, conversation uint64, meanRead int) place.Candidate {
 	c := place.Candidate{
-		Running:      v.Running,
-		Slots:        v.Slots,
-		Reading:      v.Reading,
-		Held:         v.Held,
-		OtherZone:    v.Zone != g.Settings.Zone,
-		Avoid:        v.Avoid,
-		FailureShare: v.Failures,
+		Running:             v.Running,
+		Slots:               v.Slots,
+		QueuedPrefillTokens: v.Reading,
+		UsedTokens:          v.Held,
+		OtherZone:           v.Zone != g.Settings.Zone,
+		Avoided:             v.Avoid,
+		FailureRate:         v.Failures,
 	}
 	if !x.needsEngine() {
 		return c
@@ -112,11 +112,11 @@
 	c.Capacity = x.service.Engine.CapacityTokens
 	if v.Reported {
 		c.Running = max(c.Running, v.Load.Running+v.Load.Waiting)
-		c.Reading = max(c.Reading, (v.Load.Unread+v.Load.Waiting)*meanRead+v.SentReading)
-		c.Held = max(c.Held, v.Load.Used+v.SentHeld)
+		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.Unread+v.Load.Waiting)*meanRead+v.SentReading)
+		c.UsedTokens = max(c.UsedTokens, v.Load.Used+v.SentHeld)
 	}
-	c.Avoid = avoided(v) || x.began && g.loadsSoon(x, v)
-	c.Distance = distance(conversation, v.ID)
+	c.Avoided = avoided(v) || x.began && g.loadsSoon(x, v)
+	c.HashDistance = distance(conversation, v.ID)
 	return c
 }
 
@@ -143,7 +143,7 @@
 
 // addPlan adds to a candidate what it would read and fetch by a plan.
 func addPlan(c *place.Candidate, p *deployment.Prompt, plan *fetch.Plan) {
-	c.Missing = p.Own() + plan.Missing
-	c.Again = plan.Again
-	c.FetchTime = plan.Time
+	c.PrefillTokens = p.Own() + plan.PrefillTokens
+	c.RecomputedTokens = plan.RecomputedTokens
+	c.FetchTime = plan.TransferTime
 }
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -26,7 +26,7 @@
 	free := 0
 	good := o.anyGood()
 	for i := range o.views {
-		if good && !o.candidates[i].Suits() || q.claimed[o.runners[i]] {
+		if good && !o.candidates[i].Preferred() || q.claimed[o.runners[i]] {
 			continue
 		}
 		if o.views[i].Denied != "" {
@@ -38,8 +38,8 @@
 			admitted = append(admitted, o.candidates[i])
 			index = append(index, i)
 		}
-		if most < 0 || room.Free() > free {
-			most, free = i, room.Free()
+		if most < 0 || room.FreeTokens() > free {
+			most, free = i, room.FreeTokens()
 		}
 	}
 	if len(admitted) == 0 {
@@ -52,20 +52,20 @@
 
 // anyGood reports that an engine is there that nothing speaks against.
 func (o *options) anyGood() bool {
-	return slices.ContainsFunc(o.candidates, func(c place.Candidate) bool { return c.Suits() })
+	return slices.ContainsFunc(o.candidates, func(c place.Candidate) bool { return c.Preferred() })
 }
 
 // roomOf is the room at an engine, by its report where there is one, else by this entry's own requests.
-func (g *Gateway) roomOf(o *options, i, senders int) admission.Room {
+func (g *Gateway) roomOf(o *options, i, senders int) admission.EngineState {
 	v, c := o.views[i], &o.candidates[i]
 	if !v.Reported {
 		// A runner that has just started is empty for every entry, so that each takes the others to send as much as itself.
 		entries := g.budgets.Entries()
-		ahead := time.Duration(v.Reading*entries) * o.question.Speed.PerToken
-		return admission.Room{Capacity: c.Capacity, Used: v.Held * entries, Ahead: ahead}
+		ahead := time.Duration(v.Reading*entries) * o.question.Latency.PerToken
+		return admission.EngineState{Capacity: c.Capacity, Used: v.Held * entries, PendingPrefill: ahead}
 	}
-	return admission.Room{
-		Capacity: c.Capacity, Used: max(v.Load.Used, 0), Queued: v.Load.Waiting * g.sizes.mean(), Sent: v.SentHeld, Senders: senders,
-		Ahead: time.Duration(c.Reading) * o.question.Speed.PerToken,
+	return admission.EngineState{
+		Capacity: c.Capacity, Used: max(v.Load.Used, 0), Queued: v.Load.Waiting * g.sizes.mean(), SentSinceReport: v.SentHeld, Senders: senders,
+		PendingPrefill: time.Duration(c.QueuedPrefillTokens) * o.question.Latency.PerToken,
 	}
 }
--- a/gateway/route_times.go
+++ b/gateway/route_times.go
@@ -21,7 +21,7 @@
 // routeTimes are how long requests usually take, by route; the zero value knows none.
 type routeTimes struct {
 	mu      sync.Mutex
-	byRoute map[string]*predict.Usual
+	byRoute map[string]*predict.DurationEstimator
 }
 
 // add takes the time of one request.
@@ -29,31 +29,31 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.byRoute == nil || len(u.byRoute) >= mostRoutes {
-		u.byRoute = map[string]*predict.Usual{}
+		u.byRoute = map[string]*predict.DurationEstimator{}
 	}
 	if u.byRoute[route] == nil {
-		u.byRoute[route] = &predict.Usual{}
+		u.byRoute[route] = &predict.DurationEstimator{}
 	}
-	u.byRoute[route].Add(took)
+	u.byRoute[route].Observe(took)
 }
 
 // of is what requests on the route usually take.
-func (u *routeTimes) of(route string) predict.Usual {
+func (u *routeTimes) of(route string) predict.DurationEstimator {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if known := u.byRoute[route]; known != nil {
 		return *known
 	}
-	return predict.Usual{}
+	return predict.DurationEstimator{}
 }
 
 // takes says how long requests on the route take until their whole answer. What must not run twice is lost where the end overtakes it, so
 // that its likely time is the sure one.
 func (g *Gateway) takes(route *deployment.Route) drain.Request {
 	usual := g.usual.of(route.Name)
-	takes := drain.Request{Likely: usual.Time(likelyDeviations), Surely: usual.Time(surelyDeviations)}
+	takes := drain.Request{TypicalDuration: usual.UpperBound(likelyDeviations), ConservativeDuration: usual.UpperBound(surelyDeviations)}
 	if route.Once() {
-		takes.Likely = takes.Surely
+		takes.TypicalDuration = takes.ConservativeDuration
 	}
 	return takes
 }
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -13,12 +13,12 @@
 // admissionOf is what the line has to know of the request.
 func (g *Gateway) admissionOf(x *exchange) admission.Request {
 	r := admission.Request{
-		Arrived: x.arrived, Due: x.arrived.Add(x.route.Target), End: x.ends, Need: g.usualFirst(x),
-		Tokens: x.wire.Prompt.Tokens + x.wire.Prompt.MaxOut, Begun: x.began,
+		Arrived: x.arrived, TargetTime: x.arrived.Add(x.route.Target), Deadline: x.ends, ExpectedTTFT: g.usualFirst(x),
+		Tokens: x.wire.Prompt.Tokens + x.wire.Prompt.MaxOut, AnswerStarted: x.began,
 	}
 	if quiet := x.route.Quiet(); quiet > 0 && !x.began {
-		if left := x.arrived.Add(quiet); left.Before(r.End) {
-			r.End = left
+		if left := x.arrived.Add(quiet); left.Before(r.Deadline) {
+			r.Deadline = left
 		}
 	}
 	return r
@@ -27,7 +27,7 @@
 // usualFirst is how long most requests of the route take from the send to the first token, for a prompt of this size.
 func (g *Gateway) usualFirst(x *exchange) time.Duration {
 	rest := g.firstWaits.of(x.route.Name)
-	return max(leastFirst, g.ownReading(x)+rest.Time(likelyDeviations))
+	return max(leastFirst, g.ownReading(x)+rest.UpperBound(likelyDeviations))
 }
 
 // ownReading is how long engines read what no other request has in common with this one.
@@ -42,39 +42,39 @@
 // A request whose answer has begun waits to its end. While most engines are cold nobody is turned away so: what the waiting know of the rate is that of permits, and more is to be had once the slow start
 // ends.
 func (l *line) shed(w *waitingRequest, before int, now time.Time) (decision, bool) {
-	if l.mostCold || w.request.Begun {
+	if l.mostCold || w.request.AnswerStarted {
 		return decision{}, false
 	}
 	wait, known := l.waitBehind(w, before, now)
-	lost := known && w.request.Lost(now.Add(wait))
-	if !lost && !l.standing.Dooms(now, w.request, wait) {
+	lost := known && w.request.MissesDeadline(now.Add(wait))
+	if !lost && !l.standing.ShouldShed(now, w.request, wait) {
 		return decision{}, false
 	}
-	w.exchange.comeBack = max(wait, l.standing.Lasted(now))
+	w.exchange.comeBack = max(wait, l.standing.Age(now))
 	return decision{verdict: verdictBacklog}, true
 }
 
 // waitBehind is how long it takes until those before a request are admitted. A late one waits for what the others leave.
 func (l *line) waitBehind(w *waitingRequest, before int, now time.Time) (time.Duration, bool) {
-	if w.request.GivesWay(now) {
-		if wait, known := l.late.Wait(now, before); known {
+	if w.request.Deprioritized(now) {
+		if wait, known := l.late.EstimateWait(now, before); known {
 			return wait, true
 		}
 	}
-	return l.backlog.Wait(now, before)
+	return l.backlog.EstimateWait(now, before)
 }
 
 // noteAdmitted records that a request was admitted.
 func (l *line) noteAdmitted(w *waitingRequest, now time.Time) {
-	l.backlog.Admitted(now, w.request.Tokens)
-	if w.request.Late(now) {
-		l.late.Admitted(now, w.request.Tokens)
+	l.backlog.Record(now, w.request.Tokens)
+	if w.request.MissesTarget(now) {
+		l.late.Record(now, w.request.Tokens)
 	}
 }
 
 // noteStanding records whether requests that can be in time wait; the lock is held. A wait for engines that are cold is no backlog.
 func (l *line) noteStanding(now time.Time) {
-	l.standing.Note(now, !l.mostCold && slices.ContainsFunc(l.waiting, func(w *waitingRequest) bool { return !w.request.Late(now) }))
+	l.standing.Observe(now, !l.mostCold && slices.ContainsFunc(l.waiting, func(w *waitingRequest) bool { return !w.request.MissesTarget(now) }))
 }
 
 // drainTime is how long it takes until all that wait now are admitted, as far as is known.
@@ -83,6 +83,6 @@
 	for _, w := range l.waiting {
 		sum += w.request.Tokens
 	}
-	wait, _ := l.backlog.Wait(now, sum)
+	wait, _ := l.backlog.EstimateWait(now, sum)
 	return wait
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -35,10 +35,10 @@
 var errStopping = errors.New("the entry stops")
 
 // planStop plans a stop: the last answers are due when the grace is over but for the margins.
-func (g *Gateway) planStop(signalled time.Time) drain.Stop {
+func (g *Gateway) planStop(signalled time.Time) drain.Shutdown {
 	grace := g.Settings.Bounds.Grace
 	left := max(grace-min(EndMargin, grace/endShare)-node.LastRequestTime-answerMargin, 0)
-	return drain.Stop{Signalled: signalled, Notice: min(noticeTime, left/2), End: signalled.Add(left)}
+	return drain.Shutdown{SignalTime: signalled, NoticePeriod: min(noticeTime, left/2), Deadline: signalled.Add(left)}
 }
 
 // stop ends the entry's work without cutting any of it. It says that it is not ready and goes on taking connections for as long
@@ -47,12 +47,12 @@
 func (g *Gateway) stop(signalled time.Time, finish func()) {
 	g.plan = g.planStop(signalled)
 	g.leaving.Store(true)
-	g.Log.Info("stopping", "decision", "stop", "running", g.running.Count(), "end", g.plan.End.Sub(signalled).String())
-	time.Sleep(min(node.ReadinessLag, time.Until(g.plan.End)))
-	idle := g.running.Wait(time.Until(g.plan.End))
+	g.Log.Info("stopping", "decision", "stop", "running", g.running.Count(), "end", g.plan.Deadline.Sub(signalled).String())
+	time.Sleep(min(node.ReadinessLag, time.Until(g.plan.Deadline)))
+	idle := g.running.Wait(time.Until(g.plan.Deadline))
 	finish()
 	g.Log.Info("taking no more requests", "decision", "stop", "idle", idle, "running", g.running.Count(), "after", time.Since(signalled).String())
-	g.running.Wait(time.Until(g.plan.End.Add(answerMargin)))
+	g.running.Wait(time.Until(g.plan.Deadline.Add(answerMargin)))
 	if err := g.listener.StopAccepting(); err != nil {
 		g.Log.Error(err, "listener for callers is not closed")
 	}
@@ -100,11 +100,11 @@
 		return g.refuseLeaving(x)
 	}
 	takes := g.takes(x.route)
-	takes.Due, takes.Quiet = x.ends, x.route.Quiet()
+	takes.Deadline, takes.CallerIdleTimeout = x.ends, x.route.Quiet()
 	verdict := g.plan.Decide(time.Now(), takes)
 	if verdict == drain.Refuse {
-		g.Log.Info("too late to be taken", "decision", "drain", "request", x.wire.ID, "likely", takes.Likely.String(),
-			"due", time.Until(x.ends).String(), "end", time.Until(g.plan.End).String())
+		g.Log.Info("too late to be taken", "decision", "drain", "request", x.wire.ID, "likely", takes.TypicalDuration.String(),
+			"due", time.Until(x.ends).String(), "end", time.Until(g.plan.Deadline).String())
 		return g.refuseLeaving(x)
 	}
 	x.buffered = verdict == drain.Buffer
@@ -115,8 +115,8 @@
 // connection is so new that the balancer has no other: then the caller does best to wait until this one is back.
 func (g *Gateway) refuseLeaving(x *exchange) *refusal {
 	r := *leavingNow
-	if opened := openedAt(x.request.Context()); opened.After(g.plan.Signalled.Add(node.ReadinessLag)) {
-		r.after = max(time.Until(g.plan.End.Add(answerMargin+restartTime)), restartTime)
+	if opened := openedAt(x.request.Context()); opened.After(g.plan.SignalTime.Add(node.ReadinessLag)) {
+		r.after = max(time.Until(g.plan.Deadline.Add(answerMargin+restartTime)), restartTime)
 	}
 	return &r
 }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -151,7 +151,7 @@
 	}
 	w.stop()
 	w.eventually(t, w.gateway.leaving.Load)
-	time.Sleep(time.Until(w.gateway.plan.Signalled.Add(w.gateway.plan.Notice)))
+	time.Sleep(time.Until(w.gateway.plan.SignalTime.Add(w.gateway.plan.NoticePeriod)))
 	return w
 }
 
@@ -228,7 +228,7 @@
 	w.eventually(t, func() bool { return w.gateway.running.Count() == streams })
 	w.stop()
 	w.eventually(t, w.gateway.leaving.Load)
-	end.Store(&w.gateway.plan.End)
+	end.Store(&w.gateway.plan.Deadline)
 	for _, conn := range conns {
 		got := read(t, conn, "GET")
 		require.NoError(t, got.err, "status %d", got.status)
--- a/place/choose.go
+++ b/place/choose.go
@@ -11,38 +11,38 @@
 	// Running is how many requests run there, Slots how many may.
 	Running int
 	Slots   int
-	// Reading is how many tokens the requests there still read before their first event.
-	Reading int
-	// Held is how many tokens of memory they take, of Capacity; a capacity of zero means that memory doesn't count.
-	Held     int
-	Capacity int
-	// Missing is how many tokens of the request's prompt the runner would have to read.
-	Missing int
-	// Again is how many of the missing tokens are of shared parts, which may have been read before.
-	Again int
+	// QueuedPrefillTokens is how many tokens the requests there still read before their first event.
+	QueuedPrefillTokens int
+	// UsedTokens is how many tokens of memory they take, of Capacity; a capacity of zero means that memory doesn't count.
+	UsedTokens int
+	Capacity   int
+	// PrefillTokens is how many tokens of the request's prompt the runner would have to read.
+	PrefillTokens int
+	// RecomputedTokens is how many of the missing tokens are of shared parts, which may have been read before.
+	RecomputedTokens int
 	// FetchTime is how long it takes to have the rest from elsewhere.
-	FetchTime    time.Duration
-	OtherZone    bool
-	Old          bool
-	Avoid        bool
-	Tried        bool
-	FailureShare float64
-	// Distance is where a hash puts the runner for this conversation, from 0 (near) to 1 (far).
-	Distance float64
+	FetchTime   time.Duration
+	OtherZone   bool
+	OldWeights  bool
+	Avoided     bool
+	Tried       bool
+	FailureRate float64
+	// HashDistance is where a hash puts the runner for this conversation, from 0 (near) to 1 (far).
+	HashDistance float64
 }
 
-// Suits reports that nothing speaks against the candidate.
-func (c *Candidate) Suits() bool { return !c.Avoid && !c.Tried }
+// Preferred reports that nothing speaks against the candidate.
+func (c *Candidate) Preferred() bool { return !c.Avoided && !c.Tried }
 
-// Question is what a request needs.
-type Question struct {
+// Request is what a request needs.
+type Request struct {
 	// Tokens is the length of the prompt and of the longest answer; zero where the service is no engine.
 	Tokens int
 	// Target is the time to the first event that callers expect, also for a request that is late already: engines that come to it
 	// soon are as much better for it.
 	Target time.Duration
-	// Speed is how fast engines have been of late.
-	Speed predict.Speed
+	// Latency is how fast engines have been of late.
+	Latency predict.LatencyModel
 }
 
 // Weights of the costs, against that of a late answer. What takes an engine's time is measured by the time that callers expect
@@ -68,16 +68,16 @@
 )
 
 // Estimate is the expected time to the first event at a candidate.
-func Estimate(q Question, c Candidate) time.Duration {
-	return c.FetchTime + q.Speed.Time(c.Reading+c.Missing)
+func Estimate(q Request, c Candidate) time.Duration {
+	return c.FetchTime + q.Latency.Predict(c.QueuedPrefillTokens+c.PrefillTokens)
 }
 
 // Cost is what a candidate costs; the least is chosen.
-func Cost(q Question, c Candidate) float64 {
+func Cost(q Request, c Candidate) float64 {
 	cost := costTie * float64(c.Running)
 	if q.Tokens > 0 {
-		cost += costAgain * share(time.Duration(c.Again)*q.Speed.PerToken, q.Target)
-		cost += costLate*lateness(Estimate(q, c), q.Target) + costFull*overfull(q, c) + costDistance*c.Distance
+		cost += costAgain * share(time.Duration(c.RecomputedTokens)*q.Latency.PerToken, q.Target)
+		cost += costLate*lateness(Estimate(q, c), q.Target) + costFull*overfull(q, c) + costDistance*c.HashDistance
 	} else if c.Slots > 0 {
 		full := float64(c.Running+1) / float64(c.Slots)
 		cost += costLate * full * full / 2
@@ -85,11 +85,11 @@
 	if c.OtherZone {
 		cost += costOtherZone
 	}
-	if c.Old {
+	if c.OldWeights {
 		cost += costOld
 	}
-	cost += costFailure * c.FailureShare
-	if c.Avoid {
+	cost += costFailure * c.FailureRate
+	if c.Avoided {
 		cost += costAvoid
 	}
 	if c.Tried {
@@ -99,11 +99,11 @@
 }
 
 // overfull is the part of a candidate's memory that the request lacks there.
-func overfull(q Question, c Candidate) float64 {
+func overfull(q Request, c Candidate) float64 {
 	if c.Capacity <= 0 {
 		return 0
 	}
-	return max(0, float64(c.Held+q.Tokens-c.Capacity)/float64(c.Capacity))
+	return max(0, float64(c.UsedTokens+q.Tokens-c.Capacity)/float64(c.Capacity))
 }
 
 // lateness is how likely an answer is late: nothing up to a third of the target, certain at half more than the target.
@@ -133,7 +133,7 @@
 
 // Choose returns the candidate of the least cost, an index of -1 where there is none. Ties go to the one that comes first
 // from the given offset, so that several entries do not all take the same.
-func Choose(q Question, candidates []Candidate, offset int) Choice {
+func Choose(q Request, candidates []Candidate, offset int) Choice {
 	best := Choice{Index: -1}
 	for k := range candidates {
 		i := (k + offset) % len(candidates)
--- a/predict/first_token.go
+++ b/predict/first_token.go
@@ -21,14 +21,14 @@
 	mostWait = 10 * time.Second
 )
 
-// FirstToken predicts the time to a prompt's first token from the tokens that its engine reads until then: the weighted least
+// TTFTEstimator predicts the time to a prompt's first token from the tokens that its engine reads until then: the weighted least
 // squares of a line, in which older requests count less. Its zero value has the prior alone.
-type FirstToken struct {
+type TTFTEstimator struct {
 	weight, x, y, xx, xy float64
 }
 
 // Observe learns from one request that had its first token after the wait, for which its engine had the tokens to read.
-func (f *FirstToken) Observe(tokens int, wait time.Duration) {
+func (f *TTFTEstimator) Observe(tokens int, wait time.Duration) {
 	if tokens < 0 || wait <= 0 || wait > mostWait {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // start takes the prior for observations: two kinds of prompts, whose times lie on its line.
-func (f *FirstToken) start() {
+func (f *TTFTEstimator) start() {
 	if f.weight > 0 {
 		return
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// Speed is what has been learned: the time for each token that is read, and the time beside that.
-func (f *FirstToken) Speed() Speed {
+// Model is what has been learned: the time for each token that is read, and the time beside that.
+func (f *TTFTEstimator) Model() LatencyModel {
 	if f.weight <= 0 {
 		return Prior()
 	}
@@ -68,19 +68,19 @@
 	}
 	perToken = min(max(perToken, float64(leastPerToken)), float64(mostPerToken))
 	base := (f.y - perToken*f.x) / f.weight
-	return Speed{PerToken: time.Duration(perToken), Base: time.Duration(min(max(base, 0), float64(mostBase)))}
+	return LatencyModel{PerToken: time.Duration(perToken), Base: time.Duration(min(max(base, 0), float64(mostBase)))}
 }
 
 // Prior is the speed that is taken while nothing has been observed.
-func Prior() Speed { return Speed{PerToken: priorPerToken, Base: priorBase} }
+func Prior() LatencyModel { return LatencyModel{PerToken: priorPerToken, Base: priorBase} }
 
-// Speed is how fast engines come to a prompt's first token.
-type Speed struct {
+// LatencyModel is how fast engines come to a prompt's first token.
+type LatencyModel struct {
 	PerToken time.Duration
 	Base     time.Duration
 }
 
-// Time is how long it takes to read the tokens and to make the first one.
-func (s Speed) Time(tokens int) time.Duration {
+// Predict is how long it takes to read the tokens and to make the first one.
+func (s LatencyModel) Predict(tokens int) time.Duration {
 	return s.Base + time.Duration(tokens)*s.PerToken
 }
--- a/predict/usual.go
+++ b/predict/usual.go
@@ -9,15 +9,15 @@
 	deviationGain = 1.0 / 16
 )
 
-// Usual learns how long requests of one kind take; its zero value knows nothing.
-type Usual struct {
+// DurationEstimator learns how long requests of one kind take; its zero value knows nothing.
+type DurationEstimator struct {
 	samples   int
 	mean      time.Duration
 	deviation time.Duration
 }
 
-// Add takes the time of one request that was served.
-func (u *Usual) Add(took time.Duration) {
+// Observe takes the time of one request that was served.
+func (u *DurationEstimator) Observe(took time.Duration) {
 	u.samples++
 	off := took - u.mean
 	// The first values count alike, and the first one's deviation is itself: little is sure while little is known.
@@ -25,7 +25,7 @@
 	u.deviation += time.Duration(max(deviationGain, 1/float64(u.samples)) * float64(off.Abs()-u.deviation))
 }
 
-// Time is the mean and as many mean deviations, zero while no request is known.
-func (u *Usual) Time(deviations int) time.Duration {
+// UpperBound is the mean and as many mean deviations, zero while no request is known.
+func (u *DurationEstimator) UpperBound(deviations int) time.Duration {
 	return u.mean + time.Duration(deviations)*u.deviation
 }
--- a/predict/usual_test.go
+++ b/predict/usual_test.go
@@ -10,34 +10,34 @@
 
 func TestUsual(t *testing.T) {
 	t.Run("nothing is said of a kind that is not known", func(t *testing.T) {
-		var u Usual
-		assert.Zero(t, u.Time(4))
+		var u DurationEstimator
+		assert.Zero(t, u.UpperBound(4))
 	})
 	t.Run("little is sure while little is known", func(t *testing.T) {
-		var u Usual
-		u.Add(time.Second)
-		assert.Equal(t, 2*time.Second, u.Time(1))
-		assert.Equal(t, 5*time.Second, u.Time(4))
+		var u DurationEstimator
+		u.Observe(time.Second)
+		assert.Equal(t, 2*time.Second, u.UpperBound(1))
+		assert.Equal(t, 5*time.Second, u.UpperBound(4))
 	})
 	t.Run("times that are alike are usual themselves", func(t *testing.T) {
-		var u Usual
+		var u DurationEstimator
 		for range 100 {
-			u.Add(time.Second)
+			u.Observe(time.Second)
 		}
-		assert.InDelta(t, time.Second, u.Time(0), float64(time.Millisecond))
+		assert.InDelta(t, time.Second, u.UpperBound(0), float64(time.Millisecond))
 	})
 	// shareWithin is the share of times, most short and some long, that stay within what was usual before them.
 	shareWithin := func(deviations int) float64 {
-		var u Usual
+		var u DurationEstimator
 		random := rand.New(rand.NewPCG(1, 1))
 		within := 0
 		const all = 4000
 		for range all {
 			took := time.Duration(random.ExpFloat64() * float64(time.Second))
-			if took <= u.Time(deviations) {
+			if took <= u.UpperBound(deviations) {
 				within++
 			}
-			u.Add(took)
+			u.Observe(took)
 		}
 		return float64(within) / all
 	}
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -97,7 +97,7 @@
 		q.startNow(now, item)
 		return Decision{Verdict: Started}
 	}
-	wait := q.Wait(item.Account)
+	wait := q.EstimateWait(item.Account)
 	if q.waiting >= q.MaxWaiting {
 		return Decision{Verdict: Refused, Reason: rillreach.ReasonOverload, RetryAfter: max(wait, minRetryAfter), Wait: wait}
 	}
@@ -140,9 +140,9 @@
 	q.closed = true
 }
 
-// Wait estimates how long a new item of the account would wait: what its own account has waiting is before it, and of
+// EstimateWait estimates how long a new item of the account would wait: what its own account has waiting is before it, and of
 // every other account as much as fits into an equal part.
-func (q *Queue) Wait(account rillreach.AccountID) time.Duration {
+func (q *Queue) EstimateWait(account rillreach.AccountID) time.Duration {
 	if len(q.running) < q.Slots && q.waiting == 0 {
 		return 0
 	}
