--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -13,58 +13,58 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func TestRoom(t *testing.T) {
-	t.Run("what fits beside the running requests is admitted", func(t *testing.T) {
+func TestEngineStateAdmits(t *testing.T) {
+	t.Run("a request that fits beside the running ones is admitted", func(t *testing.T) {
 		assert.True(t, EngineState{Capacity: 1000, Used: 500}.Admits(250))
 		assert.False(t, EngineState{Capacity: 1000, Used: 500}.Admits(251))
 	})
-	t.Run("what was sent since the report counts, for each entry that sends", func(t *testing.T) {
+	t.Run("requests sent since the report count once per sending entry", func(t *testing.T) {
 		assert.True(t, EngineState{Capacity: 1000, Used: 100, SentSinceReport: 100, Senders: 4}.Admits(250))
 		assert.False(t, EngineState{Capacity: 1000, Used: 100, SentSinceReport: 100, Senders: 5}.Admits(250))
 	})
-	t.Run("what waits at the engine counts as well", func(t *testing.T) {
+	t.Run("requests queued at the engine count", func(t *testing.T) {
 		assert.True(t, EngineState{Capacity: 1000, Used: 400, Queued: 100}.Admits(250))
 		assert.False(t, EngineState{Capacity: 1000, Used: 400, Queued: 101}.Admits(250))
 	})
-	t.Run("nothing is admitted where enough is to be read already", func(t *testing.T) {
-		assert.True(t, EngineState{Capacity: 1000, Used: 1, PendingPrefill: mostAhead}.Admits(1))
-		assert.False(t, EngineState{Capacity: 1000, Used: 1, PendingPrefill: mostAhead + 1}.Admits(1))
+	t.Run("an engine with too much queued prefill work admits nothing", func(t *testing.T) {
+		assert.True(t, EngineState{Capacity: 1000, Used: 1, PendingPrefill: maxPendingPrefill}.Admits(1))
+		assert.False(t, EngineState{Capacity: 1000, Used: 1, PendingPrefill: maxPendingPrefill + 1}.Admits(1))
 	})
-	t.Run("a prompt of more than half of that may fill the memory", func(t *testing.T) {
+	t.Run("a prompt larger than half of the memory limit may fill the memory", func(t *testing.T) {
 		assert.False(t, EngineState{Capacity: 1000, Used: 376}.Admits(375))
 		assert.True(t, EngineState{Capacity: 1000, Used: 600}.Admits(400))
 		assert.True(t, EngineState{Capacity: 1000, Used: 100}.Admits(900))
 		assert.False(t, EngineState{Capacity: 1000, Used: 101}.Admits(900))
 	})
-	t.Run("an engine that does nothing admits a request of any size", func(t *testing.T) {
+	t.Run("an engine without requests admits a request of any size", func(t *testing.T) {
 		assert.True(t, EngineState{Capacity: 1000}.Admits(5000))
 	})
-	t.Run("memory of unknown size doesn't count", func(t *testing.T) {
+	t.Run("memory of unknown size is not limited", func(t *testing.T) {
 		assert.True(t, EngineState{Used: 5000}.Admits(5000))
 	})
 }
 
 func TestOrder(t *testing.T) {
 	now := at(10 * time.Second)
-	soon := Request{Arrived: at(9 * time.Second), TargetTime: at(11 * time.Second)}
-	later := Request{Arrived: at(8 * time.Second), TargetTime: at(12 * time.Second)}
-	late := Request{Arrived: at(time.Second), TargetTime: at(2 * time.Second)}
-	later2 := Request{Arrived: at(3 * time.Second), TargetTime: at(4 * time.Second)}
-	begun := Request{Arrived: at(0), TargetTime: at(time.Second), AnswerStarted: true}
-	list := []Request{later2, late, later, soon, begun}
+	onTimeFirst := Request{Arrived: at(9 * time.Second), TargetTime: at(11 * time.Second)}
+	onTimeSecond := Request{Arrived: at(8 * time.Second), TargetTime: at(12 * time.Second)}
+	lateFirst := Request{Arrived: at(time.Second), TargetTime: at(2 * time.Second)}
+	lateSecond := Request{Arrived: at(3 * time.Second), TargetTime: at(4 * time.Second)}
+	started := Request{Arrived: at(0), TargetTime: at(time.Second), AnswerStarted: true}
+	list := []Request{lateSecond, lateFirst, onTimeSecond, onTimeFirst, started}
 	slices.SortFunc(list, func(a, b Request) int { return Compare(a, b, now) })
-	assert.Equal(t, []Request{begun, soon, later, late, later2}, list)
+	assert.Equal(t, []Request{started, onTimeFirst, onTimeSecond, lateFirst, lateSecond}, list)
 }
 
-// TestOrderIsTotal: sorting needs an order that doesn't contradict itself.
-func TestOrderIsTotal(t *testing.T) {
+// TestOrderContradictsItself guards against an order that is not antisymmetric or not transitive, which breaks sorting.
+func TestOrderContradictsItself(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		drawn := func(name string) Request {
+		draw := func(name string) Request {
 			arrived := at(time.Duration(rapid.IntRange(0, 5).Draw(t, name+" arrived")) * time.Second)
-			return Request{Arrived: arrived, TargetTime: arrived.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, name+" target")) * time.Second), AnswerStarted: rapid.Bool().Draw(t, name+" begun")}
+			return Request{Arrived: arrived, TargetTime: arrived.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, name+" target")) * time.Second), AnswerStarted: rapid.Bool().Draw(t, name+" answer started")}
 		}
 		now := at(4 * time.Second)
-		a, b, c := drawn("a"), drawn("b"), drawn("c")
+		a, b, c := draw("a"), draw("b"), draw("c")
 		assert.Equal(t, Compare(a, b, now), -Compare(b, a, now))
 		if Compare(a, b, now) <= 0 && Compare(b, c, now) <= 0 {
 			assert.LessOrEqual(t, Compare(a, c, now), 0)
@@ -72,64 +72,64 @@
 	})
 }
 
-func TestLost(t *testing.T) {
+func TestMissesDeadline(t *testing.T) {
 	r := Request{Deadline: at(2 * time.Second), ExpectedTTFT: 100 * time.Millisecond}
 	assert.False(t, r.MissesDeadline(at(1900*time.Millisecond)))
 	assert.True(t, r.MissesDeadline(at(1901*time.Millisecond)))
 }
 
 func TestIdle(t *testing.T) {
-	assert.True(t, EngineState{Capacity: 1000, Used: 500, PendingPrefill: idleAhead}.Idle(), "it answers, and reads nothing")
-	assert.False(t, EngineState{Capacity: 1000, PendingPrefill: idleAhead + 1}.Idle())
+	assert.True(t, EngineState{Capacity: 1000, Used: 500, PendingPrefill: maxIdlePrefill}.Idle(), "memory in use but no prefill work")
+	assert.False(t, EngineState{Capacity: 1000, PendingPrefill: maxIdlePrefill + 1}.Idle())
 }
 
-func TestStanding(t *testing.T) {
+func TestStandingQueueShedding(t *testing.T) {
 	r := Request{Arrived: at(0), TargetTime: at(500 * time.Millisecond), ExpectedTTFT: 200 * time.Millisecond}
-	const late = 301 * time.Millisecond
-	var s StandingQueue
-	s.Observe(at(-time.Second), true)
-	t.Run("one that can't be in time is doomed where others have waited for longer than it may", func(t *testing.T) {
-		assert.True(t, s.ShouldShed(at(late), r, 0))
-		assert.True(t, s.ShouldShed(at(0), r, late), "those before it keep it for too long")
-		assert.False(t, s.ShouldShed(at(0), r, late-time.Millisecond))
+	const tooLate = 301 * time.Millisecond
+	var q StandingQueue
+	q.Observe(at(-time.Second), true)
+	t.Run("a request that misses its target is shed once the queue has stood for its target duration", func(t *testing.T) {
+		assert.True(t, q.ShouldShed(at(tooLate), r, 0))
+		assert.True(t, q.ShouldShed(at(0), r, tooLate), "the requests ahead of it take too long")
+		assert.False(t, q.ShouldShed(at(0), r, tooLate-time.Millisecond))
 	})
-	t.Run("one whose answer has begun is not", func(t *testing.T) {
-		begun := r
-		begun.AnswerStarted = true
-		assert.False(t, s.ShouldShed(at(late), begun, 0))
+	t.Run("a request whose answer has started is not shed", func(t *testing.T) {
+		started := r
+		started.AnswerStarted = true
+		assert.False(t, q.ShouldShed(at(tooLate), started, 0))
 	})
-	t.Run("nor any in a short burst", func(t *testing.T) {
-		s.Observe(at(0), false)
-		s.Observe(at(0), true)
-		assert.False(t, s.ShouldShed(at(late), r, 0))
-		assert.Equal(t, late, s.Age(at(late)))
+	t.Run("a short burst sheds nothing", func(t *testing.T) {
+		q.Observe(at(0), false)
+		q.Observe(at(0), true)
+		assert.False(t, q.ShouldShed(at(tooLate), r, 0))
+		assert.Equal(t, tooLate, q.Age(at(tooLate)))
 	})
-	t.Run("nor where nobody waits", func(t *testing.T) {
-		s.Observe(at(0), false)
-		assert.Zero(t, s.Age(at(late)))
-		assert.False(t, s.ShouldShed(at(late), r, 0))
+	t.Run("nothing is shed while the queue is empty", func(t *testing.T) {
+		q.Observe(at(0), false)
+		assert.Zero(t, q.Age(at(tooLate)))
+		assert.False(t, q.ShouldShed(at(tooLate), r, 0))
 	})
 }
 
-func TestBacklog(t *testing.T) {
-	t.Run("nothing is said before anything was admitted", func(t *testing.T) {
-		var b RateEstimator
-		_, known := b.EstimateWait(start, 1000)
+func TestRateEstimator(t *testing.T) {
+	t.Run("there is no estimate before the first admission", func(t *testing.T) {
+		var e RateEstimator
+		_, known := e.EstimateWait(start, 1000)
 		assert.False(t, known)
 	})
-	t.Run("a steady rate is found", func(t *testing.T) {
-		var b RateEstimator
+	t.Run("a steady rate is measured", func(t *testing.T) {
+		var e RateEstimator
 		for i := range 1000 {
-			b.Record(at(time.Duration(i)*10*time.Millisecond), 100)
+			e.Record(at(time.Duration(i)*10*time.Millisecond), 100)
 		}
-		wait, known := b.EstimateWait(at(10*time.Second), 20000)
+		wait, known := e.EstimateWait(at(10*time.Second), 20000)
 		assert.True(t, known)
 		assert.InDelta(t, 2, wait.Seconds(), 0.1)
 	})
 	t.Run("an old rate is forgotten", func(t *testing.T) {
-		var b RateEstimator
-		b.Record(start, 1000)
-		_, known := b.EstimateWait(at(rateMemory), 1000)
+		var e RateEstimator
+		e.Record(start, 1000)
+		_, known := e.EstimateWait(at(rateWindow), 1000)
 		assert.False(t, known)
 	})
 }
@@ -137,6 +137,6 @@
 func TestRetryAfter(t *testing.T) {
 	assert.Equal(t, time.Second, RetryAfter(2*time.Second, 0))
 	assert.Equal(t, 2*time.Second, RetryAfter(2*time.Second, 0.5))
-	assert.Equal(t, leastRetry, RetryAfter(0, 0.5))
-	assert.Equal(t, mostRetry, RetryAfter(time.Hour, 0.5))
+	assert.Equal(t, minRetryAfter, RetryAfter(0, 0.5))
+	assert.Equal(t, maxRetryAfter, RetryAfter(time.Hour, 0.5))
 }
--- a/admission/backlog.go
+++ b/admission/backlog.go
@@ -3,49 +3,52 @@
 import "time"
 
 const (
-	// rateMemory is how long an observed rate of admissions counts: some ten requests of each entry, and less than an overload
-	// takes to pass.
-	rateMemory = 3 * time.Second
-	// leastRetry and mostRetry bound when a refused caller is asked to come back.
-	leastRetry = 50 * time.Millisecond
-	mostRetry  = 5 * time.Second
-	// retrySpread is the part of the time to come back by which callers are spread, so that they don't come back together.
-	retrySpread = 0.5
+	// rateWindow is the time after which an observed admission no longer counts. It covers about ten requests of each
+	// entry and is shorter than a typical overload.
+	rateWindow = 3 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refused caller is given.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// retryJitter is the fraction by which a retry delay is varied in both directions, so that refused callers do not
+	// all retry at the same time.
+	retryJitter = 0.5
 )
 
-// RateEstimator observes how fast waiting requests are admitted; its zero value has seen nothing.
+// RateEstimator estimates the rate at which waiting requests are admitted, in tokens per second. The zero value has no
+// observations.
 type RateEstimator struct {
-	rate float64
-	at   time.Time
+	tokensPerSecond float64
+	lastUpdate      time.Time
 }
 
-// Record records that a waiting request was admitted.
-func (b *RateEstimator) Record(now time.Time, tokens int) {
-	b.decay(now)
-	b.rate += float64(tokens) / rateMemory.Seconds()
+// Record adds the admission of a waiting request that takes the given number of tokens.
+func (e *RateEstimator) Record(now time.Time, tokens int) {
+	e.decay(now)
+	e.tokensPerSecond += float64(tokens) / rateWindow.Seconds()
 }
 
-// decay takes away what was observed too long ago.
-func (b *RateEstimator) decay(now time.Time) {
-	if !b.at.IsZero() {
-		passed := max(now.Sub(b.at), 0)
-		b.rate *= max(0, 1-passed.Seconds()/rateMemory.Seconds())
+// decay reduces the rate in proportion to the time since the last update, to zero after rateWindow.
+func (e *RateEstimator) decay(now time.Time) {
+	if !e.lastUpdate.IsZero() {
+		elapsed := max(now.Sub(e.lastUpdate), 0)
+		e.tokensPerSecond *= max(0, 1-elapsed.Seconds()/rateWindow.Seconds())
 	}
-	b.at = now
+	e.lastUpdate = now
 }
 
-// EstimateWait is how long the tokens that wait before a request take to be admitted; it reports whether enough was seen to say so.
-func (b *RateEstimator) EstimateWait(now time.Time, tokens int) (time.Duration, bool) {
-	b.decay(now)
-	if b.rate < 1 {
+// EstimateWait returns how long it takes to admit the given number of tokens. The second result is false if too few
+// admissions were observed for an estimate.
+func (e *RateEstimator) EstimateWait(now time.Time, tokens int) (time.Duration, bool) {
+	e.decay(now)
+	if e.tokensPerSecond < 1 {
 		return 0, false
 	}
-	return time.Duration(float64(tokens) / b.rate * float64(time.Second)), true
+	return time.Duration(float64(tokens) / e.tokensPerSecond * float64(time.Second)), true
 }
 
-// RetryAfter is when a refused caller should come back: when what waits now is gone, spread over a half to one and a half of that
-// by a draw from 0 to 1.
-func RetryAfter(wait time.Duration, draw float64) time.Duration {
-	spread := 1 - retrySpread + 2*retrySpread*draw
-	return min(max(time.Duration(float64(wait)*spread), leastRetry), mostRetry)
+// RetryAfter returns the retry delay for a refused caller: the time until the requests that wait now are admitted,
+// scaled by a factor from 0.5 to 1.5 according to random, which is between 0 and 1.
+func RetryAfter(wait time.Duration, random float64) time.Duration {
+	factor := 1 - retryJitter + 2*retryJitter*random
+	return min(max(time.Duration(float64(wait)*factor), minRetryAfter), maxRetryAfter)
 }
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,8 +1,8 @@
-// Package admission decides when a request may go to a model engine, in which order requests wait for that, and which of them
-// are refused because their first token would come too late. It is without I/O and without a clock.
+// Package admission decides when a request may be sent to a model engine, in which order requests wait, and which
+// requests are shed because their first token would come too late. It does no I/O and does not read the clock.
 //
-// It answers one load pattern: prompts come faster than engines give memory back, as after new weights or the loss of a part of
-// the engines. A request that is sent regardless waits in the engine's own queue, where the engine's memory is full, so that the
-// parts that it fetches find no room and are read once more; that work keeps the memory full after the cause has gone. Here the
-// request waits at the entry, where it can still go to any engine, be overtaken, or be refused.
+// It handles one load pattern: prompts arrive faster than engines free KV cache memory, for example after a weight
+// update or the loss of some engines. A request that is sent anyway waits in the queue of an engine whose memory is
+// full. The prompt parts fetched for it then do not fit and are recomputed, and that work keeps the memory full after
+// the cause is gone. A request that waits at the entry instead can still go to any engine, be overtaken or be refused.
 package admission
--- a/admission/order.go
+++ b/admission/order.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// Request is what is known of a request that waits.
+// Request describes a waiting request.
 type Request struct {
-	// Arrived is when it came.
+	// Arrived is when the request reached the entry.
 	Arrived time.Time
-	// TargetTime is when its first token is still in time.
+	// TargetTime is the latest time at which the first token meets the latency target.
 	TargetTime time.Time
-	// Deadline is when its caller takes no first token any more.
+	// Deadline is when the caller stops waiting for the first token.
 	Deadline time.Time
-	// ExpectedTTFT is the time from the send to the first token that most requests like this one take.
+	// ExpectedTTFT is the time from send to first token that suffices for most similar requests.
 	ExpectedTTFT time.Duration
-	// Tokens is the memory that it takes.
+	// Tokens is the engine memory that the request takes, in tokens.
 	Tokens int
-	// AnswerStarted says that its caller has a part of the answer already.
+	// AnswerStarted reports whether the caller has already received part of the answer.
 	AnswerStarted bool
 }
 
-// MissesDeadline reports that the first token can't come before the caller has gone.
+// MissesDeadline reports whether the first token of a request sent now is expected after the caller's deadline.
 func (r Request) MissesDeadline(now time.Time) bool {
 	return now.Add(r.ExpectedTTFT).After(r.Deadline)
 }
 
-// MissesTarget reports that the first token won't be in time.
+// MissesTarget reports whether the first token of a request sent now is expected after the target time.
 func (r Request) MissesTarget(now time.Time) bool {
 	return now.Add(r.ExpectedTTFT).After(r.TargetTime)
 }
 
-// Deprioritized reports that others go before the request wherever they can, since it is late and its caller has nothing of the answer yet.
+// Deprioritized reports whether other requests go first because this one misses its target and its answer has not
+// started.
 func (r Request) Deprioritized(now time.Time) bool {
 	return !r.AnswerStarted && r.MissesTarget(now)
 }
 
-// Compare orders requests by which goes first, negative where that is a: answers that have begun, then those that can be in time
-// by when they are due, then the late ones by when they came. A late one before others would make these late, too.
+// Compare orders requests for admission and returns a negative number if a goes before b. Requests whose answer has
+// started go first, then requests that can meet their target by target time, then the rest by arrival. A request that
+// misses its target goes last because it would delay others past theirs.
 func Compare(a, b Request, now time.Time) int {
 	if a.AnswerStarted != b.AnswerStarted {
-		return first(a.AnswerStarted)
+		return trueFirst(a.AnswerStarted)
 	}
-	aLate, bLate := a.MissesTarget(now), b.MissesTarget(now)
-	if aLate != bLate {
-		return first(bLate)
+	aMisses, bMisses := a.MissesTarget(now), b.MissesTarget(now)
+	if aMisses != bMisses {
+		return trueFirst(bMisses)
 	}
-	if aLate {
+	if aMisses {
 		return a.Arrived.Compare(b.Arrived)
 	}
 	return cmp.Or(a.TargetTime.Compare(b.TargetTime), a.Arrived.Compare(b.Arrived))
 }
 
-// first is the result of a comparison that puts a first where that is so, else last.
-func first(a bool) int {
-	if a {
+// trueFirst returns -1 if the condition is true and 1 otherwise, to order the element that meets it first.
+func trueFirst(condition bool) int {
+	if condition {
 		return -1
 	}
 	return 1
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -10,165 +10,167 @@
 	"github.com/rillreach/rillreach/predict"
 )
 
-// The loads that are replayed: new weights, so that no prompt's parts are cached, and for some time more prompts than the engines read, 72 a
-// second: half as many again.
+// The replayed load: after a weight update no prompt part is cached, and for ten seconds prompts arrive at 1.5 times
+// the rate at which the engines can process them, which is 72 per second.
 const (
-	coldTokens     = 5000
-	coldTarget     = 500 * time.Millisecond
-	coldPatience   = 4 * time.Second
-	coldAnswer     = 200 * time.Millisecond
-	calmPerSecond  = 40
-	burstPerSecond = 108
-	loadFrom       = 2 * time.Second
-	loadUntil      = 12 * time.Second
-	coldEnd        = 16 * time.Second
+	overloadPromptTokens = 5000
+	overloadTarget       = 500 * time.Millisecond
+	overloadTimeout      = 4 * time.Second
+	overloadAnswerTime   = 200 * time.Millisecond
+	baseArrivalRate      = 40
+	overloadArrivalRate  = 108
+	overloadStart        = 2 * time.Second
+	overloadEnd          = 12 * time.Second
+	overloadReplayEnd    = 16 * time.Second
 )
 
-// burst is how many prompts come in a second.
-func burst(d time.Duration) int {
-	if d < loadFrom || d >= loadUntil {
-		return calmPerSecond
+// arrivalRate returns the number of prompts per second at the given time of the replay.
+func arrivalRate(d time.Duration) int {
+	if d < overloadStart || d >= overloadEnd {
+		return baseArrivalRate
 	}
-	return burstPerSecond
+	return overloadArrivalRate
 }
 
-// overloadPolicy is what the replay varies.
+// overloadPolicy holds the admission settings that the test compares.
 type overloadPolicy struct {
-	// learnNeed has requests need what those before them took; else it is the least.
-	learnNeed bool
-	// shed refuses requests that a lasting backlog dooms.
+	// learnTTFT predicts the time to first token from earlier requests; otherwise the fixed minimum is used.
+	learnTTFT bool
+	// shed refuses requests according to StandingQueue.ShouldShed.
 	shed bool
 }
 
-// overload is a replay under way.
-type overload struct {
-	policy   overloadPolicy
-	engines  []*engine
-	line     []*prompt
-	sent     map[*prompt]time.Time
-	usual    predict.DurationEstimator
-	refused  int
-	standing StandingQueue
-	backlog  RateEstimator
+// overloadReplay is the state of a running replay.
+type overloadReplay struct {
+	policy        overloadPolicy
+	engines       []*engine
+	waiting       []*prompt
+	sent          map[*prompt]time.Time
+	ttft          predict.DurationEstimator
+	shedCount     int
+	standingQueue StandingQueue
+	admissionRate RateEstimator
 }
 
-// replayOverload plays a load, and gives the prompts in the order of their arrival and how many were refused.
-func replayOverload(policy overloadPolicy) (all []*prompt, refused int) {
-	o := &overload{policy: policy, sent: map[*prompt]time.Time{}}
-	for range engines {
+// replayOverload replays the load and returns the prompts in order of arrival and the number of prompts shed.
+func replayOverload(policy overloadPolicy) (all []*prompt, shedCount int) {
+	o := &overloadReplay{policy: policy, sent: map[*prompt]time.Time{}}
+	for range engineCount {
 		o.engines = append(o.engines, &engine{})
 	}
-	due := 0.0
-	for d := time.Duration(0); d < coldEnd; d += tick {
+	dueArrivals := 0.0
+	for d := time.Duration(0); d < overloadReplayEnd; d += tick {
 		now := at(d)
-		for due += float64(burst(d)) * tick.Seconds(); due >= 1; due-- {
-			p := &prompt{Request: Request{Arrived: now, TargetTime: now.Add(coldTarget), Deadline: now.Add(coldPatience), ExpectedTTFT: o.need(), Tokens: coldTokens}}
+		for dueArrivals += float64(arrivalRate(d)) * tick.Seconds(); dueArrivals >= 1; dueArrivals-- {
+			p := &prompt{Request: Request{Arrived: now, TargetTime: now.Add(overloadTarget), Deadline: now.Add(overloadTimeout), ExpectedTTFT: o.expectedTTFT(), Tokens: overloadPromptTokens}}
 			all = append(all, p)
-			o.line = append(o.line, p)
+			o.waiting = append(o.waiting, p)
 		}
-		if d%reportEvery == 0 {
+		if d%reportInterval == 0 {
 			for _, e := range o.engines {
 				e.report()
 			}
 		}
-		o.look(now)
+		o.schedule(now)
 		for _, e := range o.engines {
-			e.stepFor(now, coldAnswer)
+			e.stepWithAnswerTime(now, overloadAnswerTime)
 		}
-		o.observe(now)
+		o.observeFirstTokens(now)
 	}
-	return all, o.refused
+	return all, o.shedCount
 }
 
-// need is the time to the first token that a request is taken to need.
-func (o *overload) need() time.Duration {
-	const least = 50 * time.Millisecond
-	if !o.policy.learnNeed {
-		return least
+// expectedTTFT returns the predicted time from send to first token.
+func (o *overloadReplay) expectedTTFT() time.Duration {
+	const minTTFT = 50 * time.Millisecond
+	if !o.policy.learnTTFT {
+		return minTTFT
 	}
-	return max(least, o.usual.UpperBound(1))
+	return max(minTTFT, o.ttft.UpperBound(1))
 }
 
-// observe learns from first tokens.
-func (o *overload) observe(now time.Time) {
+// observeFirstTokens updates the TTFT estimate from the prompts that now have their first token.
+func (o *overloadReplay) observeFirstTokens(now time.Time) {
 	for p, sent := range o.sent {
-		if !p.first.IsZero() {
-			o.usual.Observe(now.Sub(sent))
+		if !p.firstTokenAt.IsZero() {
+			o.ttft.Observe(now.Sub(sent))
 			delete(o.sent, p)
 		}
 	}
 }
 
-// look admits or refuses those that wait.
-func (o *overload) look(now time.Time) {
-	slices.SortStableFunc(o.line, func(a, b *prompt) int { return Compare(a.Request, b.Request, now) })
-	before := 0
-	o.line = slices.DeleteFunc(o.line, func(p *prompt) bool {
-		done := p.MissesDeadline(now) || o.admit(p, now) || o.refuse(p, before, now)
+// schedule admits or sheds waiting prompts and drops those that miss their deadline.
+func (o *overloadReplay) schedule(now time.Time) {
+	slices.SortStableFunc(o.waiting, func(a, b *prompt) int { return Compare(a.Request, b.Request, now) })
+	tokensAhead := 0
+	o.waiting = slices.DeleteFunc(o.waiting, func(p *prompt) bool {
+		done := p.MissesDeadline(now) || o.admit(p, now) || o.shedIfNeeded(p, tokensAhead, now)
 		if !done {
-			before += p.Tokens
+			tokensAhead += p.Tokens
 		}
 		return done
 	})
-	o.standing.Observe(now, slices.ContainsFunc(o.line, func(p *prompt) bool { return !p.MissesTarget(now) }))
+	o.standingQueue.Observe(now, slices.ContainsFunc(o.waiting, func(p *prompt) bool { return !p.MissesTarget(now) }))
 }
 
-// admit sends a prompt to the engine with the least to read, if that has room; it reports whether it did.
-func (o *overload) admit(p *prompt, now time.Time) bool {
+// admit sends a prompt to the engine with the least prefill work if that engine admits it, and reports whether it did.
+func (o *overloadReplay) admit(p *prompt, now time.Time) bool {
 	best := slices.MinFunc(o.engines, func(a, b *engine) int { return int(a.reported.PendingPrefill - b.reported.PendingPrefill) })
 	if !best.reported.Admits(p.Tokens) || p.MissesTarget(now) && !best.reported.Idle() {
 		return false
 	}
 	best.waiting = append(best.waiting, p)
 	best.reported.SentSinceReport += p.Tokens
-	best.reported.PendingPrefill += time.Duration(p.Tokens/readPerTick) * tick
+	best.reported.PendingPrefill += time.Duration(p.Tokens/prefillPerTick) * tick
 	o.sent[p] = now
-	o.backlog.Record(now, p.Tokens)
+	o.admissionRate.Record(now, p.Tokens)
 	return true
 }
 
-// refuse refuses a prompt that a lasting backlog dooms; it reports whether it did.
-func (o *overload) refuse(p *prompt, before int, now time.Time) bool {
-	wait, known := o.backlog.EstimateWait(now, before)
-	if !o.policy.shed || !known || !o.standing.ShouldShed(now, p.Request, wait) {
+// shedIfNeeded sheds a prompt if the policy and the standing queue call for it, and reports whether it did.
+func (o *overloadReplay) shedIfNeeded(p *prompt, tokensAhead int, now time.Time) bool {
+	wait, known := o.admissionRate.EstimateWait(now, tokensAhead)
+	if !o.policy.shed || !known || !o.standingQueue.ShouldShed(now, p.Request, wait) {
 		return false
 	}
-	o.refused++
+	o.shedCount++
 	return true
 }
 
-// shareInTime is the share of the prompts that came in the span and had their first token in time.
-func shareInTime(all []*prompt, from, until time.Duration) float64 {
-	inTime, count := 0.0, 0.0
+// onTimeShare returns the share of the prompts arriving in the given span whose first token met the target.
+func onTimeShare(all []*prompt, from, until time.Duration) float64 {
+	onTime, count := 0.0, 0.0
 	for _, p := range all {
 		if p.Arrived.Before(at(from)) || !p.Arrived.Before(at(until)) {
 			continue
 		}
 		count++
-		if !p.first.IsZero() && !p.first.After(p.TargetTime) {
-			inTime++
+		if !p.firstTokenAt.IsZero() && !p.firstTokenAt.After(p.TargetTime) {
+			onTime++
 		}
 	}
-	return inTime / count
+	return onTime / count
 }
 
-// TestLoadBeyondCapacity: engines that read two in three of the prompts that come have about as many in time.
-func TestLoadBeyondCapacity(t *testing.T) {
-	const settled = loadFrom + 2*time.Second
-	chosen := overloadPolicy{learnNeed: true, shed: true}
+// TestOverloadMakesAllRequestsLate guards against an overload in which nearly every request misses its target. That
+// happens if the predicted TTFT is too low: each request waits until it is just too late and is sent only then. Engines
+// that can process two thirds of the prompts should answer about two thirds on time.
+func TestOverloadMakesAllRequestsLate(t *testing.T) {
+	const steadyStart = overloadStart + 2*time.Second
+	policy := overloadPolicy{learnTTFT: true, shed: true}
 	share := func(p overloadPolicy) float64 {
 		all, _ := replayOverload(p)
-		return shareInTime(all, settled, loadUntil)
+		return onTimeShare(all, steadyStart, overloadEnd)
 	}
-	t.Run("requests that go by what those before them took are in time as far as engines can read", func(t *testing.T) {
-		assert.GreaterOrEqual(t, share(chosen), 0.55)
+	t.Run("with a learned TTFT as many requests are on time as the engines can process", func(t *testing.T) {
+		assert.GreaterOrEqual(t, share(policy), 0.55)
 	})
-	t.Run("by the least time each is sent just too late", func(t *testing.T) {
+	t.Run("with the minimum TTFT nearly all requests are sent too late", func(t *testing.T) {
 		assert.Less(t, share(overloadPolicy{shed: true}), 0.1)
 	})
-	t.Run("under a backlog that lasts late ones are refused, and after it all are in time", func(t *testing.T) {
-		all, refused := replayOverload(chosen)
-		assert.Greater(t, refused, len(all)/10)
-		assert.GreaterOrEqual(t, shareInTime(all, loadUntil+time.Second, coldEnd-time.Second), 0.95)
+	t.Run("late requests are shed during the overload and requests after it are on time", func(t *testing.T) {
+		all, shedCount := replayOverload(policy)
+		assert.Greater(t, shedCount, len(all)/10)
+		assert.GreaterOrEqual(t, onTimeShare(all, overloadEnd+time.Second, overloadReplayEnd-time.Second), 0.95)
 	})
 }
--- a/admission/room.go
+++ b/admission/room.go
@@ -2,63 +2,67 @@
 
 import "time"
 
-// fillShare is the part of an engine's memory that admitted requests may take. The rest is for answers, which grow, and for what
-// other entries send between two reports: about one prompt for each engine.
-const fillShare = 0.75
+// maxMemoryShare is the share of an engine's memory that admitted requests may take. The rest is left for answers,
+// which grow, and for requests that other entries send between two load reports, about one prompt per engine.
+const maxMemoryShare = 0.75
 
-// mostAhead is how long an engine may already have to read before it is sent another prompt: for two of the times after which an
-// entry hears of it again, so that it has work until then, and waiting requests can still go elsewhere.
-const mostAhead = 250 * time.Millisecond
+// maxPendingPrefill is the most prefill work an engine may have queued when it is sent another prompt. It is two
+// intervals between load reports: enough to keep the engine busy until the next one, while the requests that wait can
+// still go elsewhere.
+const maxPendingPrefill = 250 * time.Millisecond
 
-// idleAhead is how long an engine may have to read and still count as idle: less than a short prompt takes, for estimates that are a little off.
-const idleAhead = 20 * time.Millisecond
+// maxIdlePrefill is the most prefill work an idle engine may have queued. It allows for small errors of the estimate
+// and is less than a short prompt takes.
+const maxIdlePrefill = 20 * time.Millisecond
 
-// EngineState is what is known of an engine's memory, in tokens, and of its work.
+// EngineState describes the KV cache memory of an engine, in tokens, and its queued prefill work.
 type EngineState struct {
-	// Capacity is the engine's memory; zero means that it isn't known, and doesn't count.
+	// Capacity is the size of the engine's memory. Zero means unknown, which disables the memory limit.
 	Capacity int
-	// Used is what running requests take, Queued what those take that wait at the engine, by its report.
+	// Used is the memory that running requests take, and Queued the memory that requests in the engine's own queue
+	// will take, both according to its last report.
 	Used   int
 	Queued int
-	// SentSinceReport is what this entry's requests take that were sent since the report was made.
+	// SentSinceReport is the memory that requests sent by this entry since that report take.
 	SentSinceReport int
-	// Senders is how many entries are taken to send as much meanwhile: all of them while requests wait, since each sees the same
-	// room come back, and each would fill it.
+	// Senders is the number of entries assumed to have sent as much as this one since the report. It is all entries
+	// while requests wait, because each sees the same memory become free and fills it.
 	Senders int
-	// PendingPrefill is how long the engine reads what it has.
+	// PendingPrefill is the time that the engine needs for the prompt tokens it has not processed yet.
 	PendingPrefill time.Duration
 }
 
-// Admits reports that a request that takes the tokens fits now. An engine that does nothing admits any request, since waiting
-// brings no more room.
-func (r EngineState) Admits(tokens int) bool {
-	taken := r.taken()
-	if r.Capacity <= 0 || taken <= 0 {
+// Admits reports whether a request that takes the given number of tokens fits now. An engine without any requests
+// admits a request of any size, since waiting would not free more memory.
+func (s EngineState) Admits(tokens int) bool {
+	committed := s.committedTokens()
+	if s.Capacity <= 0 || committed <= 0 {
 		return true
 	}
-	return r.PendingPrefill <= mostAhead && float64(taken+tokens) <= r.limit(tokens)
+	return s.PendingPrefill <= maxPendingPrefill && float64(committed+tokens) <= s.memoryLimit(tokens)
 }
 
-// Idle reports that the engine has nothing to read, as far as is known. A request that is late already is sent to such an engine alone: at
-// one that reads, it would keep those that come next from being in time.
-func (r EngineState) Idle() bool { return r.PendingPrefill <= idleAhead }
+// Idle reports whether the engine is known to have no prefill work. A request that misses its target is sent only to an
+// idle engine, since elsewhere it would delay later requests past their targets.
+func (s EngineState) Idle() bool { return s.PendingPrefill <= maxIdlePrefill }
 
-// limit is how much of the memory may be taken with a prompt of the tokens. A large one may fill it: else it would wait for an
-// engine that does nothing, which smaller prompts of other entries keep from it for as long as they come.
-func (r EngineState) limit(tokens int) float64 {
-	most := fillShare * float64(r.Capacity)
-	if float64(tokens) > most/2 {
-		return float64(r.Capacity)
+// memoryLimit returns how much memory may be in use after a prompt of the given size is admitted. A large prompt may
+// fill all of it: otherwise it would have to wait for an engine without requests, and could wait forever while other
+// entries send smaller prompts.
+func (s EngineState) memoryLimit(tokens int) float64 {
+	limit := maxMemoryShare * float64(s.Capacity)
+	if float64(tokens) > limit/2 {
+		return float64(s.Capacity)
 	}
-	return most
+	return limit
 }
 
-// FreeTokens is how many tokens an engine admits beside what it has; it may be negative.
-func (r EngineState) FreeTokens() int {
-	return int(fillShare*float64(r.Capacity)) - r.taken()
+// FreeTokens returns how many more tokens the engine admits. It may be negative.
+func (s EngineState) FreeTokens() int {
+	return int(maxMemoryShare*float64(s.Capacity)) - s.committedTokens()
 }
 
-// taken is what all requests are expected to take.
-func (r EngineState) taken() int {
-	return r.Used + r.Queued + r.SentSinceReport*max(r.Senders, 1)
+// committedTokens returns the memory that all requests known or assumed to be at the engine take.
+func (s EngineState) committedTokens() int {
+	return s.Used + s.Queued + s.SentSinceReport*max(s.Senders, 1)
 }
--- a/admission/standing.go
+++ b/admission/standing.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// StandingQueue detects a backlog that lasts: requests which could be in time have waited without a break, so that those which come later always
-// find others before them. As CoDel does for packets, it asks for how long the queue has not been empty, not for how long it is, so that a
-// short burst turns nobody away. Its zero value has seen none.
+// StandingQueue detects a standing queue: requests that can still meet their target have been waiting without
+// interruption, so every later request finds others ahead of it. Like CoDel for packets, it looks at how long the queue
+// has not been empty rather than at its length, so that a short burst sheds no requests. The zero value has no
+// observations.
 type StandingQueue struct {
-	since time.Time
+	nonEmptySince time.Time
 }
 
-// Observe records whether requests that can be in time wait.
-func (s *StandingQueue) Observe(now time.Time, waiting bool) {
+// Observe records whether any request that can still meet its target is waiting.
+func (q *StandingQueue) Observe(now time.Time, waiting bool) {
 	switch {
 	case !waiting:
-		s.since = time.Time{}
-	case s.since.IsZero():
-		s.since = now
+		q.nonEmptySince = time.Time{}
+	case q.nonEmptySince.IsZero():
+		q.nonEmptySince = now
 	}
 }
 
-// Age is for how long requests have waited without a break.
-func (s *StandingQueue) Age(now time.Time) time.Duration {
-	if s.since.IsZero() {
+// Age returns how long such requests have been waiting without interruption.
+func (q *StandingQueue) Age(now time.Time) time.Duration {
+	if q.nonEmptySince.IsZero() {
 		return 0
 	}
-	return now.Sub(s.since)
+	return now.Sub(q.nonEmptySince)
 }
 
-// ShouldShed reports that a request won't be served: it can't be in time, even if only those before it go first, which takes the given wait, and
-// others that can have come for longer than it may wait for its own first token.
-func (s *StandingQueue) ShouldShed(now time.Time, r Request, wait time.Duration) bool {
-	return r.Deprioritized(now.Add(wait)) && s.Age(now) >= r.TargetTime.Sub(r.Arrived)
+// ShouldShed reports whether to refuse a request. That is the case if it will be deprioritized once the requests ahead
+// of it are admitted, which takes the given wait, and the queue has been standing for at least the time that the
+// request itself has between arrival and target.
+func (q *StandingQueue) ShouldShed(now time.Time, r Request, wait time.Duration) bool {
+	return r.Deprioritized(now.Add(wait)) && q.Age(now) >= r.TargetTime.Sub(r.Arrived)
 }
