--- a/queue/queue.go
+++ b/queue/queue.go
@@ -8,308 +8,323 @@
 )
 
 const (
-	defaultRate   = 2000
-	rateWeight    = 0.1
-	minRate       = 1e-3
+	// defaultRate is the throughput in tokens per second that is assumed until an item has finished.
+	defaultRate = 2000
+	// rateSmoothing is the weight of the newest item in the moving average of the throughput.
+	rateSmoothing = 0.1
+	// minRate keeps the first measurement of the throughput above zero, in tokens per second.
+	minRate = 1e-3
+	// minRetryAfter is the shortest retry delay given while the queue is open.
 	minRetryAfter = 100 * time.Millisecond
-	leavingRetry  = time.Second
-	// credit is how much unused work an account may save up, in tokens, so that a burst of one that uses less than its
-	// part does not wait behind one that always wants more.
-	credit = 8000
-	// maxLines bounds the idle accounts whose use is remembered.
-	maxLines = 4096
+	// closedRetryAfter is the retry delay given once the queue is closed.
+	closedRetryAfter = time.Second
+	// maxCredit is how much unused service an account may accumulate, in tokens, so that a burst of an account that
+	// uses less than its share does not wait behind an account that always asks for more.
+	maxCredit = 8000
+	// maxAccounts is the number of tracked accounts at which idle ones are evicted.
+	maxAccounts = 4096
 )
 
-// Item is one request that waits or runs.
+// Item is a request that waits in the queue or runs.
 type Item struct {
 	// ID is unique within the queue.
 	ID uint64
-	// Account is whose turn the item uses.
+	// Account is the client account that the item is charged to.
 	Account rillreach.AccountID
-	// Cost is the work asked for, in tokens.
+	// Cost is the work that the item asks for, in tokens.
 	Cost float64
-	// Deadline is when the caller gives up; zero means never.
+	// Deadline is when the caller gives up. Zero means never.
 	Deadline time.Time
 }
 
-// Verdict says what became of an item that was offered.
+// Verdict is the outcome of offering an item.
 type Verdict uint8
 
 const (
-	// Started says that the item may run now.
+	// Started means that the item may run now.
 	Started Verdict = iota + 1
-	// Waiting says that the item will be started later.
+	// Waiting means that the item was queued and will start later.
 	Waiting
-	// Refused says that the item was not taken.
+	// Refused means that the item was not accepted.
 	Refused
 )
 
-// Decision is the answer to an offer.
+// Decision is the result of an offer.
 type Decision struct {
-	Verdict    Verdict
+	Verdict Verdict
+	// Reason and RetryAfter are set if the item is refused.
 	Reason     rillreach.Reason
 	RetryAfter time.Duration
-	// Wait is the estimated time until the item starts.
+	// Wait is the estimated time until a waiting item starts, or until a refused item would have started.
 	Wait time.Duration
 }
 
-// Queue holds waiting items and counts running ones; it is not safe for use by several goroutines.
+// Queue holds waiting items and tracks running ones. It is not safe for concurrent use.
 //
-// The order is start-time fair: each item has the virtual time at which its account, had it been served with an equal
-// part of the work, would begin it. An account that has not used its part is before all that have used theirs.
+// Items start in order of start-time fair queueing: the start tag of an item is the virtual time at which it would
+// start if every account received an equal share of the service. An account that has used less than its share goes
+// before those that have used theirs.
 type Queue struct {
-	// Slots is how many items run at once.
+	// Slots is the number of items that may run at the same time.
 	Slots int
-	// MaxWaiting bounds the items that wait.
+	// MaxWaiting is the number of items that may wait.
 	MaxWaiting int
 
-	lines   map[rillreach.AccountID]*line
-	order   []*line
-	running map[uint64]started
-	virtual float64
-	waiting int
-	backlog float64
-	rate    float64
-	closed  bool
+	accounts     map[rillreach.AccountID]*accountQueue
+	active       []*accountQueue
+	running      map[uint64]runningItem
+	virtualTime  float64
+	waitingItems int
+	waitingCost  float64
+	measuredRate float64
+	closed       bool
 }
 
-// line is an account's items in the order in which they came; it is forgotten once its virtual time is over.
-type line struct {
-	account rillreach.AccountID
-	items   []Item
-	cost    float64
-	// begin is the virtual time of the first item, or of the next one to come.
-	begin float64
+// accountQueue holds the waiting items of one account in order of arrival.
+type accountQueue struct {
+	account     rillreach.AccountID
+	items       []Item
+	waitingCost float64
+	// startTag is the virtual start time of the first waiting item, or of the next item if none waits.
+	startTag float64
 }
 
-type started struct {
-	item Item
-	at   time.Time
+type runningItem struct {
+	item      Item
+	startedAt time.Time
 }
 
-// Offer decides on an item that arrives.
+// Offer starts, queues or refuses a new item.
 func (q *Queue) Offer(now time.Time, item Item) Decision {
-	q.ready()
+	q.init()
 	if q.closed {
-		return Decision{Verdict: Refused, Reason: rillreach.ReasonLeaving, RetryAfter: leavingRetry}
+		return Decision{Verdict: Refused, Reason: rillreach.ReasonLeaving, RetryAfter: closedRetryAfter}
 	}
-	if q.waiting == 0 && len(q.running) < q.Slots {
-		q.startNow(now, item)
+	if q.waitingItems == 0 && len(q.running) < q.Slots {
+		q.startImmediately(now, item)
 		return Decision{Verdict: Started}
 	}
 	wait := q.EstimateWait(item.Account)
-	if q.waiting >= q.MaxWaiting {
+	if q.waitingItems >= q.MaxWaiting {
 		return Decision{Verdict: Refused, Reason: rillreach.ReasonOverload, RetryAfter: max(wait, minRetryAfter), Wait: wait}
 	}
 	if !item.Deadline.IsZero() && now.Add(wait).After(item.Deadline) {
 		late := now.Add(wait).Sub(item.Deadline)
 		return Decision{Verdict: Refused, Reason: rillreach.ReasonDeadline, RetryAfter: max(late, minRetryAfter), Wait: wait}
 	}
-	q.push(item)
+	q.enqueue(item)
 	return Decision{Verdict: Waiting, Wait: wait}
 }
 
-// Finish ends a running item and returns the items that start now and those whose deadline has passed while waiting.
-func (q *Queue) Finish(now time.Time, id uint64) (starts, late []Item) {
-	q.ready()
-	if s, ok := q.running[id]; ok {
+// Finish ends a running item. It returns the items that start now, and the items dropped from the queue because their
+// deadline has passed.
+func (q *Queue) Finish(now time.Time, id uint64) (starts, dropped []Item) {
+	q.init()
+	if running, ok := q.running[id]; ok {
 		delete(q.running, id)
-		q.learn(s, now)
+		q.updateRate(running, now)
 	}
-	return q.fill(now)
+	return q.fillSlots(now)
 }
 
-// Remove takes a waiting item out, as when its caller has gone; it reports whether the item was waiting.
+// Remove deletes a waiting item, for example because its caller is gone, and reports whether the item was waiting.
 func (q *Queue) Remove(id uint64) bool {
-	for _, l := range q.order {
-		at := slices.IndexFunc(l.items, func(i Item) bool { return i.ID == id })
-		if at < 0 {
+	for _, a := range q.active {
+		index := slices.IndexFunc(a.items, func(i Item) bool { return i.ID == id })
+		if index < 0 {
 			continue
 		}
-		item := l.items[at]
-		l.items = slices.Delete(l.items, at, at+1)
-		q.forget(l, item)
-		q.dropEmpty(l)
+		item := a.items[index]
+		a.items = slices.Delete(a.items, index, index+1)
+		q.subtractWaiting(a, item)
+		q.deactivateIfEmpty(a)
 		return true
 	}
 	return false
 }
 
-// Close has the queue refuse every later offer; what waits still runs.
+// Close makes the queue refuse all later offers. Waiting items still start.
 func (q *Queue) Close() {
 	q.closed = true
 }
 
-// EstimateWait estimates how long a new item of the account would wait: what its own account has waiting is before it, and of
-// every other account as much as fits into an equal part.
+// EstimateWait returns the estimated wait of a new item of the account. All waiting items of the same account go before
+// it, and of each other account the work that is earlier in virtual time.
 func (q *Queue) EstimateWait(account rillreach.AccountID) time.Duration {
-	if len(q.running) < q.Slots && q.waiting == 0 {
+	if len(q.running) < q.Slots && q.waitingItems == 0 {
 		return 0
 	}
-	own, begin := 0.0, q.virtual-credit
-	if l := q.lines[account]; l != nil {
-		own, begin = l.cost, max(l.begin, q.virtual-credit)
+	ownCost, start := 0.0, q.virtualTime-maxCredit
+	if a := q.accounts[account]; a != nil {
+		ownCost, start = a.waitingCost, max(a.startTag, q.virtualTime-maxCredit)
 	}
-	ahead := own
-	for _, l := range q.order {
-		if l.account != account {
-			ahead += max(0, min(l.cost, begin+own-l.begin))
+	ahead := ownCost
+	for _, a := range q.active {
+		if a.account != account {
+			ahead += max(0, min(a.waitingCost, start+ownCost-a.startTag))
 		}
 	}
-	return seconds((ahead + q.runningShare()) / q.Rate())
+	return toDuration((ahead + q.costUntilSlotFree()) / q.Rate())
 }
 
-// Backlog is the work that waits, in tokens.
-func (q *Queue) Backlog() float64 { return q.backlog }
+// Backlog returns the total cost of the waiting items, in tokens.
+func (q *Queue) Backlog() float64 { return q.waitingCost }
 
-// Running is how many items run.
+// Running returns the number of running items.
 func (q *Queue) Running() int { return len(q.running) }
 
-// Waiting is how many items wait.
-func (q *Queue) Waiting() int { return q.waiting }
+// Waiting returns the number of waiting items.
+func (q *Queue) Waiting() int { return q.waitingItems }
 
-// Rate is the measured work done per second by all slots together, in tokens.
+// Rate returns the measured throughput of all slots together, in tokens per second.
 func (q *Queue) Rate() float64 {
-	if q.rate <= 0 {
+	if q.measuredRate <= 0 {
 		return defaultRate
 	}
-	return q.rate
+	return q.measuredRate
 }
 
-func (q *Queue) ready() {
-	if q.lines != nil {
+func (q *Queue) init() {
+	if q.accounts != nil {
 		return
 	}
-	q.lines = map[rillreach.AccountID]*line{}
-	q.running = map[uint64]started{}
+	q.accounts = map[rillreach.AccountID]*accountQueue{}
+	q.running = map[uint64]runningItem{}
 }
 
-// runningShare is the work until the next slot is expected to be free.
-func (q *Queue) runningShare() float64 {
+// costUntilSlotFree returns the work that all slots together are expected to do until the next slot is free, in tokens.
+func (q *Queue) costUntilSlotFree() float64 {
 	total := 0.0
-	for _, s := range q.running {
-		total += s.item.Cost
+	for _, r := range q.running {
+		total += r.item.Cost
 	}
 	return total / float64(max(len(q.running), 1)) / float64(max(q.Slots, 1))
 }
 
-// startNow starts an item that need not wait, and charges its account for it.
-func (q *Queue) startNow(now time.Time, item Item) {
-	l := q.line(item.Account)
-	l.begin = max(l.begin, q.virtual-credit) + item.Cost
-	q.start(now, item)
+// startImmediately starts an item that does not have to wait and charges its account.
+func (q *Queue) startImmediately(now time.Time, item Item) {
+	a := q.accountFor(item.Account)
+	a.startTag = max(a.startTag, q.virtualTime-maxCredit) + item.Cost
+	q.markRunning(now, item)
 }
 
-func (q *Queue) start(now time.Time, item Item) {
-	q.running[item.ID] = started{item: item, at: now}
+func (q *Queue) markRunning(now time.Time, item Item) {
+	q.running[item.ID] = runningItem{item: item, startedAt: now}
 }
 
-func (q *Queue) push(item Item) {
-	l := q.line(item.Account)
-	if len(l.items) == 0 {
-		l.begin = max(l.begin, q.virtual-credit)
-		q.order = append(q.order, l)
+func (q *Queue) enqueue(item Item) {
+	a := q.accountFor(item.Account)
+	if len(a.items) == 0 {
+		a.startTag = max(a.startTag, q.virtualTime-maxCredit)
+		q.active = append(q.active, a)
 	}
-	l.items = append(l.items, item)
-	l.cost += item.Cost
-	q.waiting++
-	q.backlog += item.Cost
+	a.items = append(a.items, item)
+	a.waitingCost += item.Cost
+	q.waitingItems++
+	q.waitingCost += item.Cost
 }
 
-func (q *Queue) fill(now time.Time) (starts, late []Item) {
+// fillSlots starts waiting items while slots are free. It also returns the expired items that it dropped.
+func (q *Queue) fillSlots(now time.Time) (starts, dropped []Item) {
 	for len(q.running) < q.Slots {
-		l := q.first()
-		if l == nil {
+		a := q.nextAccount()
+		if a == nil {
 			break
 		}
-		item := q.pop(now, l)
+		item := q.dequeue(now, a)
 		if expired(item, now) {
-			late = append(late, item)
+			dropped = append(dropped, item)
 			continue
 		}
-		q.start(now, item)
+		q.markRunning(now, item)
 		starts = append(starts, item)
 	}
-	return starts, late
+	return starts, dropped
 }
 
-// first is the account that is first in order, or nil.
-func (q *Queue) first() *line {
-	var first *line
-	for _, l := range q.order {
-		if first == nil || l.begin < first.begin {
-			first = l
+// nextAccount returns the active account with the lowest start tag, or nil if no items wait.
+func (q *Queue) nextAccount() *accountQueue {
+	var next *accountQueue
+	for _, a := range q.active {
+		if next == nil || a.startTag < next.startTag {
+			next = a
 		}
 	}
-	return first
+	return next
 }
 
-// pop takes the first item of an account. One that is too late to start is not charged for.
-func (q *Queue) pop(now time.Time, l *line) Item {
-	item := l.items[0]
-	l.items = l.items[1:]
-	q.forget(l, item)
-	q.virtual = max(q.virtual, l.begin)
+// dequeue removes and returns the first item of an account. The account is not charged for an item whose deadline has
+// passed.
+func (q *Queue) dequeue(now time.Time, a *accountQueue) Item {
+	item := a.items[0]
+	a.items = a.items[1:]
+	q.subtractWaiting(a, item)
+	q.virtualTime = max(q.virtualTime, a.startTag)
 	if !expired(item, now) {
-		l.begin += item.Cost
+		a.startTag += item.Cost
 	}
-	q.dropEmpty(l)
+	q.deactivateIfEmpty(a)
 	return item
 }
 
-// dropEmpty takes an account that has nothing waiting out of the order.
-func (q *Queue) dropEmpty(l *line) {
-	if len(l.items) == 0 {
-		q.order = slices.DeleteFunc(q.order, func(other *line) bool { return other == l })
+// deactivateIfEmpty removes an account without waiting items from the active ones.
+func (q *Queue) deactivateIfEmpty(a *accountQueue) {
+	if len(a.items) == 0 {
+		q.active = slices.DeleteFunc(q.active, func(other *accountQueue) bool { return other == a })
 	}
 }
 
+// expired reports whether the deadline of the item has passed.
 func expired(item Item, now time.Time) bool {
 	return !item.Deadline.IsZero() && !now.Before(item.Deadline)
 }
 
-func (q *Queue) forget(l *line, item Item) {
-	l.cost -= item.Cost
-	q.waiting--
-	q.backlog -= item.Cost
+// subtractWaiting takes an item that no longer waits out of the totals.
+func (q *Queue) subtractWaiting(a *accountQueue, item Item) {
+	a.waitingCost -= item.Cost
+	q.waitingItems--
+	q.waitingCost -= item.Cost
 }
 
-func (q *Queue) line(account rillreach.AccountID) *line {
-	l := q.lines[account]
-	if l == nil {
-		q.forgetIdle()
-		l = &line{account: account}
-		q.lines[account] = l
+// accountFor returns the queue of an account and creates it if needed.
+func (q *Queue) accountFor(account rillreach.AccountID) *accountQueue {
+	a := q.accounts[account]
+	if a == nil {
+		q.evictIdleAccounts()
+		a = &accountQueue{account: account}
+		q.accounts[account] = a
 	}
-	return l
+	return a
 }
 
-// forgetIdle forgets the accounts that have nothing waiting and whose use is over, once there are many.
-func (q *Queue) forgetIdle() {
-	if len(q.lines) < maxLines {
+// evictIdleAccounts removes the accounts that have no waiting items and their full credit, once maxAccounts are
+// tracked.
+func (q *Queue) evictIdleAccounts() {
+	if len(q.accounts) < maxAccounts {
 		return
 	}
-	for account, l := range q.lines {
-		if len(l.items) == 0 && l.begin <= q.virtual-credit {
-			delete(q.lines, account)
+	for account, a := range q.accounts {
+		if len(a.items) == 0 && a.startTag <= q.virtualTime-maxCredit {
+			delete(q.accounts, account)
 		}
 	}
 }
 
-// learn moves the measured rate towards what the finished item showed: its work over its time, by all slots.
-func (q *Queue) learn(s started, now time.Time) {
-	took := now.Sub(s.at).Seconds()
-	if took <= 0 {
+// updateRate updates the moving average of the throughput with a finished item: its cost over its duration, times the
+// number of items that ran.
+func (q *Queue) updateRate(r runningItem, now time.Time) {
+	elapsed := now.Sub(r.startedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	seen := s.item.Cost / took * float64(len(q.running)+1)
-	if q.rate <= 0 {
-		q.rate = max(seen, minRate)
+	observed := r.item.Cost / elapsed * float64(len(q.running)+1)
+	if q.measuredRate <= 0 {
+		q.measuredRate = max(observed, minRate)
 		return
 	}
-	q.rate += rateWeight * (seen - q.rate)
+	q.measuredRate += rateSmoothing * (observed - q.measuredRate)
 }
 
-func seconds(s float64) time.Duration {
-	return time.Duration(s * float64(time.Second))
+func toDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -21,11 +21,11 @@
 }
 
 func TestQueue(t *testing.T) {
-	t.Run("a free slot starts an item at once", func(t *testing.T) {
+	t.Run("an item starts at once if a slot is free", func(t *testing.T) {
 		q := &Queue{Slots: 1, MaxWaiting: 1}
 		assert.Equal(t, Started, q.Offer(start, item(1, "a", 10)).Verdict)
 	})
-	t.Run("a full queue refuses and says when to come back", func(t *testing.T) {
+	t.Run("a full queue refuses with a retry delay", func(t *testing.T) {
 		q := &Queue{Slots: 1}
 		q.Offer(start, item(1, "a", 10))
 		d := q.Offer(start, item(2, "a", 10))
@@ -33,7 +33,7 @@
 		assert.Equal(t, rillreach.ReasonOverload, d.Reason)
 		assert.Positive(t, d.RetryAfter)
 	})
-	t.Run("what cannot start before its deadline is refused at once", func(t *testing.T) {
+	t.Run("an item that cannot start before its deadline is refused", func(t *testing.T) {
 		q := &Queue{Slots: 1, MaxWaiting: 10}
 		q.Offer(start, item(1, "a", defaultRate))
 		q.Offer(start, item(2, "a", 10*defaultRate))
@@ -42,15 +42,15 @@
 		d := q.Offer(start, late)
 		assert.Equal(t, Refused, d.Verdict)
 		assert.Equal(t, rillreach.ReasonDeadline, d.Reason)
-		assert.InDelta(t, 6, d.RetryAfter.Seconds(), 0.1, "what is before it takes 11 s")
+		assert.InDelta(t, 6, d.RetryAfter.Seconds(), 0.1, "the items ahead of it take 11 s")
 	})
-	t.Run("the measured rate decides the wait", func(t *testing.T) {
+	t.Run("the rate is measured from finished items", func(t *testing.T) {
 		q := &Queue{Slots: 1, MaxWaiting: 10}
 		q.Offer(start, item(1, "a", 100))
 		q.Finish(start.Add(10*time.Second), 1)
 		assert.InDelta(t, 10, q.Rate(), 1e-9)
 	})
-	t.Run("an item whose deadline has passed while it waited is not started", func(t *testing.T) {
+	t.Run("an item whose deadline passes while it waits is not started", func(t *testing.T) {
 		q := &Queue{Slots: 1, MaxWaiting: 10}
 		q.Offer(start, item(1, "a", 1))
 		late := item(2, "a", 1)
@@ -60,7 +60,7 @@
 		assert.Empty(t, starts)
 		assert.Len(t, dropped, 1)
 	})
-	t.Run("a closed queue refuses and still runs what waits", func(t *testing.T) {
+	t.Run("a closed queue refuses new items and still starts waiting ones", func(t *testing.T) {
 		q := &Queue{Slots: 1, MaxWaiting: 10}
 		q.Offer(start, item(1, "a", 1))
 		q.Offer(start, item(2, "a", 1))
@@ -69,7 +69,7 @@
 		starts, _ := q.Finish(start, 1)
 		assert.Len(t, starts, 1)
 	})
-	t.Run("accounts take turns by work, not by number", func(t *testing.T) {
+	t.Run("accounts share by cost, not by number of items", func(t *testing.T) {
 		q := &Queue{Slots: 1, MaxWaiting: 1000}
 		q.Offer(start, item(0, "a", 1))
 		id := uint64(0)
@@ -79,16 +79,16 @@
 			id++
 			q.Offer(start, item(id, "large", 1000))
 		}
-		work := drain(q, 0, 30_000)
+		work := runSequentially(q, 0, 30_000)
 		assert.InDelta(t, 1, work["small"]/work["large"], 0.25)
 	})
 }
 
-// drain runs items one after another until some work is done, and returns the work of each account.
-func drain(q *Queue, running uint64, most float64) map[rillreach.AccountID]float64 {
+// runSequentially runs items one at a time until maxWork is done and returns the work done for each account.
+func runSequentially(q *Queue, running uint64, maxWork float64) map[rillreach.AccountID]float64 {
 	work := map[rillreach.AccountID]float64{}
 	total := 0.0
-	for total < most {
+	for total < maxWork {
 		starts, _ := q.Finish(start, running)
 		if len(starts) == 0 {
 			break
@@ -100,16 +100,16 @@
 	return work
 }
 
-// TestQueueLosesNothing has items come, finish and go in any order: each is started, dropped or refused just once, and
-// never more run than there are slots.
-func TestQueueLosesNothing(t *testing.T) {
+// TestQueueLosesItems guards against lost or duplicated items. Items arrive, finish and are removed in random order;
+// each must start, expire or be refused exactly once, and no more may run than there are slots.
+func TestQueueLosesItems(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := &Queue{Slots: rapid.IntRange(1, 4).Draw(rt, "slots"), MaxWaiting: rapid.IntRange(0, 8).Draw(rt, "waiting")}
 		now, next := start, uint64(0)
 		waiting, running := map[uint64]bool{}, map[uint64]bool{}
-		begin := func(items []Item) {
+		markRunning := func(items []Item) {
 			for _, i := range items {
-				require.True(rt, waiting[i.ID], "%d did not wait", i.ID)
+				require.True(rt, waiting[i.ID], "item %d was not waiting", i.ID)
 				delete(waiting, i.ID)
 				running[i.ID] = true
 			}
@@ -131,7 +131,7 @@
 				for id := range running {
 					delete(running, id)
 					starts, late := q.Finish(now, id)
-					begin(starts)
+					markRunning(starts)
 					for _, i := range late {
 						require.True(rt, waiting[i.ID])
 						delete(waiting, i.ID)
@@ -155,23 +155,24 @@
 	})
 }
 
-// arrival is one request of the fairness measurement.
+// arrival is a request of the fairness test.
 type arrival struct {
 	item Item
 	at   time.Time
 }
 
-// arrivals are the requests of ten accounts with equal load, one of which sends more by a factor.
+// arrivals returns the requests of ten accounts. All send the same load except the first, which sends more by the given
+// factor.
 func arrivals(seed uint64, factor int) []arrival {
 	random := rand.New(rand.NewPCG(seed, 2))
 	var list []arrival
 	id := uint64(0)
 	for account := range 10 {
-		times := 60
+		requests := 60
 		if account == 0 {
-			times *= factor
+			requests *= factor
 		}
-		for range times {
+		for range requests {
 			id++
 			at := start.Add(time.Duration(random.Float64() * 120 * float64(time.Second)))
 			list = append(list, arrival{item: item(id, fmt.Sprint(account), 200+random.Float64()*1800), at: at})
@@ -181,19 +182,19 @@
 	return list
 }
 
-// waits runs arrivals through a queue whose slots share a steady rate of work, and returns how long the accounts other than
-// the first had to wait.
-func waits(list []arrival, slots int) []time.Duration {
+// completionTimes runs arrivals through a queue whose slots share a constant rate of work. It returns the sorted times
+// from arrival to completion for all accounts except the first.
+func completionTimes(list []arrival, slots int) []time.Duration {
 	rate := 8000.0 / float64(slots)
 	q := &Queue{Slots: slots, MaxWaiting: 100_000}
-	began, arrived := map[uint64]time.Time{}, map[uint64]time.Time{}
+	started, arrived := map[uint64]time.Time{}, map[uint64]time.Time{}
 	type end struct {
 		at time.Time
 		id uint64
 	}
 	var ends []end
 	run := func(now time.Time, i Item) {
-		began[i.ID] = now
+		started[i.ID] = now
 		ends = append(ends, end{at: now.Add(time.Duration(i.Cost / rate * float64(time.Second))), id: i.ID})
 		slices.SortFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
 	}
@@ -218,7 +219,7 @@
 	var others []time.Duration
 	for _, a := range list {
 		if a.item.Account != "0" {
-			others = append(others, began[a.item.ID].Sub(arrived[a.item.ID])+time.Duration(a.item.Cost/rate*float64(time.Second)))
+			others = append(others, started[a.item.ID].Sub(arrived[a.item.ID])+time.Duration(a.item.Cost/rate*float64(time.Second)))
 		}
 	}
 	slices.Sort(others)
@@ -227,13 +228,13 @@
 
 func p95(list []time.Duration) time.Duration { return list[len(list)*95/100] }
 
-// TestOneAccountDoesNotStarveOthers compares the others' time to completion when one account sends fifty times its share.
-func TestOneAccountDoesNotStarveOthers(t *testing.T) {
+// TestOneAccountStarvesOthers guards against an account that delays the others by sending fifty times its share.
+func TestOneAccountStarvesOthers(t *testing.T) {
 	for _, slots := range []int{16, 64} {
 		for seed := range uint64(5) {
-			fair, flooded := p95(waits(arrivals(seed, 1), slots)), p95(waits(arrivals(seed, 50), slots))
-			t.Logf("%d slots, others' p95: %v alone, %v beside an account at fifty times its share, ratio %.3f", slots, fair, flooded, flooded.Seconds()/fair.Seconds())
-			assert.LessOrEqual(t, flooded.Seconds(), 1.2*fair.Seconds())
+			baseline, flooded := p95(completionTimes(arrivals(seed, 1), slots)), p95(completionTimes(arrivals(seed, 50), slots))
+			t.Logf("%d slots, p95 of the other accounts: %v at equal load, %v with one account at fifty times its share, ratio %.3f", slots, baseline, flooded, flooded.Seconds()/baseline.Seconds())
+			assert.LessOrEqual(t, flooded.Seconds(), 1.2*baseline.Seconds())
 		}
 	}
 }
