--- a/predict/doc.go
+++ b/predict/doc.go
@@ -1,3 +1,3 @@
-// Package predict learns how long requests take, and prompts at model engines until their first token, from those that came before. It is
-// without I/O and without a clock.
+// Package predict estimates request durations, and the time to first token (TTFT) of prompts at model engines, from
+// earlier requests. It does no I/O and does not read the clock.
 package predict
--- a/predict/first_token.go
+++ b/predict/first_token.go
@@ -3,84 +3,90 @@
 import "time"
 
 const (
-	// priorPerToken and priorBase are the prior, until requests have told better: a slow engine, since a prior that is too fast
-	// sends prompts to where others wait already.
+	// priorPerToken and priorBase are the model used before there are observations. They describe a slow engine, since
+	// a model that is too fast sends prompts to engines where others already wait.
 	priorPerToken = 50 * time.Microsecond
 	priorBase     = 20 * time.Millisecond
-	// priorWeight is how many observations the prior is worth, priorSpread the spread of its prompts in tokens.
-	priorWeight = 8
-	priorSpread = 4000
-	// memory is the weight that each observation leaves to those before: the last hundred count, some seconds of an entry's work.
-	memory = 0.99
-	// leastPerToken and mostPerToken bound what is learned, mostBase the time beside reading, so that absurd observations, as of an
-	// engine that stood still, don't spoil the choice among the others.
-	leastPerToken = priorPerToken / 10
-	mostPerToken  = priorPerToken * 10
-	mostBase      = time.Second
-	// mostWait is the longest wait that is taken for the engine's own.
-	mostWait = 10 * time.Second
+	// priorWeight is the number of observations that the prior counts as, and priorTokenSpread the standard deviation
+	// of their prompt lengths, in tokens.
+	priorWeight      = 8
+	priorTokenSpread = 4000
+	// decay is the factor by which each observation reduces the weight of earlier ones. At 0.99 about the last hundred
+	// count, which an entry makes in a few seconds.
+	decay = 0.99
+	// minPerToken and maxPerToken bound the fitted time per token, and maxBase the fitted constant part, so that
+	// extreme observations, such as those of a stalled engine, do not distort the choice among the others.
+	minPerToken = priorPerToken / 10
+	maxPerToken = priorPerToken * 10
+	maxBase     = time.Second
+	// maxObservedTTFT is the longest TTFT that is attributed to the engine. Longer ones are ignored.
+	maxObservedTTFT = 10 * time.Second
 )
 
-// TTFTEstimator predicts the time to a prompt's first token from the tokens that its engine reads until then: the weighted least
-// squares of a line, in which older requests count less. Its zero value has the prior alone.
+// TTFTEstimator estimates the time to first token as a linear function of the number of tokens that the engine
+// processes until then, including those of prompts ahead in its queue. It fits the line by weighted least squares in
+// which older requests count less. The zero value holds only the prior.
 type TTFTEstimator struct {
-	weight, x, y, xx, xy float64
+	sumWeight, sumX, sumY, sumXX, sumXY float64
 }
 
-// Observe learns from one request that had its first token after the wait, for which its engine had the tokens to read.
-func (f *TTFTEstimator) Observe(tokens int, wait time.Duration) {
-	if tokens < 0 || wait <= 0 || wait > mostWait {
+// Observe adds a request whose first token came after the given time, in which its engine had to process the given
+// number of tokens.
+func (e *TTFTEstimator) Observe(tokens int, ttft time.Duration) {
+	if tokens < 0 || ttft <= 0 || ttft > maxObservedTTFT {
 		return
 	}
-	f.start()
-	x, y := float64(tokens), float64(wait)
-	f.weight = memory*f.weight + 1
-	f.x = memory*f.x + x
-	f.y = memory*f.y + y
-	f.xx = memory*f.xx + x*x
-	f.xy = memory*f.xy + x*y
+	e.addPrior()
+	x, y := float64(tokens), float64(ttft)
+	e.sumWeight = decay*e.sumWeight + 1
+	e.sumX = decay*e.sumX + x
+	e.sumY = decay*e.sumY + y
+	e.sumXX = decay*e.sumXX + x*x
+	e.sumXY = decay*e.sumXY + x*y
 }
 
-// start takes the prior for observations: two kinds of prompts, whose times lie on its line.
-func (f *TTFTEstimator) start() {
-	if f.weight > 0 {
+// addPrior adds the prior as observations at two prompt lengths whose times lie on the line of the prior.
+func (e *TTFTEstimator) addPrior() {
+	if e.sumWeight > 0 {
 		return
 	}
-	for _, x := range []float64{0, 2 * priorSpread} {
+	for _, x := range []float64{0, 2 * priorTokenSpread} {
 		y := float64(priorBase) + x*float64(priorPerToken)
-		f.weight += priorWeight / 2
-		f.x += priorWeight / 2 * x
-		f.y += priorWeight / 2 * y
-		f.xx += priorWeight / 2 * x * x
-		f.xy += priorWeight / 2 * x * y
+		e.sumWeight += priorWeight / 2
+		e.sumX += priorWeight / 2 * x
+		e.sumY += priorWeight / 2 * y
+		e.sumXX += priorWeight / 2 * x * x
+		e.sumXY += priorWeight / 2 * x * y
 	}
 }
 
-// Model is what has been learned: the time for each token that is read, and the time beside that.
-func (f *TTFTEstimator) Model() LatencyModel {
-	if f.weight <= 0 {
+// Model returns the fitted model, or the prior if there are no observations.
+func (e *TTFTEstimator) Model() LatencyModel {
+	if e.sumWeight <= 0 {
 		return Prior()
 	}
-	spread := f.weight*f.xx - f.x*f.x
+	determinant := e.sumWeight*e.sumXX - e.sumX*e.sumX
 	perToken := float64(priorPerToken)
-	if spread > 0 {
-		perToken = (f.weight*f.xy - f.x*f.y) / spread
+	if determinant > 0 {
+		perToken = (e.sumWeight*e.sumXY - e.sumX*e.sumY) / determinant
 	}
-	perToken = min(max(perToken, float64(leastPerToken)), float64(mostPerToken))
-	base := (f.y - perToken*f.x) / f.weight
-	return LatencyModel{PerToken: time.Duration(perToken), Base: time.Duration(min(max(base, 0), float64(mostBase)))}
+	perToken = min(max(perToken, float64(minPerToken)), float64(maxPerToken))
+	base := (e.sumY - perToken*e.sumX) / e.sumWeight
+	return LatencyModel{PerToken: time.Duration(perToken), Base: time.Duration(min(max(base, 0), float64(maxBase)))}
 }
 
-// Prior is the speed that is taken while nothing has been observed.
+// Prior returns the model used before there are observations.
 func Prior() LatencyModel { return LatencyModel{PerToken: priorPerToken, Base: priorBase} }
 
-// LatencyModel is how fast engines come to a prompt's first token.
+// LatencyModel is a linear model of the time to first token.
 type LatencyModel struct {
+	// PerToken is the time for each token that the engine processes.
 	PerToken time.Duration
-	Base     time.Duration
+	// Base is the time that does not depend on the number of tokens.
+	Base time.Duration
 }
 
-// Predict is how long it takes to read the tokens and to make the first one.
-func (s LatencyModel) Predict(tokens int) time.Duration {
-	return s.Base + time.Duration(tokens)*s.PerToken
+// Predict returns the time to first token if the engine has to process the given number of tokens.
+func (m LatencyModel) Predict(tokens int) time.Duration {
+	return m.Base + time.Duration(tokens)*m.PerToken
 }
--- a/predict/usual.go
+++ b/predict/usual.go
@@ -3,29 +3,32 @@
 import "time"
 
 const (
-	// meanGain and deviationGain are the weights of the newest value. RFC 6298, whose estimate this is, has four times as much:
-	// one stream in a hundred takes eight times the median here, and must not count for long.
+	// meanGain and deviationGain are the weights of the newest observation. The estimate is that of RFC 6298, which
+	// uses weights four times as large. They are smaller here because one stream in a hundred takes eight times the
+	// median, which must not affect the estimate for long.
 	meanGain      = 1.0 / 32
 	deviationGain = 1.0 / 16
 )
 
-// DurationEstimator learns how long requests of one kind take; its zero value knows nothing.
+// DurationEstimator estimates the duration of requests of one kind by a moving mean and mean deviation. The zero value
+// has no observations.
 type DurationEstimator struct {
 	samples   int
 	mean      time.Duration
 	deviation time.Duration
 }
 
-// Observe takes the time of one request that was served.
-func (u *DurationEstimator) Observe(took time.Duration) {
-	u.samples++
-	off := took - u.mean
-	// The first values count alike, and the first one's deviation is itself: little is sure while little is known.
-	u.mean += time.Duration(max(meanGain, 1/float64(u.samples)) * float64(off))
-	u.deviation += time.Duration(max(deviationGain, 1/float64(u.samples)) * float64(off.Abs()-u.deviation))
+// Observe adds the duration of a request.
+func (e *DurationEstimator) Observe(duration time.Duration) {
+	e.samples++
+	delta := duration - e.mean
+	// The first observations are averaged with equal weights, and the first one also sets the deviation, so that the
+	// upper bound is wide while there are few observations.
+	e.mean += time.Duration(max(meanGain, 1/float64(e.samples)) * float64(delta))
+	e.deviation += time.Duration(max(deviationGain, 1/float64(e.samples)) * float64(delta.Abs()-e.deviation))
 }
 
-// UpperBound is the mean and as many mean deviations, zero while no request is known.
-func (u *DurationEstimator) UpperBound(deviations int) time.Duration {
-	return u.mean + time.Duration(deviations)*u.deviation
+// UpperBound returns the mean plus the given number of mean deviations, or zero without observations.
+func (e *DurationEstimator) UpperBound(deviations int) time.Duration {
+	return e.mean + time.Duration(deviations)*e.deviation
 }
