--- a/place/doc.go
+++ b/place/doc.go
@@ -1,3 +1,3 @@
-// Package place decides which runner takes a request, from what is known of each: the tokens that it would have to read,
-// what runs there already, and what crosses zones. It is without I/O and without a clock.
+// Package place chooses the runner for a request by the prompt tokens that each runner would have to process, its load
+// and the zone that it is in. It does no I/O and does not read the clock.
 package place
