--- a/fetch/doc.go
+++ b/fetch/doc.go
@@ -1,3 +1,3 @@
-// Package fetch decides from where a runner takes the parts of a prompt that it does not hold, and where the parts that it
-// reads are saved. It is without I/O and without a clock.
+// Package fetch decides from where a runner fetches the KV cache of prompt parts that it does not hold, and in which
+// store the parts that it computes are saved. It does no I/O and does not read the clock.
 package fetch
--- a/fetch/nearest.go
+++ b/fetch/nearest.go
@@ -1,35 +1,37 @@
 package fetch
 
-// FastestHolders are the holders from which the tokens of a part come soonest, soonest first, at most as many as asked for. Those that hold
-// less than the whole part come last. Where thousands of runners and stores hold a part, a plan for each of many runners looks at these
-// alone: with 300 engines and 60 stores before an entry, one decision took 15 ms and 33 MB while each plan looked at all holders.
-func FastestHolders(e Engine, tokens int, holders []Holder, most int) []Holder {
-	near := make([]Holder, 0, most)
+// FastestHolders returns up to limit holders from which a part arrives soonest, in that order. Holders of only some of
+// the part come last. Thousands of runners and stores may hold a part, and a decision makes a plan for each of many
+// runners. Plans therefore consider only these holders: with 300 engines and 60 stores, considering all of them in each
+// plan costs about 15 ms and 33 MB per decision.
+func FastestHolders(e Engine, tokens int, holders []Holder, limit int) []Holder {
+	fastest := make([]Holder, 0, limit)
 	for i := range holders {
-		at := len(near)
-		for at > 0 && e.sooner(tokens, &holders[i], &near[at-1]) {
-			at--
+		index := len(fastest)
+		for index > 0 && e.faster(tokens, &holders[i], &fastest[index-1]) {
+			index--
 		}
-		if at == most {
+		if index == limit {
 			continue
 		}
-		if len(near) < most {
-			near = append(near, Holder{})
+		if len(fastest) < limit {
+			fastest = append(fastest, Holder{})
 		}
-		copy(near[at+1:], near[at:])
-		near[at] = holders[i]
+		copy(fastest[index+1:], fastest[index:])
+		fastest[index] = holders[i]
 	}
-	return near
+	return fastest
 }
 
-// sooner reports that a part comes sooner from one holder than from another.
-func (e Engine) sooner(tokens int, a, b *Holder) bool {
-	aWhole, bWhole := a.holds(tokens), b.holds(tokens)
+// faster reports whether a part arrives sooner from holder a than from holder b. A holder of the whole part goes before
+// one of only some of it.
+func (e Engine) faster(tokens int, a, b *Holder) bool {
+	aWhole, bWhole := a.holdsWhole(tokens), b.holdsWhole(tokens)
 	if aWhole != bWhole {
 		return aWhole
 	}
-	return e.moveTime(tokens, a) < e.moveTime(tokens, b)
+	return e.transferTime(tokens, a) < e.transferTime(tokens, b)
 }
 
-// holds reports that a holder has the whole of a part of so many tokens.
-func (h *Holder) holds(tokens int) bool { return tokens-h.Tokens < blockTokens }
+// holdsWhole reports whether the holder has all blocks of a part with the given number of tokens.
+func (h *Holder) holdsWhole(tokens int) bool { return tokens-h.Tokens < blockTokens }
--- a/fetch/save.go
+++ b/fetch/save.go
@@ -6,42 +6,46 @@
 )
 
 const (
-	// fullFrom is the share of a store's room above which nothing more is saved there: what is on its way takes room, too.
-	fullFrom = 0.97
-	// smallOf is into how many parts a store's room is cut for one part to count as small there.
-	smallOf = 64
+	// maxFillShare is the share of a store's capacity up to which parts are saved there. The rest is left for parts
+	// that are still being transferred to it.
+	maxFillShare = 0.97
+	// smallPartDivisor defines a small part: one that takes at most 1/64 of a store's capacity.
+	smallPartDivisor = 64
 )
 
-// Store is a store that may take parts.
+// Store is a store in which a part may be saved.
 type Store struct {
-	Address       netip.AddrPort
-	Capacity      int
-	UsedTokens    int
+	Address netip.AddrPort
+	// Capacity is the size of the store, and UsedTokens how much of it is taken, both in tokens.
+	Capacity   int
+	UsedTokens int
+	// BitsPerSecond, StartDelay, LinkBusy and OtherZone are as in Holder.
 	BitsPerSecond float64
 	StartDelay    time.Duration
 	LinkBusy      time.Duration
 	OtherZone     bool
-	// Holds says that the store holds the part already, or is about to.
+	// Holds reports whether the store has the part or is receiving it.
 	Holds bool
 }
 
-// ChooseStore chooses the store for a part that the runner is going to have: an opening, which many prompts share, goes to a
-// fast store of the runner's own zone, a small part to any fast one, the rest to where there is room. An invalid address
-// means that the part is kept well enough, or that nobody has room.
-func ChooseStore(e Engine, tokens int, opening bool, stores []Store) netip.AddrPort {
-	if keptWell(opening, stores) {
+// ChooseStore chooses the store in which a runner saves a part: the fastest one that accepts it. The first part of a
+// prompt, which many prompts share, is saved in the runner's zone even if another zone has it. Any other part is saved
+// once, in a store for which it is small if there is one. ChooseStore returns an invalid address if the part needs no
+// further copy or no store accepts it.
+func ChooseStore(e Engine, tokens int, firstPart bool, stores []Store) netip.AddrPort {
+	if storedWhereNeeded(firstPart, stores) {
 		return netip.AddrPort{}
 	}
 	var best *Store
-	var cost time.Duration
+	var bestTime time.Duration
 	for i := range stores {
 		s := &stores[i]
-		if !s.suits(tokens, opening, stores) {
+		if !s.accepts(tokens, firstPart, stores) {
 			continue
 		}
-		h := Holder{BitsPerSecond: s.BitsPerSecond, StartDelay: s.StartDelay, LinkBusy: s.LinkBusy, OtherZone: s.OtherZone}
-		if t := e.moveTime(tokens, &h); best == nil || t < cost {
-			best, cost = s, t
+		holder := Holder{BitsPerSecond: s.BitsPerSecond, StartDelay: s.StartDelay, LinkBusy: s.LinkBusy, OtherZone: s.OtherZone}
+		if t := e.transferTime(tokens, &holder); best == nil || t < bestTime {
+			best, bestTime = s, t
 		}
 	}
 	if best == nil {
@@ -50,30 +54,31 @@
 	return best.Address
 }
 
-// keptWell reports that the part needs no further store: an opening is wanted in the runner's own zone, any other anywhere.
-func keptWell(opening bool, stores []Store) bool {
+// storedWhereNeeded reports whether the part needs no further copy. A first part needs one in the runner's zone, any
+// other part needs one in any zone.
+func storedWhereNeeded(firstPart bool, stores []Store) bool {
 	for i := range stores {
-		if stores[i].Holds && (!opening || !stores[i].OtherZone) {
+		if stores[i].Holds && (!firstPart || !stores[i].OtherZone) {
 			return true
 		}
 	}
 	return false
 }
 
-// suits reports that the store may take the part.
-func (s *Store) suits(tokens int, opening bool, stores []Store) bool {
+// accepts reports whether the part may be saved in the store.
+func (s *Store) accepts(tokens int, firstPart bool, stores []Store) bool {
 	switch {
-	case s.Holds, float64(s.UsedTokens+tokens) > fullFrom*float64(s.Capacity):
+	case s.Holds, float64(s.UsedTokens+tokens) > maxFillShare*float64(s.Capacity):
 		return false
-	case opening:
-		return !s.OtherZone || !held(stores)
+	case firstPart:
+		return !s.OtherZone || !storedAnywhere(stores)
 	default:
-		return tokens <= s.Capacity/smallOf || largeForAll(stores, tokens)
+		return tokens <= s.Capacity/smallPartDivisor || largeForEveryStore(stores, tokens)
 	}
 }
 
-// held reports whether any store holds the part.
-func held(stores []Store) bool {
+// storedAnywhere reports whether any store holds the part.
+func storedAnywhere(stores []Store) bool {
 	for i := range stores {
 		if stores[i].Holds {
 			return true
@@ -82,10 +87,10 @@
 	return false
 }
 
-// largeForAll reports that the part is large for every store, so that size cannot decide.
-func largeForAll(stores []Store, tokens int) bool {
+// largeForEveryStore reports whether the part is small for none of the stores, in which case its size does not matter.
+func largeForEveryStore(stores []Store, tokens int) bool {
 	for i := range stores {
-		if tokens <= stores[i].Capacity/smallOf {
+		if tokens <= stores[i].Capacity/smallPartDivisor {
 			return false
 		}
 	}
