--- a/drain/doc.go
+++ b/drain/doc.go
@@ -1,2 +1,3 @@
-// Package drain decides what a process that has been told to stop still takes. It has no clock and does no I/O.
+// Package drain decides which requests a process still accepts during shutdown. It does no I/O and does not read the
+// clock.
 package drain
