--- a/backpressure/backpressure_test.go
+++ b/backpressure/backpressure_test.go
@@ -72,7 +72,7 @@
 	limit     Limit
 	now       time.Time
 	rand      *rand.Rand
-	allotter  permit.Allotter
+	allotter  permit.Allocator
 	shares    []permit.Share
 	throttles []Throttle
 	reaches   []bool
@@ -103,10 +103,10 @@
 func (f *fleet) sendFrom(i int) {
 	throttle := &f.throttles[i]
 	if f.reaches[i] && f.now.Sub(start)%tellEvery == 0 {
-		n := f.allotter.Take(f.now, &f.shares[i], len(f.shares), f.limit.Rate())
-		throttle.Allot(f.now, f.limit, n, f.now.Add(permit.Validity))
+		n := f.allotter.Allocate(f.now, &f.shares[i], len(f.shares), f.limit.Rate())
+		throttle.AddPermits(f.now, f.limit, n, f.now.Add(permit.Validity))
 	}
-	throttle.Space(f.now, len(f.shares), f.rand.Float64())
+	throttle.Pace(f.now, len(f.shares), f.rand.Float64())
 	if throttle.Take(f.now) {
 		f.sent = append(f.sent, f.now)
 	}
@@ -174,18 +174,18 @@
 	t.Run("permits of another limit let nothing through", func(t *testing.T) {
 		var throttle Throttle
 		throttle.Observe(at(1), saw(0, 1, 2))
-		throttle.Allot(at(2), Limit{Bounded: true, PerSecond: 9}, 5, at(500))
-		assert.False(t, throttle.Admits(at(2)))
-		throttle.Allot(at(2), limit, 1, at(500))
+		throttle.AddPermits(at(2), Limit{Bounded: true, PerSecond: 9}, 5, at(500))
+		assert.False(t, throttle.Allows(at(2)))
+		throttle.AddPermits(at(2), limit, 1, at(500))
 		assert.True(t, throttle.Take(at(3)))
 		assert.False(t, throttle.Take(at(3)))
 	})
 	t.Run("a lower limit takes permits back", func(t *testing.T) {
 		var throttle Throttle
 		throttle.Observe(at(1), saw(0, 1, 2))
-		throttle.Allot(at(2), limit, 1, at(500))
+		throttle.AddPermits(at(2), limit, 1, at(500))
 		assert.True(t, throttle.Observe(at(3), saw(2, 3, 1)))
-		assert.False(t, throttle.Admits(at(3)))
+		assert.False(t, throttle.Allows(at(3)))
 	})
 	t.Run("once lifted it lets everything through", func(t *testing.T) {
 		var throttle Throttle
--- a/backpressure/throttle.go
+++ b/backpressure/throttle.go
@@ -17,7 +17,7 @@
 	// allotted is when permits were last allotted, or the limit was first observed.
 	allotted time.Time
 	// spacer spaces requests while nobody allots permits.
-	spacer permit.Spacer
+	spacer permit.Pacer
 }
 
 // Observed is the observation that counts.
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Allot takes over permits that were allotted under a limit, if it is the one that holds.
-func (t *Throttle) Allot(now time.Time, under Limit, n int, until time.Time) {
+// AddPermits takes over permits that were allotted under a limit, if it is the one that holds.
+func (t *Throttle) AddPermits(now time.Time, under Limit, n int, until time.Time) {
 	if t.observed.Limit != under || !under.Bounded {
 		return
 	}
@@ -54,13 +54,13 @@
 	t.permits.Add(n, until)
 }
 
-// SinceAllotted is for how long nobody has allotted permits, counted from the first observation of the limit at the earliest.
-func (t *Throttle) SinceAllotted(now time.Time) time.Duration { return now.Sub(t.allotted) }
+// SinceAllocation is for how long nobody has allotted permits, counted from the first observation of the limit at the earliest.
+func (t *Throttle) SinceAllocation(now time.Time) time.Duration { return now.Sub(t.allotted) }
 
-// Space gives a permit now and then while nobody allots them, as if so many senders did alike, and reports whether there is a new one. The phase is that
+// Pace gives a permit now and then while nobody allots them, as if so many senders did alike, and reports whether there is a new one. The phase is that
 // of permit.Spacer.
-func (t *Throttle) Space(now time.Time, senders int, phase float64) bool {
-	if !t.Limited() || t.SinceAllotted(now) < allotterSilence || t.permits.Any(now) {
+func (t *Throttle) Pace(now time.Time, senders int, phase float64) bool {
+	if !t.Limited() || t.SinceAllocation(now) < allotterSilence || t.permits.Available(now) {
 		return false
 	}
 	space := t.observed.Limit.space(senders)
@@ -71,8 +71,8 @@
 	return true
 }
 
-// Admits reports that a request may begin.
-func (t *Throttle) Admits(now time.Time) bool { return !t.Limited() || t.permits.Any(now) }
+// Allows reports that a request may begin.
+func (t *Throttle) Allows(now time.Time) bool { return !t.Limited() || t.permits.Available(now) }
 
 // Take uses a permit where one is needed, and reports whether a request may begin.
 func (t *Throttle) Take(now time.Time) bool {
@@ -82,6 +82,6 @@
 	if !t.permits.Take(now) {
 		return false
 	}
-	t.spacer.Used(now)
+	t.spacer.RecordStart(now)
 	return true
 }
--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -102,7 +102,7 @@
 	return testing.AllocsPerRun(100, func() {
 		ranked := route.Rank(42, len(places), 4, func(i int) uint64 { return places[i] })
 		var candidates [route.MaxRanked]route.Candidate
-		route.Choose(route.Question{Tokens: 1000}, candidates[:ranked.Len()])
+		route.Choose(route.Request{Tokens: 1000}, candidates[:ranked.Len()])
 	})
 }
 
@@ -211,7 +211,7 @@
 func retries() float64 {
 	b := &retry.Budget{}
 	for range 200 {
-		b.Earn()
+		b.RecordSuccess()
 	}
 	count := 0
 	failure := retry.Failure{Refusal: rillreach.NotRun(rillreach.ReasonOverload, ""), Attempt: 1}
--- a/bench/capacity/state_test.go
+++ b/bench/capacity/state_test.go
@@ -113,9 +113,9 @@
 // BenchmarkShares is an entry's shares of rows in use.
 func BenchmarkShares(b *testing.B) {
 	perItem(b, []int{100, 1000, 10000}, func(count int) any {
-		shares := make([]*limit.Share, count)
+		shares := make([]*limit.Limiter, count)
 		for i := range shares {
-			shares[i] = &limit.Share{}
+			shares[i] = &limit.Limiter{}
 			shares[i].Admit(time.Now(), 1)
 		}
 		return shares
--- a/bench/policy/policy.go
+++ b/bench/policy/policy.go
@@ -142,16 +142,16 @@
 	for rank := range candidates {
 		r := v.order[ranked.At(rank)]
 		candidates[rank] = route.Candidate{
-			Wait:        v.wait(s, r),
-			PrefillRate: prefillRate,
-			Home:        rank == 0,
-			Returning:   p.prior > 0,
-			HitRate:     v.hints[r].hitRate,
-			Kept:        p.prior,
-			ImportTime:  seconds(float64(p.prior) * bytesPerToken / linkRate),
+			QueueWait:    v.wait(s, r),
+			PrefillRate:  prefillRate,
+			Home:         rank == 0,
+			Continuation: p.prior > 0,
+			HitRate:      v.hints[r].hitRate,
+			StoredTokens: p.prior,
+			ImportTime:   seconds(float64(p.prior) * bytesPerToken / linkRate),
 		}
 	}
-	choice := route.Choose(route.Question{Tokens: p.tokens, Objective: s.deployment.Objective}, candidates)
+	choice := route.Choose(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, candidates)
 	return v.order[ranked.At(choice.Index)]
 }
 
@@ -171,12 +171,12 @@
 	for i, r := range v.order {
 		st := s.storeOf(r.side, p)
 		kept, rate := st.holds(p.conversation)
-		c := route.Candidate{Wait: r.wait(s.now), PrefillRate: prefillRate, Cached: min(r.cache.tokens(p.conversation), p.tokens), Kept: kept}
+		c := route.Candidate{QueueWait: r.wait(s.now), PrefillRate: prefillRate, CachedTokens: min(r.cache.tokens(p.conversation), p.tokens), StoredTokens: kept}
 		if kept > 0 {
-			c.ImportTime = st.link.wait(s.now) + seconds(float64(kept-c.Cached)*bytesPerToken/rate)
+			c.ImportTime = st.link.wait(s.now) + seconds(float64(kept-c.CachedTokens)*bytesPerToken/rate)
 		}
-		choice := route.Estimate(route.Question{Tokens: p.tokens, Objective: s.deployment.Objective}, &c)
-		if i == 0 || route.Better(route.Question{Tokens: p.tokens, Objective: s.deployment.Objective}, choice, bestChoice) {
+		choice := route.Estimate(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, &c)
+		if i == 0 || route.Better(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, choice, bestChoice) {
 			best, bestChoice = r, choice
 		}
 	}
--- a/controller/lease/books.go
+++ b/controller/lease/books.go
@@ -38,11 +38,11 @@
 }
 
 func (c *Controller) grant(to rillreach.InstanceID, r fleet.AskRow) limit.Amounts {
-	line, ok := c.Table.Line(r.Row)
+	line, ok := c.Table.Get(r.Row)
 	if !ok {
 		return limit.Amounts{}
 	}
-	caps, _ := limit.Of(line.Row.Limits)
+	caps, _ := limit.AmountsOf(line.Row.Limits)
 	now := c.Clock.Now()
 	c.books.mu.Lock()
 	defer c.books.mu.Unlock()
@@ -89,13 +89,13 @@
 // Suspicion plays no part, so that entries that see each other differently still agree.
 func (c *Controller) owners(row string) []rillreach.InstanceID {
 	entries := c.entries()
-	owners := make([]rillreach.InstanceID, 0, limit.OwnedParts)
-	for range limit.OwnedParts {
+	owners := make([]rillreach.InstanceID, 0, limit.OwnedPartCount)
+	for range limit.OwnedPartCount {
 		if best := bestByRank(row, entries, owners); best != "" {
 			owners = append(owners, best)
 		}
 	}
-	for len(owners) > 0 && len(owners) < limit.OwnedParts {
+	for len(owners) > 0 && len(owners) < limit.OwnedPartCount {
 		owners = append(owners, owners[0])
 	}
 	if len(owners) == 0 {
--- a/controller/lease/lease.go
+++ b/controller/lease/lease.go
@@ -51,7 +51,7 @@
 }
 
 type rowShare struct {
-	limit.Share
+	limit.Limiter
 	row rillreach.Row
 	// asked is when the owners were last asked out of turn.
 	asked time.Time
@@ -68,7 +68,7 @@
 // Run renews the leases until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.tidy()
-	pause.Every(ctx, limit.RenewEvery, func(ctx context.Context) {
+	pause.Every(ctx, limit.RenewInterval, func(ctx context.Context) {
 		c.renew(ctx, c.inUse())
 		c.tidy()
 	})
@@ -78,7 +78,7 @@
 // Admit decides on a request of a row, and returns what has to be called when the request has ended. A request that
 // there is no room for waits, briefly, for the owners to be asked again, unless that was done a moment ago.
 func (c *Controller) Admit(ctx context.Context, row rillreach.Row, tokens int) (limit.Verdict, func()) {
-	if _, set := limit.Of(row.Limits); set == [len(set)]bool{} {
+	if _, set := limit.AmountsOf(row.Limits); set == [len(set)]bool{} {
 		return limit.Verdict{OK: true}, func() {}
 	}
 	name := row.Name()
@@ -115,10 +115,10 @@
 		return
 	}
 	s.row = row
-	caps, set := limit.Of(row.Limits)
-	s.Set(set)
+	caps, set := limit.AmountsOf(row.Limits)
+	s.SetMetrics(set)
 	rank, entries := c.rank(row.Name())
-	s.Hold(c.Clock.Now(), limit.PartStatic, limit.Static(limit.Split(caps)[limit.PartStatic], rank, entries), time.Time{})
+	s.SetLease(c.Clock.Now(), limit.PartStatic, limit.StaticShare(limit.Split(caps)[limit.PartStatic], rank, entries), time.Time{})
 }
 
 func (c *Controller) shardOf(name string) *shareShard {
@@ -153,7 +153,7 @@
 		shard := &c.shares[i]
 		shard.mu.Lock()
 		for name, s := range shard.rows {
-			if s.Quiet() {
+			if s.Idle() {
 				delete(shard.rows, name)
 				continue
 			}
@@ -194,7 +194,7 @@
 		return
 	}
 	for i, r := range ask.Rows {
-		c.with(r.Row, func(s *rowShare) { s.Hold(c.Clock.Now(), r.Part, leases.Granted[i], asked.Add(limit.TTL)) })
+		c.with(r.Row, func(s *rowShare) { s.SetLease(c.Clock.Now(), r.Part, leases.Granted[i], asked.Add(limit.LeaseTTL)) })
 	}
 }
 
--- a/controller/lease/lease_test.go
+++ b/controller/lease/lease_test.go
@@ -72,7 +72,7 @@
 	})
 	t.Run("an entry leases nothing of what it does not own", func(t *testing.T) {
 		c, now := newController(t, 0, 1)
-		*now = now.Add(limit.TTL)
+		*now = now.Add(limit.LeaseTTL)
 		assert.NotZero(t, c.grantAll("entry-0000", ask(5)).Granted[0])
 		c.Members.Announce(entryInstance(1))
 		c.Members.Announce(entryInstance(2))
@@ -81,7 +81,7 @@
 	})
 	t.Run("an owner anew leases nothing until the leases of others have ended", func(t *testing.T) {
 		c, now := newController(t, 0, 1)
-		*now = now.Add(limit.TTL)
+		*now = now.Add(limit.LeaseTTL)
 		require.NotZero(t, c.grantAll("entry-0000", ask(5)).Granted[0])
 		c.Members.Announce(rillreach.Instance{
 			ID: "entry-0000", Role: rillreach.RoleEntry, Incarnation: "2", Address: netip.MustParseAddrPort("127.0.0.1:1"),
@@ -89,26 +89,26 @@
 		*now = now.Add(forgetting)
 		c.tidy()
 		assert.Zero(t, c.grantAll("entry-0000", ask(5)).Granted[0])
-		*now = now.Add(limit.TTL)
+		*now = now.Add(limit.LeaseTTL)
 		assert.NotZero(t, c.grantAll("entry-0000", ask(5)).Granted[0])
 	})
 	t.Run("a lowered limit is in force within the length of a lease", func(t *testing.T) {
 		c, now := newController(t, 0, 1)
-		*now = now.Add(limit.TTL)
-		before := c.grantAll("entry-0000", ask(50)).Granted[0][limit.Requests]
+		*now = now.Add(limit.LeaseTTL)
+		before := c.grantAll("entry-0000", ask(50)).Granted[0][limit.RequestsPerSecond]
 		lower := limited
 		lower.Limits.RequestsPerSecond = 10
 		value, err := json.Marshal(lower)
 		require.NoError(t, err)
 		c.Table.Apply(rillreach.Object{Name: lower.Name(), Version: 2, Value: value})
-		after := c.grantAll("entry-0000", ask(50)).Granted[0][limit.Requests]
+		after := c.grantAll("entry-0000", ask(50)).Granted[0][limit.RequestsPerSecond]
 		assert.Less(t, after, before/4)
-		assert.LessOrEqual(t, limit.TTL, 8*time.Second)
+		assert.LessOrEqual(t, limit.LeaseTTL, 8*time.Second)
 	})
 }
 
 // forgetting is longer than an owner remembers an entry's demand.
-const forgetting = 3 * limit.TTL
+const forgetting = 3 * limit.LeaseTTL
 
 func TestAdmitWithoutLimits(t *testing.T) {
 	c, _ := newController(t, 0, 1)
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -131,7 +131,7 @@
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	seen := map[rillreach.ModelID]bool{}
-	for _, line := range e.Node.Table.Lines(x.Request.Account) {
+	for _, line := range e.Node.Table.List(x.Request.Account) {
 		if !seen[line.Row.Model] {
 			list.Data = append(list.Data, modelEntry{ID: string(line.Row.Model), Object: "model", OwnedBy: "rillreach"})
 			seen[line.Row.Model] = true
--- a/filter/admit/admit.go
+++ b/filter/admit/admit.go
@@ -38,9 +38,9 @@
 
 func messageOf(m limit.Metric) string {
 	switch m {
-	case limit.Requests:
+	case limit.RequestsPerSecond:
 		return "limit of requests a second is used up"
-	case limit.Tokens:
+	case limit.TokensPerSecond:
 		return "limit of tokens a minute is used up"
 	default:
 		return "limit of requests at once is used up"
--- a/filter/dispatch/choose.go
+++ b/filter/dispatch/choose.go
@@ -26,7 +26,7 @@
 	req := &x.Request
 	side := route.Side(req.Row.Weights, req.Conversation)
 	m, choice, count := f.chooseOn(req, side, tried)
-	if other, ok := route.Other(req.Row.Weights, side); m == nil && ok {
+	if other, ok := route.FallbackSide(req.Row.Weights, side); m == nil && ok {
 		side = other
 		m, choice, count = f.chooseOn(req, side, tried)
 	}
@@ -65,7 +65,7 @@
 		candidates[rank].Home = rank == 0
 		candidates[rank].Avoid = candidates[rank].Avoid || slices.Contains(tried, m.ID)
 	}
-	choice := route.Choose(route.Question{Tokens: req.Tokens, Objective: req.Row.Objective}, candidates)
+	choice := route.Choose(route.Request{Tokens: req.Tokens, Objective: req.Row.Objective}, candidates)
 	if choice.Index < 0 {
 		return nil, choice, len(candidates)
 	}
@@ -76,14 +76,14 @@
 func (f *Filter) candidate(req *rillreach.Request, m *membership.Member) route.Candidate {
 	hint := m.Hint()
 	c := route.Candidate{
-		Wait:        max(hint.Wait-f.Node.Clock.Now().Sub(hint.At), 0),
-		PrefillRate: hint.PrefillRate,
-		HitRate:     hint.HitRate,
-		Returning:   len(req.Parts) > req.Opening,
-		Avoid:       m.IsLeaving() || m.Failing(),
+		QueueWait:    max(hint.Wait-f.Node.Clock.Now().Sub(hint.At), 0),
+		PrefillRate:  hint.PrefillRate,
+		HitRate:      hint.HitRate,
+		Continuation: len(req.Parts) > req.Opening,
+		Avoid:        m.IsLeaving() || m.Failing(),
 	}
-	if c.Returning && hint.LinkRate > 0 {
-		c.Kept = req.Tokens
+	if c.Continuation && hint.LinkRate > 0 {
+		c.StoredTokens = req.Tokens
 		c.ImportTime = time.Duration(float64(req.Tokens) * hint.StateBytes / hint.LinkRate * float64(time.Second))
 	}
 	return c
--- a/filter/dispatch/dispatch.go
+++ b/filter/dispatch/dispatch.go
@@ -64,7 +64,7 @@
 		err = f.awaitSilent(ctx, x, silent, err)
 	}
 	if err == nil {
-		f.Budget.Earn()
+		f.Budget.RecordSuccess()
 	}
 	return err
 }
@@ -109,14 +109,14 @@
 
 func (f *Filter) decide(ctx context.Context, x *rillreach.Exchange, refusal *rillreach.Refusal, attempt int) retry.Verdict {
 	if ctx.Err() != nil {
-		return retry.VerdictDeadline
+		return retry.VerdictDeadlineExceeded
 	}
 	return f.Budget.Decide(f.Node.Clock.Now(), retry.Failure{
-		Refusal:  refusal,
-		Attempt:  attempt,
-		Began:    x.Began,
-		Once:     x.Request.Once,
-		Deadline: x.Request.Deadline,
+		Refusal:         refusal,
+		Attempt:         attempt,
+		ResponseStarted: x.Began,
+		NonIdempotent:   x.Request.Once,
+		Deadline:        x.Request.Deadline,
 	})
 }
 
--- a/filter/dispatch/dispatch_test.go
+++ b/filter/dispatch/dispatch_test.go
@@ -134,7 +134,7 @@
 	t.Run("is not waited for without a retry to spend", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, start := newSmallFleet(t, 1), time.Now()
-			for f.Budget.Spend() {
+			for f.Budget.TrySpend() {
 				continue
 			}
 			assertRefusal(t, f.ask(t.Context(), errDied), rillreach.OutcomeUnknown)
--- a/filter/dispatch/once.go
+++ b/filter/dispatch/once.go
@@ -81,7 +81,7 @@
 		}
 		f.believe(m, refusal)
 		unknown = unknown || refusal.Outcome == rillreach.OutcomeUnknown
-		if refusal.Owner || refusal.Reason != rillreach.ReasonCut || x.Began || ctx.Err() != nil || !f.Budget.Spend() {
+		if refusal.Owner || refusal.Reason != rillreach.ReasonCut || x.Began || ctx.Err() != nil || !f.Budget.TrySpend() {
 			break
 		}
 		pause.For(ctx, sameOwnerPause)
@@ -92,7 +92,7 @@
 func (f *Filter) tryOwner(ctx context.Context, x *rillreach.Exchange, m *membership.Member, attempt int) *rillreach.Refusal {
 	err := f.attempt(ctx, x, m, f.message(x, attempt), nil)
 	if err == nil {
-		f.Budget.Earn()
+		f.Budget.RecordSuccess()
 		return nil
 	}
 	refusal := asRefusal(err)
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -26,7 +26,7 @@
 		return errors.Newf("%d leases are asked for at once, more than %d", len(a.Rows), maxLeases)
 	}
 	for _, r := range a.Rows {
-		if r.Part < 0 || int(r.Part) >= limit.OwnedParts {
+		if r.Part < 0 || int(r.Part) >= limit.OwnedPartCount {
 			return errors.Newf("part %d has no owner", r.Part)
 		}
 		if err := r.Demand.Check(); err != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -98,7 +98,7 @@
 	outages  poison.Outages
 	// crashed is told when the entry itself has seen a crash, or that one is no longer held against a request.
 	crashed broadcast.Signal
-	budgets retry.Shares
+	budgets retry.ServiceBudgets
 	// limited are the runners that name a limit.
 	limited limitedRunners
 	running node.Inflight
@@ -131,7 +131,7 @@
 	if g.Clock == nil {
 		g.Clock = node.SystemClock()
 	}
-	g.budgets = retry.Shares{Ratio: g.Settings.Bounds.RetryRatio, Window: g.Settings.Bounds.RetryWindow, Slack: g.Settings.Bounds.RetrySlack}
+	g.budgets = retry.ServiceBudgets{Ratio: g.Settings.Bounds.RetryRatio, Window: g.Settings.Bounds.RetryWindow, Slack: g.Settings.Bounds.RetrySlack}
 	g.server = g.newServer()
 	g.listener = &callerListener{Listener: node.Listener{Listener: g.Callers}, idles: g.idles, log: g.Log}
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -24,7 +24,7 @@
 		{Name: "rillreach.requests.waiting", Description: "prompts that wait at the entry for room at a model engine", Read: func() float64 { return float64(g.line.len()) }},
 		{Name: "rillreach.requests.suspected", Description: "requests that were under way at a runner that ended, and not answered since", Read: g.suspectCount},
 		{Name: "rillreach.requests.quarantined", Description: "requests that are not sent to runners, since runners have ended under them", Read: g.quarantinedCount},
-		{Name: "rillreach.repeats.left", Description: "share of the retry budget that is left, for the service with the least", Read: func() float64 { return g.budgets.Left(time.Now()) }},
+		{Name: "rillreach.repeats.left", Description: "share of the retry budget that is left, for the service with the least", Read: func() float64 { return g.budgets.Remaining(time.Now()) }},
 		{Name: "rillreach.connections.opened", Description: "connections to runners that were made", Read: func() float64 { return float64(g.pool.Opened.Load()) }},
 		{Name: "rillreach.stores.usable", Description: "stores of KV cache that may be asked now", Read: func() float64 { return float64(g.stores.count(time.Now())) }},
 	}...)
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -68,7 +68,7 @@
 	if x.service == nil {
 		return unknownService
 	}
-	g.budgets.Request(x.arrived, x.service.Name)
+	g.budgets.RecordRequest(x.arrived, x.service.Name)
 	return nil
 }
 
@@ -249,7 +249,7 @@
 		return "runners-used"
 	case g.isQuarantined(x):
 		return verdictCrashesRunners
-	case !g.budgets.Spend(now, x.service.Name):
+	case !g.budgets.TrySpend(now, x.service.Name):
 		return verdictNoBudget
 	default:
 		return ""
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -66,7 +66,7 @@
 	}
 	o := g.options(x, g.viewsAt(now), now)
 	choice := g.chooseFree(x, o, now)
-	if choice.Index < 0 || !g.budgets.Spend(now, x.service.Name) {
+	if choice.Index < 0 || !g.budgets.TrySpend(now, x.service.Name) {
 		return false
 	}
 	t := g.assign(x, o, choice, now)
--- a/gateway/hedge_test.go
+++ b/gateway/hedge_test.go
@@ -164,7 +164,7 @@
 	t.Run("none is begun with the budget spent", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
-		for w.gateway.budgets.Spend(time.Now(), "e") {
+		for w.gateway.budgets.TrySpend(time.Now(), "e") {
 			continue
 		}
 		got := read(t, w.prompt(t, "/prompt/x"), "POST")
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -19,7 +19,7 @@
 )
 
 // coldBound is what a cold runner of these tests may get in any one second.
-var coldBound = slowstart.Limits{PerSecond: 8, Over: 1.5, Slack: 4}
+var coldBound = slowstart.Limits{PerSecond: 8, Factor: 1.5, Slack: 4}
 
 const (
 	// coldFor is how long it is cold, coldLoad how many requests come meanwhile, one after the other, and coldPrompts how many prompts.
@@ -71,14 +71,14 @@
 }
 
 func setColdBounds(s *deployment.Settings) {
-	s.Bounds.SlowStartOver, s.Bounds.SlowStartSlack = coldBound.Over, coldBound.Slack
+	s.Bounds.SlowStartOver, s.Bounds.SlowStartSlack = coldBound.Factor, coldBound.Slack
 }
 
 // assertColdBound asserts that so many had come at no moment since the start that the bound was broken in one of the seconds. A machine that is busy
 // lets requests arrive late, and never early.
 func assertColdBound(t *testing.T, a *arrivals, start time.Time) {
 	t.Helper()
-	most := coldBound.PerSecond*coldBound.Over + coldBound.Slack
+	most := coldBound.PerSecond*coldBound.Factor + coldBound.Slack
 	for i, after := range a.since(start) {
 		assert.LessOrEqual(t, float64(i+1), most*math.Ceil(after.Seconds()), "after %s", after)
 	}
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -210,7 +210,7 @@
 	t.Run("where no budget is left for another, too", func(t *testing.T) {
 		w := begin(t, defaultConfig(), &site.Runner{ID: "a", Handle: pauses}, &site.Runner{ID: "b", Handle: pauses})
 		defer w.stop()
-		for w.gateway.budgets.Spend(time.Now(), "plain") {
+		for w.gateway.budgets.TrySpend(time.Now(), "plain") {
 			continue
 		}
 		assertWhole(t, w)
--- a/limit/amounts.go
+++ b/limit/amounts.go
@@ -13,12 +13,12 @@
 
 // The metrics that are leased.
 const (
-	// Requests is requests a second.
-	Requests Metric = iota
-	// Tokens is tokens a second.
-	Tokens
-	// Concurrent is requests at once.
-	Concurrent
+	// RequestsPerSecond is requests a second.
+	RequestsPerSecond Metric = iota
+	// TokensPerSecond is tokens a second.
+	TokensPerSecond
+	// ConcurrentRequests is requests at once.
+	ConcurrentRequests
 	metricCount
 )
 
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// Of returns a row's limits as amounts, and which of them the row sets.
-func Of(l rillreach.Limits) (caps Amounts, set [metricCount]bool) {
+// AmountsOf returns a row's limits as amounts, and which of them the row sets.
+func AmountsOf(l rillreach.Limits) (caps Amounts, set [metricCount]bool) {
 	caps = Amounts{
-		Requests:   l.RequestsPerSecond,
-		Tokens:     float64(l.TokensPerMinute) / secondsPerMinute,
-		Concurrent: float64(l.Concurrent),
+		RequestsPerSecond:  l.RequestsPerSecond,
+		TokensPerSecond:    float64(l.TokensPerMinute) / secondsPerMinute,
+		ConcurrentRequests: float64(l.Concurrent),
 	}
 	for m := range caps {
 		set[m] = caps[m] > 0
@@ -60,8 +60,8 @@
 	PartStatic
 	PartCount
 
-	// OwnedParts is how many parts have an owner.
-	OwnedParts = int(PartStatic)
+	// OwnedPartCount is how many parts have an owner.
+	OwnedPartCount = int(PartStatic)
 )
 
 // staticShare is how much of a limit is spread without an owner.
@@ -73,7 +73,7 @@
 	for m, limit := range caps {
 		static := staticShare * limit
 		half := (limit - static) / 2
-		if Metric(m) == Concurrent {
+		if Metric(m) == ConcurrentRequests {
 			static = math.Floor(static)
 			half = math.Floor((limit - static) / 2)
 		}
@@ -84,9 +84,9 @@
 	return parts
 }
 
-// Static is what the entry of a rank among all entries has of the static part: the first few by rank share it, so that
+// StaticShare is what the entry of a rank among all entries has of the static part: the first few by rank share it, so that
 // each of them has at least one whole unit.
-func Static(part Amounts, rank, entries int) Amounts {
+func StaticShare(part Amounts, rank, entries int) Amounts {
 	var share Amounts
 	for m, whole := range part {
 		holders := min(max(int(whole), 1), entries)
@@ -94,7 +94,7 @@
 			continue
 		}
 		share[m] = whole / float64(holders)
-		if Metric(m) == Concurrent {
+		if Metric(m) == ConcurrentRequests {
 			share[m] = math.Floor(share[m])
 		}
 	}
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -17,15 +17,15 @@
 func owner() *Owner { return &Owner{Since: start.Add(-time.Hour)} }
 
 func wanting(requests float64) Amounts {
-	return Amounts{Requests: requests, Concurrent: requests}
+	return Amounts{RequestsPerSecond: requests, ConcurrentRequests: requests}
 }
 
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		caps := Amounts{
-			Requests:   rapid.Float64Range(0, 1000).Draw(rt, "requests"),
-			Tokens:     rapid.Float64Range(0, 1e6).Draw(rt, "tokens"),
-			Concurrent: float64(rapid.IntRange(0, 1000).Draw(rt, "concurrent")),
+			RequestsPerSecond:  rapid.Float64Range(0, 1000).Draw(rt, "requests"),
+			TokensPerSecond:    rapid.Float64Range(0, 1e6).Draw(rt, "tokens"),
+			ConcurrentRequests: float64(rapid.IntRange(0, 1000).Draw(rt, "concurrent")),
 		}
 		parts := Split(caps)
 		for m, whole := range caps {
@@ -41,11 +41,11 @@
 
 func TestStaticNeverPassesItsPart(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		part := Split(Amounts{Requests: rapid.Float64Range(0, 500).Draw(rt, "requests"), Concurrent: 60})[PartStatic]
+		part := Split(Amounts{RequestsPerSecond: rapid.Float64Range(0, 500).Draw(rt, "requests"), ConcurrentRequests: 60})[PartStatic]
 		entries := rapid.IntRange(1, 100).Draw(rt, "entries")
 		var sum Amounts
 		for rank := range entries {
-			for m, v := range Static(part, rank, entries) {
+			for m, v := range StaticShare(part, rank, entries) {
 				sum[m] += v
 			}
 		}
@@ -56,35 +56,35 @@
 }
 
 func TestOwnerGrants(t *testing.T) {
-	have := Amounts{Requests: 90, Concurrent: 9}
+	have := Amounts{RequestsPerSecond: 90, ConcurrentRequests: 9}
 	t.Run("a demand below an equal part is met", func(t *testing.T) {
 		o := owner()
 		o.Grant(start, "a", have, wanting(4))
-		assert.Equal(t, Amounts{Requests: 5, Concurrent: 5}, o.Grant(start, "b", have, wanting(5)))
+		assert.Equal(t, Amounts{RequestsPerSecond: 5, ConcurrentRequests: 5}, o.Grant(start, "b", have, wanting(5)))
 	})
 	t.Run("two that want all get half each once the first lease is renewed", func(t *testing.T) {
 		o := owner()
-		assert.InDelta(t, 90, o.Grant(start, "a", have, wanting(500))[Requests], 0)
-		assert.Zero(t, o.Grant(start, "b", have, wanting(500))[Requests])
-		assert.InDelta(t, 45, o.Grant(start, "a", have, wanting(500))[Requests], 1e-9)
-		assert.InDelta(t, 45, o.Grant(start, "b", have, wanting(500))[Requests], 1e-9)
+		assert.InDelta(t, 90, o.Grant(start, "a", have, wanting(500))[RequestsPerSecond], 0)
+		assert.Zero(t, o.Grant(start, "b", have, wanting(500))[RequestsPerSecond])
+		assert.InDelta(t, 45, o.Grant(start, "a", have, wanting(500))[RequestsPerSecond], 1e-9)
+		assert.InDelta(t, 45, o.Grant(start, "b", have, wanting(500))[RequestsPerSecond], 1e-9)
 	})
 	t.Run("an entry that vanishes gives its lease back when it ends", func(t *testing.T) {
 		o := owner()
 		o.Grant(start, "a", have, wanting(500))
-		assert.Zero(t, o.Grant(start.Add(TTL-1), "b", have, wanting(500))[Requests])
-		assert.InDelta(t, 45, o.Grant(start.Add(TTL), "b", have, wanting(500))[Requests], 1e-9)
-		assert.InDelta(t, 90, o.Grant(start.Add(2*TTL+1), "b", have, wanting(500))[Requests], 1e-9)
+		assert.Zero(t, o.Grant(start.Add(LeaseTTL-1), "b", have, wanting(500))[RequestsPerSecond])
+		assert.InDelta(t, 45, o.Grant(start.Add(LeaseTTL), "b", have, wanting(500))[RequestsPerSecond], 1e-9)
+		assert.InDelta(t, 90, o.Grant(start.Add(2*LeaseTTL+1), "b", have, wanting(500))[RequestsPerSecond], 1e-9)
 	})
 	t.Run("a new owner waits until the leases of the one before have ended", func(t *testing.T) {
 		o := &Owner{Since: start}
-		assert.Zero(t, o.Grant(start.Add(TTL-1), "a", have, wanting(5)))
-		assert.NotZero(t, o.Grant(start.Add(TTL), "a", have, wanting(5)))
+		assert.Zero(t, o.Grant(start.Add(LeaseTTL-1), "a", have, wanting(5)))
+		assert.NotZero(t, o.Grant(start.Add(LeaseTTL), "a", have, wanting(5)))
 	})
 	t.Run("less than one request at once is not leased", func(t *testing.T) {
 		o := owner()
-		assert.InDelta(t, 1, o.Grant(start, "a", Amounts{Concurrent: 1}, wanting(0.5))[Concurrent], 0)
-		assert.Zero(t, o.Grant(start, "b", Amounts{Concurrent: 1}, wanting(0.5))[Concurrent])
+		assert.InDelta(t, 1, o.Grant(start, "a", Amounts{ConcurrentRequests: 1}, wanting(0.5))[ConcurrentRequests], 0)
+		assert.Zero(t, o.Grant(start, "b", Amounts{ConcurrentRequests: 1}, wanting(0.5))[ConcurrentRequests])
 	})
 }
 
@@ -92,13 +92,13 @@
 func TestOwnerNeverLeasesMoreThanItHas(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		o, now := owner(), start
-		have := Amounts{Requests: rapid.Float64Range(0, 50).Draw(rt, "requests"), Concurrent: float64(rapid.IntRange(0, 9).Draw(rt, "concurrent"))}
+		have := Amounts{RequestsPerSecond: rapid.Float64Range(0, 50).Draw(rt, "requests"), ConcurrentRequests: float64(rapid.IntRange(0, 9).Draw(rt, "concurrent"))}
 		held := map[string]holding{}
 		rt.Repeat(map[string]func(*rapid.T){
 			"ask": func(rt *rapid.T) {
 				entry := fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "entry"))
 				granted := o.Grant(now, rillreach.InstanceID(entry), have, wanting(rapid.Float64Range(0, 60).Draw(rt, "demand")))
-				held[entry] = holding{amounts: granted, expires: now.Add(TTL)}
+				held[entry] = holding{amounts: granted, expires: now.Add(LeaseTTL)}
 			},
 			"time": func(rt *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
@@ -112,17 +112,17 @@
 						}
 					}
 				}
-				require.LessOrEqual(rt, sum[Requests], have[Requests]+1e-6)
-				require.LessOrEqual(rt, sum[Concurrent], have[Concurrent])
+				require.LessOrEqual(rt, sum[RequestsPerSecond], have[RequestsPerSecond]+1e-6)
+				require.LessOrEqual(rt, sum[ConcurrentRequests], have[ConcurrentRequests])
 			},
 		})
 	})
 }
 
-func shareOf(amounts Amounts) *Share {
-	s := &Share{}
-	s.Set([metricCount]bool{true, amounts[Tokens] > 0, amounts[Concurrent] > 0})
-	s.Hold(start, PartFirst, amounts, start.Add(time.Hour))
+func shareOf(amounts Amounts) *Limiter {
+	s := &Limiter{}
+	s.SetMetrics([metricCount]bool{true, amounts[TokensPerSecond] > 0, amounts[ConcurrentRequests] > 0})
+	s.SetLease(start, PartFirst, amounts, start.Add(time.Hour))
 	s.refill(start.Add(time.Second))
 	return s
 }
@@ -130,30 +130,30 @@
 func TestShare(t *testing.T) {
 	now := start.Add(time.Second)
 	t.Run("without a lease nothing is let in, and the caller is told when to come back", func(t *testing.T) {
-		s := &Share{}
-		s.Set([metricCount]bool{true})
+		s := &Limiter{}
+		s.SetMetrics([metricCount]bool{true})
 		v := s.Admit(start, 1)
 		assert.False(t, v.OK)
 		assert.Positive(t, v.RetryAfter)
 	})
 	t.Run("requests at once end with the share", func(t *testing.T) {
-		s := shareOf(Amounts{Requests: 100, Concurrent: 2})
+		s := shareOf(Amounts{RequestsPerSecond: 100, ConcurrentRequests: 2})
 		assert.True(t, s.Admit(now, 0).OK)
 		assert.True(t, s.Admit(now, 0).OK)
-		assert.Equal(t, Concurrent, s.Admit(now, 0).Metric)
+		assert.Equal(t, ConcurrentRequests, s.Admit(now, 0).Metric)
 		s.Done()
 		assert.True(t, s.Admit(now, 0).OK)
 	})
 	t.Run("a request larger than what can be saved up is let in and paid for", func(t *testing.T) {
-		s := shareOf(Amounts{Requests: 100, Tokens: 10})
+		s := shareOf(Amounts{RequestsPerSecond: 100, TokensPerSecond: 10})
 		assert.True(t, s.Admit(now, 50).OK)
 		assert.False(t, s.Admit(now.Add(time.Second), 1).OK)
 		assert.True(t, s.Admit(now.Add(5*time.Second), 1).OK)
 	})
 	t.Run("a lease that has ended counts for nothing", func(t *testing.T) {
-		s := &Share{}
-		s.Hold(start, PartFirst, Amounts{Requests: 5}, start.Add(TTL))
-		assert.Zero(t, s.Allowed(start.Add(TTL)))
+		s := &Limiter{}
+		s.SetLease(start, PartFirst, Amounts{RequestsPerSecond: 5}, start.Add(LeaseTTL))
+		assert.Zero(t, s.Allowed(start.Add(LeaseTTL)))
 	})
 }
 
@@ -163,17 +163,17 @@
 func TestSumOverEntries(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const entryCount, limitRate = 4, 40.0
-		caps := Amounts{Requests: limitRate}
+		caps := Amounts{RequestsPerSecond: limitRate}
 		parts := Split(caps)
-		shares := make([]*Share, entryCount)
+		shares := make([]*Limiter, entryCount)
 		for i := range shares {
-			shares[i] = &Share{}
-			shares[i].Set([metricCount]bool{true})
-			shares[i].Hold(start, PartStatic, Static(parts[PartStatic], i, entryCount), time.Time{})
+			shares[i] = &Limiter{}
+			shares[i].SetMetrics([metricCount]bool{true})
+			shares[i].SetLease(start, PartStatic, StaticShare(parts[PartStatic], i, entryCount), time.Time{})
 		}
 		doubled := rapid.Bool().Draw(rt, "doubled")
-		books := [2][OwnedParts]*Owner{{owner(), owner()}, {owner(), owner()}}
-		lost := rapid.IntRange(0, OwnedParts).Draw(rt, "lost")
+		books := [2][OwnedPartCount]*Owner{{owner(), owner()}, {owner(), owner()}}
+		lost := rapid.IntRange(0, OwnedPartCount).Draw(rt, "lost")
 		let, seconds := 0, rapid.IntRange(2, 10).Draw(rt, "seconds")
 		const step = 50 * time.Millisecond
 		for now := start; now.Before(start.Add(time.Duration(seconds) * time.Second)); now = now.Add(step) {
@@ -182,14 +182,14 @@
 				if doubled {
 					view = i % 2
 				}
-				if now.Sub(start)%RenewEvery == 0 {
+				if now.Sub(start)%RenewInterval == 0 {
 					demand := s.Demand(now)
-					for part := range OwnedParts {
+					for part := range OwnedPartCount {
 						if part == lost {
 							continue
 						}
 						granted := books[view][part].Grant(now, rillreach.InstanceID(fmt.Sprint(i)), parts[part], demand)
-						s.Hold(now, Part(part), granted, now.Add(TTL))
+						s.SetLease(now, Part(part), granted, now.Add(LeaseTTL))
 					}
 				}
 				for s.Admit(now, 0).OK {
--- a/limit/owner.go
+++ b/limit/owner.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// TTL is how long a lease lasts.
-	TTL = 6 * time.Second
-	// RenewEvery is how often an entry asks for its leases anew.
-	RenewEvery = 2 * time.Second
+	// LeaseTTL is how long a lease lasts.
+	LeaseTTL = 6 * time.Second
+	// RenewInterval is how often an entry asks for its leases anew.
+	RenewInterval = 2 * time.Second
 	// forgetAfter is how long an owner remembers an entry's demand.
-	forgetAfter = 2 * TTL
+	forgetAfter = 2 * LeaseTTL
 )
 
 // Owner is the books of one owner for one part of one row; its zero value is ready.
@@ -37,7 +37,7 @@
 	o.forget(now)
 	c := o.claimOf(entry)
 	c.demand, c.seen = demand, now
-	if now.Sub(o.Since) < TTL {
+	if now.Sub(o.Since) < LeaseTTL {
 		return Amounts{}
 	}
 	var granted Amounts
@@ -45,7 +45,7 @@
 		granted[m] = o.grant(Metric(m), now, c, have[m])
 	}
 	c.granted = granted
-	c.expires = now.Add(TTL)
+	c.expires = now.Add(LeaseTTL)
 	return granted
 }
 
@@ -74,7 +74,7 @@
 	if c.demand[m] <= 0 || granted < unit {
 		return 0
 	}
-	if m == Concurrent {
+	if m == ConcurrentRequests {
 		return float64(int(granted))
 	}
 	return granted
--- a/limit/share.go
+++ b/limit/share.go
@@ -13,8 +13,8 @@
 	burstSeconds = 1.0
 )
 
-// Share is what one entry may use of one row's limits; its zero value may use nothing.
-type Share struct {
+// Limiter is what one entry may use of one row's limits; its zero value may use nothing.
+type Limiter struct {
 	parts   [PartCount]holding
 	set     [metricCount]bool
 	saved   Amounts
@@ -39,17 +39,17 @@
 	RetryAfter time.Duration
 }
 
-// Set says which metrics the row limits.
-func (s *Share) Set(set [metricCount]bool) { s.set = set }
+// SetMetrics says which metrics the row limits.
+func (s *Limiter) SetMetrics(set [metricCount]bool) { s.set = set }
 
-// Hold takes in a lease of a part until its end; the static part never ends.
-func (s *Share) Hold(now time.Time, part Part, amounts Amounts, expires time.Time) {
+// SetLease takes in a lease of a part until its end; the static part never ends.
+func (s *Limiter) SetLease(now time.Time, part Part, amounts Amounts, expires time.Time) {
 	s.refill(now)
 	s.parts[part] = holding{amounts: amounts, expires: expires}
 }
 
 // Allowed is what may be used now.
-func (s *Share) Allowed(now time.Time) Amounts {
+func (s *Limiter) Allowed(now time.Time) Amounts {
 	var sum Amounts
 	for part, h := range s.parts {
 		if Part(part) != PartStatic && !now.Before(h.expires) {
@@ -63,56 +63,56 @@
 }
 
 // Admit decides on a request that costs some tokens, and counts it if it is let in; Done has to follow.
-func (s *Share) Admit(now time.Time, tokens float64) Verdict {
+func (s *Limiter) Admit(now time.Time, tokens float64) Verdict {
 	s.refill(now)
 	allowed := s.Allowed(now)
-	s.asked[Requests]++
-	s.asked[Tokens] += tokens
-	s.asked[Concurrent] = max(s.asked[Concurrent], float64(s.running+1))
+	s.asked[RequestsPerSecond]++
+	s.asked[TokensPerSecond] += tokens
+	s.asked[ConcurrentRequests] = max(s.asked[ConcurrentRequests], float64(s.running+1))
 	if v := s.check(allowed, tokens); !v.OK {
 		return v
 	}
-	s.saved[Requests]--
-	s.saved[Tokens] -= tokens
+	s.saved[RequestsPerSecond]--
+	s.saved[TokensPerSecond] -= tokens
 	s.running++
 	return Verdict{OK: true}
 }
 
 // Done ends a request that was let in.
-func (s *Share) Done() { s.running-- }
+func (s *Limiter) Done() { s.running-- }
 
 // Running is how many requests are running.
-func (s *Share) Running() int { return s.running }
+func (s *Limiter) Running() int { return s.running }
 
 // Demand is what the entry asks its owners for: what callers have asked for lately, and some more.
-func (s *Share) Demand(now time.Time) Amounts {
+func (s *Limiter) Demand(now time.Time) Amounts {
 	s.measure(now)
 	demand := s.use
 	for m := range demand {
 		demand[m] *= headroom
 	}
-	demand[Concurrent] = max(demand[Concurrent], float64(s.running))
+	demand[ConcurrentRequests] = max(demand[ConcurrentRequests], float64(s.running))
 	return demand
 }
 
-// Quiet reports whether the entry has no use for the row.
-func (s *Share) Quiet() bool {
+// Idle reports whether the entry has no use for the row.
+func (s *Limiter) Idle() bool {
 	const least = 0.01
-	return s.running == 0 && s.use[Requests] < least && s.asked[Requests] == 0
+	return s.running == 0 && s.use[RequestsPerSecond] < least && s.asked[RequestsPerSecond] == 0
 }
 
 // check holds a request against the saved amounts. A request may overdraw its tokens once there are any, so that one
 // larger than what can be saved up is let in, and paid for before the next.
-func (s *Share) check(allowed Amounts, tokens float64) Verdict {
+func (s *Limiter) check(allowed Amounts, tokens float64) Verdict {
 	switch {
-	case s.set[Concurrent] && float64(s.running+1) > allowed[Concurrent]:
-		return Verdict{Metric: Concurrent, RetryAfter: RenewEvery}
-	case s.set[Requests] && s.saved[Requests] < 1:
-		return Verdict{Metric: Requests, RetryAfter: until(1-s.saved[Requests], allowed[Requests])}
-	case s.set[Tokens] && s.saved[Tokens] < min(tokens, allowed[Tokens]*burstSeconds):
-		return Verdict{Metric: Tokens, RetryAfter: until(tokens-s.saved[Tokens], allowed[Tokens])}
-	case s.set[Tokens] && allowed[Tokens] <= 0:
-		return Verdict{Metric: Tokens, RetryAfter: RenewEvery}
+	case s.set[ConcurrentRequests] && float64(s.running+1) > allowed[ConcurrentRequests]:
+		return Verdict{Metric: ConcurrentRequests, RetryAfter: RenewInterval}
+	case s.set[RequestsPerSecond] && s.saved[RequestsPerSecond] < 1:
+		return Verdict{Metric: RequestsPerSecond, RetryAfter: until(1-s.saved[RequestsPerSecond], allowed[RequestsPerSecond])}
+	case s.set[TokensPerSecond] && s.saved[TokensPerSecond] < min(tokens, allowed[TokensPerSecond]*burstSeconds):
+		return Verdict{Metric: TokensPerSecond, RetryAfter: until(tokens-s.saved[TokensPerSecond], allowed[TokensPerSecond])}
+	case s.set[TokensPerSecond] && allowed[TokensPerSecond] <= 0:
+		return Verdict{Metric: TokensPerSecond, RetryAfter: RenewInterval}
 	default:
 		return Verdict{OK: true}
 	}
@@ -121,13 +121,13 @@
 // until is how long an amount takes to be saved up, but not longer than a minute.
 func until(missing, rate float64) time.Duration {
 	if rate <= 0 {
-		return RenewEvery
+		return RenewInterval
 	}
 	return min(time.Duration(missing/rate*float64(time.Second)), time.Minute)
 }
 
 // refill saves up what the time since the last call has brought.
-func (s *Share) refill(now time.Time) {
+func (s *Limiter) refill(now time.Time) {
 	passed := now.Sub(s.last).Seconds()
 	if s.last.IsZero() {
 		passed = burstSeconds
@@ -137,9 +137,9 @@
 		return
 	}
 	allowed := s.Allowed(now)
-	for _, m := range []Metric{Requests, Tokens} {
+	for _, m := range []Metric{RequestsPerSecond, TokensPerSecond} {
 		most := allowed[m] * burstSeconds
-		if m == Requests && most > 0 {
+		if m == RequestsPerSecond && most > 0 {
 			most = max(most, 1)
 		}
 		s.saved[m] = min(s.saved[m]+allowed[m]*passed, most)
@@ -147,15 +147,15 @@
 }
 
 // measure moves the measured use towards what was asked for since the last time.
-func (s *Share) measure(now time.Time) {
+func (s *Limiter) measure(now time.Time) {
 	passed := now.Sub(s.counted).Seconds()
 	if s.counted.IsZero() || passed <= 0 {
-		passed = RenewEvery.Seconds()
+		passed = RenewInterval.Seconds()
 	}
 	s.counted = now
 	for m := range s.use {
 		seen := s.asked[m]
-		if Metric(m) != Concurrent {
+		if Metric(m) != ConcurrentRequests {
 			seen /= passed
 		}
 		if seen > s.use[m] {
--- a/node/node.go
+++ b/node/node.go
@@ -198,7 +198,7 @@
 func (n *Node) applyRow(o rillreach.Object) {
 	applied := n.Table.Apply(o)
 	if applied.Verdict == table.VerdictRejected {
-		n.Log.Error(applied.Cause, "row not applied, the last good one stays in force", "row", o.Name, "version", o.Version)
+		n.Log.Error(applied.Err, "row not applied, the last good one stays in force", "row", o.Name, "version", o.Version)
 		return
 	}
 	if n.RowChanged != nil && applied.Verdict == table.VerdictApplied {
--- a/permit/allotter.go
+++ b/permit/allotter.go
@@ -31,15 +31,15 @@
 	b.at = now
 }
 
-// Allotter allots the permits for one runner. Its zero value is ready, and it may be used by several goroutines. It begins with no permit, since an
+// Allocator allots the permits for one runner. Its zero value is ready, and it may be used by several goroutines. It begins with no permit, since an
 // earlier process may just have allotted some.
-type Allotter struct {
+type Allocator struct {
 	mu     sync.Mutex
 	bucket bucket
 }
 
 // Start lets permits accrue from now on; without it they do from the first that is asked for.
-func (a *Allotter) Start(now time.Time) {
+func (a *Allocator) Start(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.bucket.at = now
@@ -48,8 +48,8 @@
 // Share is what one follower has been allotted; its zero value is that of a follower that has just come.
 type Share struct{ bucket bucket }
 
-// Take allots permits to one of so many followers, at most its share of the rate.
-func (a *Allotter) Take(now time.Time, share *Share, followers int, r Rate) int {
+// Allocate allots permits to one of so many followers, at most its share of the rate.
+func (a *Allocator) Allocate(now time.Time, share *Share, followers int, r Rate) int {
 	if r.PerSecond <= 0 {
 		return 0
 	}
--- a/permit/set.go
+++ b/permit/set.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Any reports that a request may begin.
-func (p *Set) Any(now time.Time) bool {
+// Available reports that a request may begin.
+func (p *Set) Available(now time.Time) bool {
 	p.expire(now)
 	return len(p.ends) > 0
 }
--- a/permit/set_test.go
+++ b/permit/set_test.go
@@ -21,7 +21,7 @@
 	t.Run("one that has ended counts no more", func(t *testing.T) {
 		var s Set
 		s.Add(2, start)
-		assert.False(t, s.Any(start))
+		assert.False(t, s.Available(start))
 		assert.False(t, s.Take(start))
 	})
 	t.Run("no more are kept than so many", func(t *testing.T) {
--- a/permit/spacer.go
+++ b/permit/spacer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Spacer spaces the requests of one sender to a runner for which nobody allots permits; its zero value has sent nothing.
-type Spacer struct {
+// Pacer spaces the requests of one sender to a runner for which nobody allots permits; its zero value has sent nothing.
+type Pacer struct {
 	// next is when the next request may begin, zero where none has been spaced, and space the time between two.
 	next  time.Time
 	space time.Duration
@@ -11,7 +11,7 @@
 
 // Due reports that a request may begin now, where the given time is to pass between two. The phase, from 0 to 1, says when in that time the first one
 // comes: those of senders who begin together must not.
-func (s *Spacer) Due(now time.Time, space time.Duration, phase float64) bool {
+func (s *Pacer) Due(now time.Time, space time.Duration, phase float64) bool {
 	s.space = space
 	switch {
 	case s.next.IsZero():
@@ -22,12 +22,12 @@
 	return !now.Before(s.next)
 }
 
-// Used records that a request has begun.
-func (s *Spacer) Used(now time.Time) {
+// RecordStart records that a request has begun.
+func (s *Pacer) RecordStart(now time.Time) {
 	if !s.next.IsZero() {
 		s.next = now.Add(s.space)
 	}
 }
 
 // Reset forgets what was spaced.
-func (s *Spacer) Reset() { *s = Spacer{} }
+func (s *Pacer) Reset() { *s = Pacer{} }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -27,15 +27,15 @@
 	spent float64
 }
 
-// Earn records a success.
-func (b *Budget) Earn() {
+// RecordSuccess records a success.
+func (b *Budget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-b.ratio())
 }
 
-// Spend takes one retry from the balance, or reports that there is none.
-func (b *Budget) Spend() bool {
+// TrySpend takes one retry from the balance, or reports that there is none.
+func (b *Budget) TrySpend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent+1 > b.reserve() {
@@ -65,10 +65,10 @@
 	Refusal *rillreach.Refusal
 	// Attempt counts from one.
 	Attempt int
-	// Began says that part of the answer has gone to the caller.
-	Began bool
-	// Once says that the request must not run twice.
-	Once bool
+	// ResponseStarted says that part of the answer has gone to the caller.
+	ResponseStarted bool
+	// NonIdempotent says that the request must not run twice.
+	NonIdempotent bool
 	// Deadline is when the caller gives up; zero means never.
 	Deadline time.Time
 }
@@ -78,13 +78,13 @@
 
 // The verdicts on a failed attempt.
 const (
-	VerdictRetry     Verdict = "retry"
-	VerdictFinal     Verdict = "final"
-	VerdictBegan     Verdict = "answer-began"
-	VerdictMayHave   Verdict = "may-have-run"
-	VerdictAttempts  Verdict = "attempts-used"
-	VerdictDeadline  Verdict = "deadline"
-	VerdictNoBalance Verdict = "budget-spent"
+	VerdictRetry             Verdict = "retry"
+	VerdictFinal             Verdict = "final"
+	VerdictResponseStarted   Verdict = "answer-began"
+	VerdictMayHaveRun        Verdict = "may-have-run"
+	VerdictAttemptsExhausted Verdict = "attempts-used"
+	VerdictDeadlineExceeded  Verdict = "deadline"
+	VerdictBudgetExhausted   Verdict = "budget-spent"
 )
 
 // MaxAttempts is how many attempts one request gets.
@@ -93,18 +93,18 @@
 // Decide says whether a failed attempt is followed by another; it spends from the budget when it is.
 func (b *Budget) Decide(now time.Time, f Failure) Verdict {
 	switch {
-	case f.Began:
-		return VerdictBegan
-	case f.Refusal.Outcome == rillreach.OutcomeUnknown && f.Once:
-		return VerdictMayHave
+	case f.ResponseStarted:
+		return VerdictResponseStarted
+	case f.Refusal.Outcome == rillreach.OutcomeUnknown && f.NonIdempotent:
+		return VerdictMayHaveRun
 	case f.Refusal.Outcome == rillreach.OutcomeNotRun && !f.Refusal.Elsewhere():
 		return VerdictFinal
 	case f.Attempt >= MaxAttempts:
-		return VerdictAttempts
+		return VerdictAttemptsExhausted
 	case !f.Deadline.IsZero() && !now.Before(f.Deadline):
-		return VerdictDeadline
-	case !b.Spend():
-		return VerdictNoBalance
+		return VerdictDeadlineExceeded
+	case !b.TrySpend():
+		return VerdictBudgetExhausted
 	default:
 		return VerdictRetry
 	}
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -23,12 +23,12 @@
 		verdict Verdict
 	}{
 		"a refusal as not run is tried elsewhere":            {failed(func(*Failure) {}), VerdictRetry},
-		"an answer that has begun is not":                    {failed(func(f *Failure) { f.Began = true }), VerdictBegan},
-		"nor is what may have run and must not run twice":    {failed(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, ""); f.Once = true }), VerdictMayHave},
+		"an answer that has begun is not":                    {failed(func(f *Failure) { f.ResponseStarted = true }), VerdictResponseStarted},
+		"nor is what may have run and must not run twice":    {failed(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, ""); f.NonIdempotent = true }), VerdictMayHaveRun},
 		"what may have run and may run twice is tried again": {failed(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, "") }), VerdictRetry},
 		"a bad request is bad everywhere":                    {failed(func(f *Failure) { f.Refusal = rillreach.NotRun(rillreach.ReasonBadRequest, "") }), VerdictFinal},
-		"attempts are bounded":                               {failed(func(f *Failure) { f.Attempt = MaxAttempts }), VerdictAttempts},
-		"a deadline is not passed":                           {failed(func(f *Failure) { f.Deadline = now }), VerdictDeadline},
+		"attempts are bounded":                               {failed(func(f *Failure) { f.Attempt = MaxAttempts }), VerdictAttemptsExhausted},
+		"a deadline is not passed":                           {failed(func(f *Failure) { f.Deadline = now }), VerdictDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, c.verdict, (&Budget{}).Decide(now, c.failure)) })
 	}
@@ -42,9 +42,9 @@
 		earned, spent := 0.0, 0.0
 		for _, ok := range rapid.SliceOfN(rapid.Bool(), 0, 500).Draw(rt, "successes") {
 			if ok {
-				b.Earn()
+				b.RecordSuccess()
 				earned += DefaultRatio
-			} else if b.Spend() {
+			} else if b.TrySpend() {
 				spent++
 			}
 		}
--- a/retry/shares.go
+++ b/retry/shares.go
@@ -16,9 +16,9 @@
 	shareOf = 0.85
 )
 
-// Shares bounds the sends beyond a request's first to each service, over a sliding window and over all entries together:
+// ServiceBudgets bounds the sends beyond a request's first to each service, over a sliding window and over all entries together:
 // each entry uses the ratio of its own requests and an equal part of the slack, and asks nobody. Its fields are set before use.
-type Shares struct {
+type ServiceBudgets struct {
 	// Ratio, Window and Slack are the site's bounds.
 	Ratio  float64
 	Window time.Duration
@@ -38,29 +38,29 @@
 }
 
 // SetEntries says how many entries share the slack.
-func (s *Shares) SetEntries(n int) {
+func (s *ServiceBudgets) SetEntries(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries = n
 }
 
 // Entries is how many entries share the slack, as far as is known.
-func (s *Shares) Entries() int {
+func (s *ServiceBudgets) Entries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sharing()
 }
 
 // sharing is the number of entries, or a guess while nobody has said it.
-func (s *Shares) sharing() int {
+func (s *ServiceBudgets) sharing() int {
 	if s.entries == 0 {
 		return DefaultEntries
 	}
 	return s.entries
 }
 
-// Request counts a caller's request for the service.
-func (s *Shares) Request(now time.Time, service rillreach.ServiceID) {
+// RecordRequest counts a caller's request for the service.
+func (s *ServiceBudgets) RecordRequest(now time.Time, service rillreach.ServiceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w, i := s.window(now, service)
@@ -68,15 +68,15 @@
 }
 
 // Allows reports whether one more repeat fits.
-func (s *Shares) Allows(now time.Time, service rillreach.ServiceID) bool {
+func (s *ServiceBudgets) Allows(now time.Time, service rillreach.ServiceID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w, _ := s.window(now, service)
 	return s.fits(w)
 }
 
-// Spend counts one repeat, or reports that the window holds as many as it may.
-func (s *Shares) Spend(now time.Time, service rillreach.ServiceID) bool {
+// TrySpend counts one repeat, or reports that the window holds as many as it may.
+func (s *ServiceBudgets) TrySpend(now time.Time, service rillreach.ServiceID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w, i := s.window(now, service)
@@ -87,8 +87,8 @@
 	return true
 }
 
-// Left is the part of this entry's share that is left, of the service where that is the least.
-func (s *Shares) Left(now time.Time) float64 {
+// Remaining is the part of this entry's share that is left, of the service where that is the least.
+func (s *ServiceBudgets) Remaining(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	least := 1.0
@@ -103,13 +103,13 @@
 }
 
 // fits reports whether one more repeat stays within this entry's share.
-func (s *Shares) fits(w *window) bool {
+func (s *ServiceBudgets) fits(w *window) bool {
 	repeats, most := s.use(w)
 	return float64(repeats+1) <= most
 }
 
 // use is how many repeats the window holds, and how many it may.
-func (s *Shares) use(w *window) (repeats int, most float64) {
+func (s *ServiceBudgets) use(w *window) (repeats int, most float64) {
 	requests := 0
 	for k := range slots {
 		requests += w.requests[k]
@@ -119,7 +119,7 @@
 }
 
 // window gives the counts of a service and the index of the current span, with those that are over emptied.
-func (s *Shares) window(now time.Time, service rillreach.ServiceID) (*window, int) {
+func (s *ServiceBudgets) window(now time.Time, service rillreach.ServiceID) (*window, int) {
 	if s.services == nil {
 		s.services = map[rillreach.ServiceID]*window{}
 		s.began = now
--- a/retry/shares_test.go
+++ b/retry/shares_test.go
@@ -12,9 +12,9 @@
 func TestSharesKeepTheBound(t *testing.T) {
 	const ratio, slack, window = 0.2, 54.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		entries := make([]*Shares, rapid.IntRange(1, 9).Draw(t, "entries"))
+		entries := make([]*ServiceBudgets, rapid.IntRange(1, 9).Draw(t, "entries"))
 		for i := range entries {
-			entries[i] = &Shares{Ratio: ratio, Slack: slack, Window: window}
+			entries[i] = &ServiceBudgets{Ratio: ratio, Slack: slack, Window: window}
 			entries[i].SetEntries(len(entries))
 		}
 		var requests, repeats [60]float64 // by half seconds
@@ -23,9 +23,9 @@
 			now := start.Add(time.Duration(half) * time.Second / 2)
 			for _, e := range entries {
 				for range rapid.IntRange(0, 12).Draw(t, "requests") {
-					e.Request(now, "s")
+					e.RecordRequest(now, "s")
 					requests[half]++
-					if e.Spend(now, "s") {
+					if e.TrySpend(now, "s") {
 						repeats[half]++
 					}
 				}
@@ -45,25 +45,25 @@
 func TestShares(t *testing.T) {
 	start := time.Now()
 	t.Run("services have budgets of their own", func(t *testing.T) {
-		s := &Shares{Ratio: 0.2, Slack: 8, Window: time.Second}
+		s := &ServiceBudgets{Ratio: 0.2, Slack: 8, Window: time.Second}
 		s.SetEntries(1)
-		for s.Spend(start, "a") {
+		for s.TrySpend(start, "a") {
 		}
-		assert.True(t, s.Spend(start, "b"))
+		assert.True(t, s.TrySpend(start, "b"))
 		assert.False(t, s.Allows(start, "a"))
 	})
 	t.Run("what was spent comes back once the window is over", func(t *testing.T) {
-		s := &Shares{Ratio: 0.2, Slack: 8, Window: time.Second}
+		s := &ServiceBudgets{Ratio: 0.2, Slack: 8, Window: time.Second}
 		s.SetEntries(1)
-		for s.Spend(start, "a") {
+		for s.TrySpend(start, "a") {
 		}
-		assert.False(t, s.Spend(start.Add(900*time.Millisecond), "a"))
-		assert.True(t, s.Spend(start.Add(1100*time.Millisecond), "a"))
+		assert.False(t, s.TrySpend(start.Add(900*time.Millisecond), "a"))
+		assert.True(t, s.TrySpend(start.Add(1100*time.Millisecond), "a"))
 	})
 	t.Run("until somebody says how many entries there are, few repeats are allowed", func(t *testing.T) {
-		s := &Shares{Slack: 8, Window: time.Second}
+		s := &ServiceBudgets{Slack: 8, Window: time.Second}
 		spent := 0
-		for s.Spend(start, "a") {
+		for s.TrySpend(start, "a") {
 			spent++
 		}
 		assert.LessOrEqual(t, spent, 8/DefaultEntries)
@@ -71,17 +71,17 @@
 }
 
 func TestShareLeft(t *testing.T) {
-	s := Shares{Ratio: 0.2, Window: 10 * time.Second, Slack: 80}
+	s := ServiceBudgets{Ratio: 0.2, Window: 10 * time.Second, Slack: 80}
 	s.SetEntries(4)
 	now := time.Unix(0, 0)
-	assert.InDelta(t, 1, s.Left(now), 0, "nothing is spent where nothing is asked")
-	s.Request(now, "plain")
-	before := s.Left(now)
-	for s.Spend(now, "plain") {
-		left := s.Left(now)
+	assert.InDelta(t, 1, s.Remaining(now), 0, "nothing is spent where nothing is asked")
+	s.RecordRequest(now, "plain")
+	before := s.Remaining(now)
+	for s.TrySpend(now, "plain") {
+		left := s.Remaining(now)
 		assert.Less(t, left, before)
 		before = left
 	}
 	assert.Less(t, before, 0.1)
-	assert.InDelta(t, 1, s.Left(now.Add(time.Minute)), 0, "the window has passed")
+	assert.InDelta(t, 1, s.Remaining(now.Add(time.Minute)), 0, "the window has passed")
 }
--- a/roster/admit.go
+++ b/roster/admit.go
@@ -39,9 +39,9 @@
 		return DeniedLeaving
 	case now.Before(r.restUntil):
 		return DeniedResting
-	case !r.throttle.Admits(now):
+	case !r.throttle.Allows(now):
 		return DeniedLimited
-	case now.Before(r.coldUntil) && !r.permits.Any(now):
+	case now.Before(r.coldUntil) && !r.permits.Available(now):
 		return DeniedCold
 	default:
 		return ""
@@ -62,7 +62,7 @@
 func (r *Runner) takeCold(now time.Time) {
 	if now.Before(r.coldUntil) {
 		r.permits.Take(now)
-		r.spacer.Used(now)
+		r.spacer.RecordStart(now)
 	}
 }
 
@@ -93,19 +93,19 @@
 func (r *Runner) AllotLimit(now time.Time, under backpressure.Limit, n int, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.throttle.Allot(now, under, n, until)
+	r.throttle.AddPermits(now, under, n, until)
 }
 
 // SinceAllotted is for how long nobody has allotted permits under the runner's limit.
 func (r *Runner) SinceAllotted(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.throttle.SinceAllotted(now)
+	return r.throttle.SinceAllocation(now)
 }
 
 // SpaceLimit gives a permit now and then while nobody allots them; see backpressure.Throttle.
 func (r *Runner) SpaceLimit(now time.Time, senders int, phase float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.throttle.Space(now, senders, phase)
+	return r.throttle.Pace(now, senders, phase)
 }
--- a/roster/runner.go
+++ b/roster/runner.go
@@ -66,7 +66,7 @@
 	coldUntil time.Time
 	permits   permit.Set
 	// spacer spaces those where the runner has no agent.
-	spacer permit.Spacer
+	spacer permit.Pacer
 	// restUntil is when the rest ends that the runner has asked for.
 	restUntil time.Time
 	// throttle keeps this process within the limit that the runner names.
--- a/roster/slow_start.go
+++ b/roster/slow_start.go
@@ -26,7 +26,7 @@
 		r.spacer.Reset()
 		return
 	}
-	if !r.permits.Any(now) && r.spacer.Due(now, space, phase) {
+	if !r.permits.Available(now) && r.spacer.Due(now, space, phase) {
 		r.permits.Add(1, now.Add(space))
 	}
 }
--- a/route/choose.go
+++ b/route/choose.go
@@ -18,8 +18,8 @@
 	ReasonNone      Reason = "no-candidate"
 )
 
-// Question is what has to be placed.
-type Question struct {
+// Request is what has to be placed.
+type Request struct {
 	// Tokens is the length of the prompt.
 	Tokens int
 	// Objective is the row's.
@@ -28,22 +28,22 @@
 
 // Candidate is a runner that could take the request, with what is known or estimated of it.
 type Candidate struct {
-	// Wait is the estimated time until the runner would begin.
-	Wait time.Duration
+	// QueueWait is the estimated time until the runner would begin.
+	QueueWait time.Duration
 	// PrefillRate is the tokens a second that the runner computes.
 	PrefillRate float64
-	// Cached is how many leading tokens its accelerator memory is expected to hold.
-	Cached int
-	// Kept is how many leading tokens could be imported from a store.
-	Kept int
+	// CachedTokens is how many leading tokens its accelerator memory is expected to hold.
+	CachedTokens int
+	// StoredTokens is how many leading tokens could be imported from a store.
+	StoredTokens int
 	// ImportTime is how long the import of the kept tokens would take, the link's queue included.
 	ImportTime time.Duration
 	// Home says that the runner is the conversation's first by rank.
 	Home bool
-	// Returning says that the prompt goes on from an earlier one, HitRate how often the runner's memory has lately held
+	// Continuation says that the prompt goes on from an earlier one, HitRate how often the runner's memory has lately held
 	// the state of such a prompt when it came home.
-	Returning bool
-	HitRate   float64
+	Continuation bool
+	HitRate      float64
 	// Avoid says that the runner is suspected, leaving or has refused already.
 	Avoid bool
 }
@@ -56,10 +56,10 @@
 	Reason Reason
 	// Import says that the kept state is worth importing.
 	Import bool
-	// Start is the estimated time to first token.
-	Start time.Duration
-	// Recomputed is the estimated number of tokens computed although they were computed before.
-	Recomputed int
+	// TimeToFirstToken is the estimated time to first token.
+	TimeToFirstToken time.Duration
+	// RecomputedTokens is the estimated number of tokens computed although they were computed before.
+	RecomputedTokens int
 }
 
 const (
@@ -72,7 +72,7 @@
 )
 
 // Choose picks the candidate with the least cost under the objective.
-func Choose(q Question, candidates []Candidate) Choice {
+func Choose(q Request, candidates []Candidate) Choice {
 	best := Choice{Index: -1, Reason: ReasonNone}
 	bestCost := 0.0
 	for i := range candidates {
@@ -91,13 +91,13 @@
 }
 
 // Estimate says how a request would start on one candidate, and whether it would import.
-func Estimate(q Question, c *Candidate) Choice {
-	plain := estimate(q, c, c.Cached, 0)
-	if c.Kept <= c.Cached {
+func Estimate(q Request, c *Candidate) Choice {
+	plain := estimate(q, c, c.CachedTokens, 0)
+	if c.StoredTokens <= c.CachedTokens {
 		plain.Reason = reasonWithoutImport(c)
 		return plain
 	}
-	imported := estimate(q, c, c.Kept, c.ImportTime)
+	imported := estimate(q, c, c.StoredTokens, c.ImportTime)
 	imported.Import = true
 	imported.Reason = ReasonImport
 	if score(q, imported) < score(q, plain) {
@@ -107,19 +107,19 @@
 	return plain
 }
 
-func estimate(q Question, c *Candidate, reused int, delay time.Duration) Choice {
+func estimate(q Request, c *Candidate, reused int, delay time.Duration) Choice {
 	rate := c.PrefillRate
 	if rate <= 0 {
 		rate = defaultPrefillRate
 	}
 	computed := max(q.Tokens-reused, 0)
 	prefill := time.Duration(float64(computed) / rate * float64(time.Second))
-	return Choice{Start: max(c.Wait, delay) + prefill, Recomputed: computed}
+	return Choice{TimeToFirstToken: max(c.QueueWait, delay) + prefill, RecomputedTokens: computed}
 }
 
 func reasonWithoutImport(c *Candidate) Reason {
 	switch {
-	case c.Cached > 0:
+	case c.CachedTokens > 0:
 		return ReasonCached
 	case c.Home:
 		return ReasonHome
@@ -129,34 +129,34 @@
 }
 
 // score is the cost of a start in seconds: its delay, and what recomputing is worth under the objective.
-func score(q Question, choice Choice) float64 {
+func score(q Request, choice Choice) float64 {
 	if q.Tokens == 0 {
-		return choice.Start.Seconds()
+		return choice.TimeToFirstToken.Seconds()
 	}
 	worth := recomputeSecondsFirst
 	if q.Objective == rillreach.ObjectiveRecompute {
 		worth = recomputeSecondsRecompute
 	}
-	share := float64(choice.Recomputed) / float64(q.Tokens)
-	return choice.Start.Seconds() + worth*share
+	share := float64(choice.RecomputedTokens) / float64(q.Tokens)
+	return choice.TimeToFirstToken.Seconds() + worth*share
 }
 
 // costOf is the expected cost of a candidate: at the home of a returning prompt, that of finding its state in memory or
 // not, by the runner's hit rate.
-func costOf(q Question, c *Candidate, choice Choice) float64 {
+func costOf(q Request, c *Candidate, choice Choice) float64 {
 	cost := score(q, choice)
 	if !c.Home {
 		return cost
 	}
-	if c.Returning && c.Cached < c.Kept {
+	if c.Continuation && c.CachedTokens < c.StoredTokens {
 		held := *c
-		held.Cached, held.Kept = c.Kept, 0
+		held.CachedTokens, held.StoredTokens = c.StoredTokens, 0
 		cost += c.HitRate * (score(q, Estimate(q, &held)) - cost)
 	}
 	return cost - homeBonus
 }
 
 // Better reports whether the first of two choices is the better one under the objective.
-func Better(q Question, a, b Choice) bool {
+func Better(q Request, a, b Choice) bool {
 	return score(q, a) < score(q, b)
 }
--- a/route/rendezvous.go
+++ b/route/rendezvous.go
@@ -5,23 +5,23 @@
 // MaxRanked is the most places that Rank returns.
 const MaxRanked = 8
 
-// Ranked is the outcome of Rank: indexes in falling order of preference.
-type Ranked struct {
+// Ranking is the outcome of Rank: indexes in falling order of preference.
+type Ranking struct {
 	index  [MaxRanked]int32
 	weight [MaxRanked]uint64
 	count  int
 }
 
 // Len is how many places were ranked.
-func (r *Ranked) Len() int { return r.count }
+func (r *Ranking) Len() int { return r.count }
 
 // At is the index of the place with the given rank.
-func (r *Ranked) At(rank int) int { return int(r.index[rank]) }
+func (r *Ranking) At(rank int) int { return int(r.index[rank]) }
 
 // Rank orders count places for a conversation by rendezvous hashing and keeps the first want of them; place gives the
 // hash of each place. The order among places does not change when others come or go.
-func Rank(conversation uint64, count, want int, place func(i int) uint64) Ranked {
-	var r Ranked
+func Rank(conversation uint64, count, want int, place func(i int) uint64) Ranking {
+	var r Ranking
 	want = min(want, MaxRanked)
 	for i := range count {
 		r.insert(int32(i), hash.Mix(conversation, place(i)), want)
@@ -29,7 +29,7 @@
 	return r
 }
 
-func (r *Ranked) insert(index int32, weight uint64, want int) {
+func (r *Ranking) insert(index int32, weight uint64, want int) {
 	if r.count == want && weight <= r.weight[r.count-1] {
 		return
 	}
--- a/route/side.go
+++ b/route/side.go
@@ -20,8 +20,8 @@
 	return rillreach.SideOld
 }
 
-// Other is the side that may take a request when its own has no backend server, if the row gives it any weight.
-func Other(weights rillreach.Weights, side rillreach.Side) (rillreach.Side, bool) {
+// FallbackSide is the side that may take a request when its own has no backend server, if the row gives it any weight.
+func FallbackSide(weights rillreach.Weights, side rillreach.Side) (rillreach.Side, bool) {
 	other := rillreach.SideOld
 	if side == rillreach.SideOld {
 		other = rillreach.SideNew
--- a/sidecar/follower.go
+++ b/sidecar/follower.go
@@ -102,7 +102,7 @@
 		return 0
 	}
 	p := f.publisher
-	return p.permits.Take(time.Now(), &f.permits, int(p.sending.Load()), p.sidecar.slowStart().Rate())
+	return p.permits.Allocate(time.Now(), &f.permits, int(p.sending.Load()), p.sidecar.slowStart().Rate())
 }
 
 // sameLoad reports that the runner is as the follower was told.
--- a/sidecar/publisher.go
+++ b/sidecar/publisher.go
@@ -35,7 +35,7 @@
 	followers atomic.Int64
 	// sending are the followers that send to the runner, and share the permits for it.
 	sending atomic.Int64
-	permits permit.Allotter
+	permits permit.Allocator
 	// serving are the followers that the agent waits for when it ends, urgent wakes them.
 	serving followerGroup
 	urgent  broadcast.Signal
--- a/sidecar/quotas.go
+++ b/sidecar/quotas.go
@@ -25,7 +25,7 @@
 // quota is the limit of one runner.
 type quota struct {
 	run      rillreach.InstanceRun
-	allotter permit.Allotter
+	allotter permit.Allocator
 
 	// observed is by the runners' clock, and until when the lease ends.
 	observed backpressure.Observation
@@ -73,7 +73,7 @@
 type currentQuota struct {
 	run      rillreach.InstanceRun
 	observed backpressure.Observation
-	allotter *permit.Allotter
+	allotter *permit.Allocator
 }
 
 // limit is the limit as followers are told of it.
@@ -117,9 +117,9 @@
 		one := bulletin.Quota{RunnerLimit: q.limit()}
 		switch {
 		case q.run.ID != own:
-			one.Permits = q.allotter.Take(now, share, int(p.followers.Load()), q.observed.Limit.Rate())
+			one.Permits = q.allotter.Allocate(now, share, int(p.followers.Load()), q.observed.Limit.Rate())
 		case !f.sparse:
-			one.Permits = q.allotter.Take(now, share, int(p.sending.Load()), q.observed.Limit.Rate())
+			one.Permits = q.allotter.Allocate(now, share, int(p.sending.Load()), q.observed.Limit.Rate())
 		}
 		given = append(given, one)
 	}
--- a/slowstart/limits.go
+++ b/slowstart/limits.go
@@ -13,9 +13,9 @@
 type Limits struct {
 	// PerSecond is how many requests a second it bears; zero says that nothing is bounded.
 	PerSecond float64
-	// Over and Slack give the most in any one second: PerSecond times Over, plus Slack.
-	Over  float64
-	Slack float64
+	// Factor and Slack give the most in any one second: PerSecond times Factor, plus Slack.
+	Factor float64
+	Slack  float64
 }
 
 // Bounded reports that cold runners bear only so many requests.
@@ -26,12 +26,12 @@
 	if !l.Bounded() {
 		return permit.Rate{}
 	}
-	perSecond := min(l.PerSecond*max(l.Over, 1), (l.most()-l.burst())/(1+permit.Validity.Seconds()))
+	perSecond := min(l.PerSecond*max(l.Factor, 1), (l.most()-l.burst())/(1+permit.Validity.Seconds()))
 	return permit.Rate{PerSecond: max(0, perSecond), Burst: l.burst()}
 }
 
 // most is the bound on any one second.
-func (l Limits) most() float64 { return l.PerSecond*max(l.Over, 1) + l.Slack }
+func (l Limits) most() float64 { return l.PerSecond*max(l.Factor, 1) + l.Slack }
 
 // burst is how many permits may be allotted at once.
 func (l Limits) burst() float64 { return max(leastBurst, l.Slack*burstShare) }
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -17,19 +17,19 @@
 type fleet struct {
 	limits   Limits
 	now      time.Time
-	allotter *permit.Allotter
+	allotter *permit.Allocator
 	shares   map[int]*permit.Share
 	// allotted are the moments at which permits were allotted.
 	allotted []time.Time
 }
 
 func newFleet(l Limits) *fleet {
-	return &fleet{limits: l, now: start, allotter: &permit.Allotter{}, shares: map[int]*permit.Share{}}
+	return &fleet{limits: l, now: start, allotter: &permit.Allocator{}, shares: map[int]*permit.Share{}}
 }
 
 // restart is an agent's new process, which its followers come to anew.
 func (f *fleet) restart() {
-	f.allotter, f.shares = &permit.Allotter{}, map[int]*permit.Share{}
+	f.allotter, f.shares = &permit.Allocator{}, map[int]*permit.Share{}
 	f.allotter.Start(f.now)
 }
 
@@ -38,7 +38,7 @@
 	if f.shares[entry] == nil {
 		f.shares[entry] = &permit.Share{}
 	}
-	for range f.allotter.Take(f.now, f.shares[entry], len(f.shares), f.limits.Rate()) {
+	for range f.allotter.Allocate(f.now, f.shares[entry], len(f.shares), f.limits.Rate()) {
 		f.allotted = append(f.allotted, f.now)
 	}
 }
@@ -57,7 +57,7 @@
 
 func drawLimits(t *rapid.T) Limits {
 	return Limits{
-		PerSecond: rapid.Float64Range(1, 100).Draw(t, "per second"), Over: rapid.Float64Range(1, 3).Draw(t, "over"), Slack: rapid.Float64Range(1, 20).Draw(t, "slack"),
+		PerSecond: rapid.Float64Range(1, 100).Draw(t, "per second"), Factor: rapid.Float64Range(1, 3).Draw(t, "over"), Slack: rapid.Float64Range(1, 20).Draw(t, "slack"),
 	}
 }
 
@@ -89,7 +89,7 @@
 		seconds = 30
 		every   = 80 * time.Millisecond
 	)
-	limits := Limits{PerSecond: 11, Over: 1.5, Slack: 5}
+	limits := Limits{PerSecond: 11, Factor: 1.5, Slack: 5}
 	for _, entries := range []int{1, 3, 25, 103, 830} {
 		f := newFleet(limits)
 		for f.now.Before(start.Add(seconds * time.Second)) {
--- a/table/table.go
+++ b/table/table.go
@@ -22,19 +22,19 @@
 	VerdictRejected Verdict = "rejected"
 )
 
-// Applied is the decision on one object with its cause.
-type Applied struct {
+// ApplyResult is the decision on one object with its cause.
+type ApplyResult struct {
 	Name    string
 	Version uint64
 	Verdict Verdict
-	Cause   error
+	Err     error
 	// Before and After are the rows in force before and after a change; a row that did not exist is zero.
 	Before rillreach.Row
 	After  rillreach.Row
 }
 
-// Line is a row in force with the version of its object.
-type Line struct {
+// VersionedRow is a row in force with the version of its object.
+type VersionedRow struct {
 	Row     rillreach.Row
 	Version uint64
 }
@@ -50,18 +50,18 @@
 }
 
 type account struct {
-	lines       map[string]Line
+	lines       map[string]VersionedRow
 	seen        map[string]uint64
 	credentials []rillreach.Credential
 }
 
 // Apply takes one object of the kind rows into the table.
-func (t *Table) Apply(object rillreach.Object) Applied {
-	result := Applied{Name: object.Name, Version: object.Version}
+func (t *Table) Apply(object rillreach.Object) ApplyResult {
+	result := ApplyResult{Name: object.Name, Version: object.Version}
 	id, _, ok := strings.Cut(object.Name, "/")
 	if !ok {
 		result.Verdict = VerdictRejected
-		result.Cause = errBadName
+		result.Err = errBadName
 		return result
 	}
 	s := t.shardOf(rillreach.AccountID(id))
@@ -69,16 +69,16 @@
 	defer s.mu.Unlock()
 	a := s.account(rillreach.AccountID(id))
 	result.Before = a.lines[object.Name].Row
-	result.Verdict, result.Cause = a.apply(object)
+	result.Verdict, result.Err = a.apply(object)
 	result.After = a.lines[object.Name].Row
 	return result
 }
 
 // Find returns the line that serves a model for an account. The model is given as name or as name@version; a bare
 // name means the line that was edited last.
-func (t *Table) Find(id rillreach.AccountID, model string) (Line, bool) {
+func (t *Table) Find(id rillreach.AccountID, model string) (VersionedRow, bool) {
 	name, version, exact := strings.Cut(model, "@")
-	var found Line
+	var found VersionedRow
 	t.view(id, func(a *account) {
 		for _, line := range a.lines {
 			if string(line.Row.Model) != name || (exact && string(line.Row.Version) != version) {
@@ -92,23 +92,23 @@
 	return found, found.Version > 0
 }
 
-// Line returns the line with a name.
-func (t *Table) Line(name string) (Line, bool) {
+// Get returns the line with a name.
+func (t *Table) Get(name string) (VersionedRow, bool) {
 	id, _, _ := strings.Cut(name, "/")
-	var found Line
+	var found VersionedRow
 	t.view(rillreach.AccountID(id), func(a *account) { found = a.lines[name] })
 	return found, found.Version > 0
 }
 
-// Lines returns the lines of an account in the order of their names.
-func (t *Table) Lines(id rillreach.AccountID) []Line {
-	var lines []Line
+// List returns the lines of an account in the order of their names.
+func (t *Table) List(id rillreach.AccountID) []VersionedRow {
+	var lines []VersionedRow
 	t.view(id, func(a *account) {
 		for _, line := range a.lines {
 			lines = append(lines, line)
 		}
 	})
-	slices.SortFunc(lines, func(a, b Line) int { return strings.Compare(a.Row.Name(), b.Row.Name()) })
+	slices.SortFunc(lines, func(a, b VersionedRow) int { return strings.Compare(a.Row.Name(), b.Row.Name()) })
 	return lines
 }
 
@@ -138,7 +138,7 @@
 	}
 	a := s.accounts[id]
 	if a == nil {
-		a = &account{lines: map[string]Line{}, seen: map[string]uint64{}}
+		a = &account{lines: map[string]VersionedRow{}, seen: map[string]uint64{}}
 		s.accounts[id] = a
 	}
 	return a
@@ -161,7 +161,7 @@
 	if row.Name() != object.Name {
 		return VerdictRejected, errBadName
 	}
-	a.lines[object.Name] = Line{Row: row, Version: object.Version}
+	a.lines[object.Name] = VersionedRow{Row: row, Version: object.Version}
 	a.collect()
 	return VerdictApplied, nil
 }
