--- a/backpressure/doc.go
+++ b/backpressure/doc.go
@@ -1,3 +1,3 @@
-// Package backpressure holds what a runner's answers ask of those who send requests to it, and decides which of several answers counts. It is without
-// I/O.
+// Package backpressure keeps the senders of requests within the limits that runners state in their responses, and
+// decides which of several responses is in force. The package does no I/O.
 package backpressure
--- a/backpressure/observation.go
+++ b/backpressure/observation.go
@@ -2,39 +2,44 @@
 
 import "time"
 
-// Observation is the limit that an answer named, or that it named none; the zero value is of no answer. Times are of one clock.
+// Observation is the limit, if any, that a response of the runner stated. The zero value stands for no response. Both
+// times are read from the same clock.
 type Observation struct {
 	Limit Limit
-	// Sent is when the request was sent, Received when the head of its answer came: the runner spoke in between.
+	// Sent is when the request was sent, and Received when the response headers arrived. The runner stated the limit at
+	// some time in between.
 	Sent     time.Time
 	Received time.Time
 }
 
-// Widen allows for times that were read from another clock.
-func (o Observation) Widen(by time.Duration) Observation {
-	o.Sent, o.Received = o.Sent.Add(-by), o.Received.Add(by)
+// Widen extends the observation's time range by a margin on both sides, to allow for the skew of another clock.
+func (o Observation) Widen(margin time.Duration) Observation {
+	o.Sent, o.Received = o.Sent.Add(-margin), o.Received.Add(margin)
 	return o
 }
 
-// Merge is what counts of two observations: the later one, or the tighter where answers have crossed on the way.
+// Merge returns the observation in force out of two: the later one, or the one with the stricter limit if their time
+// ranges overlap, so that their order is unknown.
 func Merge(a, b Observation) Observation {
 	switch {
 	case a.precedes(b):
 		return b
 	case b.precedes(a):
 		return a
-	case a.Limit.tighter(b.Limit):
-		return a.until(b)
+	case a.Limit.stricterThan(b.Limit):
+		return a.extendReceived(b)
 	default:
-		return b.until(a)
+		return b.extendReceived(a)
 	}
 }
 
-// precedes reports that the runner spoke certainly earlier than in the other observation.
+// precedes reports whether the runner certainly stated this limit before the other: the response arrived before the
+// other request was sent.
 func (o Observation) precedes(other Observation) bool { return !other.Sent.Before(o.Received) }
 
-// until is the observation as one that only an answer later than the other, too, takes back.
-func (o Observation) until(other Observation) Observation {
+// extendReceived returns the observation with Received no earlier than the other's, so that only a response that is
+// later than both replaces it.
+func (o Observation) extendReceived(other Observation) Observation {
 	if other.Received.After(o.Received) {
 		o.Received = other.Received
 	}
--- a/limit/amounts.go
+++ b/limit/amounts.go
@@ -8,26 +8,23 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Metric is one of the things that a row limits.
+// Metric identifies a quantity that a row limits.
 type Metric int
 
-// The metrics that are leased.
+// The limited metrics.
 const (
-	// RequestsPerSecond is requests a second.
 	RequestsPerSecond Metric = iota
-	// TokensPerSecond is tokens a second.
 	TokensPerSecond
-	// ConcurrentRequests is requests at once.
 	ConcurrentRequests
 	metricCount
 )
 
 const secondsPerMinute = 60
 
-// Amounts is an amount of each metric.
+// Amounts holds an amount for each metric, indexed by Metric.
 type Amounts [metricCount]float64
 
-// Check reports an amount that is negative or no number.
+// Check returns an error if an amount is negative or not a number.
 func (a Amounts) Check() error {
 	for _, v := range a {
 		if v < 0 || math.IsNaN(v) {
@@ -37,41 +34,41 @@
 	return nil
 }
 
-// AmountsOf returns a row's limits as amounts, and which of them the row sets.
-func AmountsOf(l rillreach.Limits) (caps Amounts, set [metricCount]bool) {
+// AmountsOf returns a row's limits as amounts, and for each metric whether the row limits it.
+func AmountsOf(l rillreach.Limits) (caps Amounts, limited [metricCount]bool) {
 	caps = Amounts{
 		RequestsPerSecond:  l.RequestsPerSecond,
 		TokensPerSecond:    float64(l.TokensPerMinute) / secondsPerMinute,
 		ConcurrentRequests: float64(l.Concurrent),
 	}
 	for m := range caps {
-		set[m] = caps[m] > 0
+		limited[m] = caps[m] > 0
 	}
-	return caps, set
+	return caps, limited
 }
 
-// Part is a part of a row's limits.
+// Part identifies a part of a row's limits.
 type Part int
 
-// The parts of a row's limits: one for each of two owners, and one that is spread without an owner.
+// The parts of a row's limits: one for each of two owners, and a static one, which the entries share without an owner.
 const (
 	PartFirst Part = iota
 	PartSecond
 	PartStatic
 	PartCount
 
-	// OwnedPartCount is how many parts have an owner.
+	// OwnedPartCount is the number of parts that have an owner. They come before the static part.
 	OwnedPartCount = int(PartStatic)
 )
 
-// staticShare is how much of a limit is spread without an owner.
-const staticShare = 0.1
+// staticFraction is the static part's fraction of a limit.
+const staticFraction = 0.1
 
-// Split divides the limits into the parts, whose sum is the limits; requests at once are divided in whole numbers.
+// Split divides limits into parts that add up to them. ConcurrentRequests is divided into whole numbers.
 func Split(caps Amounts) [PartCount]Amounts {
 	var parts [PartCount]Amounts
 	for m, limit := range caps {
-		static := staticShare * limit
+		static := staticFraction * limit
 		half := (limit - static) / 2
 		if Metric(m) == ConcurrentRequests {
 			static = math.Floor(static)
@@ -84,16 +81,16 @@
 	return parts
 }
 
-// StaticShare is what the entry of a rank among all entries has of the static part: the first few by rank share it, so that
-// each of them has at least one whole unit.
+// StaticShare returns the share of the static part for the entry with the given rank among all entries. The part is
+// divided among the first entries by rank, as many as can have a whole unit each, but at least one.
 func StaticShare(part Amounts, rank, entries int) Amounts {
 	var share Amounts
-	for m, whole := range part {
-		holders := min(max(int(whole), 1), entries)
-		if rank >= holders {
+	for m, amount := range part {
+		sharers := min(max(int(amount), 1), entries)
+		if rank >= sharers {
 			continue
 		}
-		share[m] = whole / float64(holders)
+		share[m] = amount / float64(sharers)
 		if Metric(m) == ConcurrentRequests {
 			share[m] = math.Floor(share[m])
 		}
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -14,9 +14,9 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func owner() *Owner { return &Owner{Since: start.Add(-time.Hour)} }
+func newOwner() *Owner { return &Owner{Since: start.Add(-time.Hour)} }
 
-func wanting(requests float64) Amounts {
+func demandOf(requests float64) Amounts {
 	return Amounts{RequestsPerSecond: requests, ConcurrentRequests: requests}
 }
 
@@ -28,18 +28,18 @@
 			ConcurrentRequests: float64(rapid.IntRange(0, 1000).Draw(rt, "concurrent")),
 		}
 		parts := Split(caps)
-		for m, whole := range caps {
+		for m, amount := range caps {
 			sum := 0.0
 			for _, p := range parts {
 				require.GreaterOrEqual(rt, p[m], 0.0)
 				sum += p[m]
 			}
-			require.InDelta(rt, whole, sum, 1e-6)
+			require.InDelta(rt, amount, sum, 1e-6)
 		}
 	})
 }
 
-func TestStaticNeverPassesItsPart(t *testing.T) {
+func TestStaticSharesStayWithinPart(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		part := Split(Amounts{RequestsPerSecond: rapid.Float64Range(0, 500).Draw(rt, "requests"), ConcurrentRequests: 60})[PartStatic]
 		entries := rapid.IntRange(1, 100).Draw(rt, "entries")
@@ -56,49 +56,50 @@
 }
 
 func TestOwnerGrants(t *testing.T) {
-	have := Amounts{RequestsPerSecond: 90, ConcurrentRequests: 9}
-	t.Run("a demand below an equal part is met", func(t *testing.T) {
-		o := owner()
-		o.Grant(start, "a", have, wanting(4))
-		assert.Equal(t, Amounts{RequestsPerSecond: 5, ConcurrentRequests: 5}, o.Grant(start, "b", have, wanting(5)))
+	capacity := Amounts{RequestsPerSecond: 90, ConcurrentRequests: 9}
+	t.Run("a demand below an equal share is met", func(t *testing.T) {
+		o := newOwner()
+		o.Grant(start, "a", capacity, demandOf(4))
+		assert.Equal(t, Amounts{RequestsPerSecond: 5, ConcurrentRequests: 5}, o.Grant(start, "b", capacity, demandOf(5)))
 	})
-	t.Run("two that want all get half each once the first lease is renewed", func(t *testing.T) {
-		o := owner()
-		assert.InDelta(t, 90, o.Grant(start, "a", have, wanting(500))[RequestsPerSecond], 0)
-		assert.Zero(t, o.Grant(start, "b", have, wanting(500))[RequestsPerSecond])
-		assert.InDelta(t, 45, o.Grant(start, "a", have, wanting(500))[RequestsPerSecond], 1e-9)
-		assert.InDelta(t, 45, o.Grant(start, "b", have, wanting(500))[RequestsPerSecond], 1e-9)
+	t.Run("two entries that want everything get half each once the first lease is renewed", func(t *testing.T) {
+		o := newOwner()
+		assert.InDelta(t, 90, o.Grant(start, "a", capacity, demandOf(500))[RequestsPerSecond], 0)
+		assert.Zero(t, o.Grant(start, "b", capacity, demandOf(500))[RequestsPerSecond])
+		assert.InDelta(t, 45, o.Grant(start, "a", capacity, demandOf(500))[RequestsPerSecond], 1e-9)
+		assert.InDelta(t, 45, o.Grant(start, "b", capacity, demandOf(500))[RequestsPerSecond], 1e-9)
 	})
-	t.Run("an entry that vanishes gives its lease back when it ends", func(t *testing.T) {
-		o := owner()
-		o.Grant(start, "a", have, wanting(500))
-		assert.Zero(t, o.Grant(start.Add(LeaseTTL-1), "b", have, wanting(500))[RequestsPerSecond])
-		assert.InDelta(t, 45, o.Grant(start.Add(LeaseTTL), "b", have, wanting(500))[RequestsPerSecond], 1e-9)
-		assert.InDelta(t, 90, o.Grant(start.Add(2*LeaseTTL+1), "b", have, wanting(500))[RequestsPerSecond], 1e-9)
+	t.Run("the lease of an entry that vanishes is available again once it expires", func(t *testing.T) {
+		o := newOwner()
+		o.Grant(start, "a", capacity, demandOf(500))
+		assert.Zero(t, o.Grant(start.Add(LeaseTTL-1), "b", capacity, demandOf(500))[RequestsPerSecond])
+		assert.InDelta(t, 45, o.Grant(start.Add(LeaseTTL), "b", capacity, demandOf(500))[RequestsPerSecond], 1e-9)
+		assert.InDelta(t, 90, o.Grant(start.Add(2*LeaseTTL+1), "b", capacity, demandOf(500))[RequestsPerSecond], 1e-9)
 	})
-	t.Run("a new owner waits until the leases of the one before have ended", func(t *testing.T) {
+	t.Run("a new owner grants nothing until the leases of the previous owner have expired", func(t *testing.T) {
 		o := &Owner{Since: start}
-		assert.Zero(t, o.Grant(start.Add(LeaseTTL-1), "a", have, wanting(5)))
-		assert.NotZero(t, o.Grant(start.Add(LeaseTTL), "a", have, wanting(5)))
+		assert.Zero(t, o.Grant(start.Add(LeaseTTL-1), "a", capacity, demandOf(5)))
+		assert.NotZero(t, o.Grant(start.Add(LeaseTTL), "a", capacity, demandOf(5)))
 	})
-	t.Run("less than one request at once is not leased", func(t *testing.T) {
-		o := owner()
-		assert.InDelta(t, 1, o.Grant(start, "a", Amounts{ConcurrentRequests: 1}, wanting(0.5))[ConcurrentRequests], 0)
-		assert.Zero(t, o.Grant(start, "b", Amounts{ConcurrentRequests: 1}, wanting(0.5))[ConcurrentRequests])
+	t.Run("less than one concurrent request is not leased", func(t *testing.T) {
+		o := newOwner()
+		assert.InDelta(t, 1, o.Grant(start, "a", Amounts{ConcurrentRequests: 1}, demandOf(0.5))[ConcurrentRequests], 0)
+		assert.Zero(t, o.Grant(start, "b", Amounts{ConcurrentRequests: 1}, demandOf(0.5))[ConcurrentRequests])
 	})
 }
 
-// TestOwnerNeverLeasesMoreThanItHas has entries ask in any order and at any time.
+// TestOwnerNeverLeasesMoreThanItHas guards against current leases that add up to more than the owner's capacity, with
+// entries that ask in any order and at any time.
 func TestOwnerNeverLeasesMoreThanItHas(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		o, now := owner(), start
-		have := Amounts{RequestsPerSecond: rapid.Float64Range(0, 50).Draw(rt, "requests"), ConcurrentRequests: float64(rapid.IntRange(0, 9).Draw(rt, "concurrent"))}
-		held := map[string]holding{}
+		o, now := newOwner(), start
+		capacity := Amounts{RequestsPerSecond: rapid.Float64Range(0, 50).Draw(rt, "requests"), ConcurrentRequests: float64(rapid.IntRange(0, 9).Draw(rt, "concurrent"))}
+		held := map[string]lease{}
 		rt.Repeat(map[string]func(*rapid.T){
 			"ask": func(rt *rapid.T) {
 				entry := fmt.Sprint(rapid.IntRange(0, 4).Draw(rt, "entry"))
-				granted := o.Grant(now, rillreach.InstanceID(entry), have, wanting(rapid.Float64Range(0, 60).Draw(rt, "demand")))
-				held[entry] = holding{amounts: granted, expires: now.Add(LeaseTTL)}
+				granted := o.Grant(now, rillreach.InstanceID(entry), capacity, demandOf(rapid.Float64Range(0, 60).Draw(rt, "demand")))
+				held[entry] = lease{amounts: granted, expires: now.Add(LeaseTTL)}
 			},
 			"time": func(rt *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
@@ -112,96 +113,95 @@
 						}
 					}
 				}
-				require.LessOrEqual(rt, sum[RequestsPerSecond], have[RequestsPerSecond]+1e-6)
-				require.LessOrEqual(rt, sum[ConcurrentRequests], have[ConcurrentRequests])
+				require.LessOrEqual(rt, sum[RequestsPerSecond], capacity[RequestsPerSecond]+1e-6)
+				require.LessOrEqual(rt, sum[ConcurrentRequests], capacity[ConcurrentRequests])
 			},
 		})
 	})
 }
 
-func shareOf(amounts Amounts) *Limiter {
-	s := &Limiter{}
-	s.SetMetrics([metricCount]bool{true, amounts[TokensPerSecond] > 0, amounts[ConcurrentRequests] > 0})
-	s.SetLease(start, PartFirst, amounts, start.Add(time.Hour))
-	s.refill(start.Add(time.Second))
-	return s
+func limiterWith(amounts Amounts) *Limiter {
+	l := &Limiter{}
+	l.SetMetrics([metricCount]bool{true, amounts[TokensPerSecond] > 0, amounts[ConcurrentRequests] > 0})
+	l.SetLease(start, PartFirst, amounts, start.Add(time.Hour))
+	l.refill(start.Add(time.Second))
+	return l
 }
 
-func TestShare(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	now := start.Add(time.Second)
-	t.Run("without a lease nothing is let in, and the caller is told when to come back", func(t *testing.T) {
-		s := &Limiter{}
-		s.SetMetrics([metricCount]bool{true})
-		v := s.Admit(start, 1)
+	t.Run("without a lease a request is rejected with a time to retry after", func(t *testing.T) {
+		l := &Limiter{}
+		l.SetMetrics([metricCount]bool{true})
+		v := l.Admit(start, 1)
 		assert.False(t, v.OK)
 		assert.Positive(t, v.RetryAfter)
 	})
-	t.Run("requests at once end with the share", func(t *testing.T) {
-		s := shareOf(Amounts{RequestsPerSecond: 100, ConcurrentRequests: 2})
-		assert.True(t, s.Admit(now, 0).OK)
-		assert.True(t, s.Admit(now, 0).OK)
-		assert.Equal(t, ConcurrentRequests, s.Admit(now, 0).Metric)
-		s.Done()
-		assert.True(t, s.Admit(now, 0).OK)
+	t.Run("concurrent requests are limited to the lease", func(t *testing.T) {
+		l := limiterWith(Amounts{RequestsPerSecond: 100, ConcurrentRequests: 2})
+		assert.True(t, l.Admit(now, 0).OK)
+		assert.True(t, l.Admit(now, 0).OK)
+		assert.Equal(t, ConcurrentRequests, l.Admit(now, 0).Metric)
+		l.Done()
+		assert.True(t, l.Admit(now, 0).OK)
 	})
-	t.Run("a request larger than what can be saved up is let in and paid for", func(t *testing.T) {
-		s := shareOf(Amounts{RequestsPerSecond: 100, TokensPerSecond: 10})
-		assert.True(t, s.Admit(now, 50).OK)
-		assert.False(t, s.Admit(now.Add(time.Second), 1).OK)
-		assert.True(t, s.Admit(now.Add(5*time.Second), 1).OK)
+	t.Run("a request larger than the burst is admitted and overdraws the balance", func(t *testing.T) {
+		l := limiterWith(Amounts{RequestsPerSecond: 100, TokensPerSecond: 10})
+		assert.True(t, l.Admit(now, 50).OK)
+		assert.False(t, l.Admit(now.Add(time.Second), 1).OK)
+		assert.True(t, l.Admit(now.Add(5*time.Second), 1).OK)
 	})
-	t.Run("a lease that has ended counts for nothing", func(t *testing.T) {
-		s := &Limiter{}
-		s.SetLease(start, PartFirst, Amounts{RequestsPerSecond: 5}, start.Add(LeaseTTL))
-		assert.Zero(t, s.Allowed(start.Add(LeaseTTL)))
+	t.Run("an expired lease allows nothing", func(t *testing.T) {
+		l := &Limiter{}
+		l.SetLease(start, PartFirst, Amounts{RequestsPerSecond: 5}, start.Add(LeaseTTL))
+		assert.Zero(t, l.Allowed(start.Add(LeaseTTL)))
 	})
 }
 
-// TestSumOverEntries has entries use their shares as hard as they can while owners are lost and doubled. Over any run
-// the requests let in stay within the rate, what may be saved up, and what a second owner could lease for as long as
-// some entries believe in it.
-func TestSumOverEntries(t *testing.T) {
+// TestEntriesTogetherStayWithinLimit guards against entries that together admit more requests than the limit and the
+// burst allow, while an owner is lost, or while entries disagree about the owners, so that each part has two owners.
+func TestEntriesTogetherStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const entryCount, limitRate = 4, 40.0
 		caps := Amounts{RequestsPerSecond: limitRate}
 		parts := Split(caps)
-		shares := make([]*Limiter, entryCount)
-		for i := range shares {
-			shares[i] = &Limiter{}
-			shares[i].SetMetrics([metricCount]bool{true})
-			shares[i].SetLease(start, PartStatic, StaticShare(parts[PartStatic], i, entryCount), time.Time{})
+		limiters := make([]*Limiter, entryCount)
+		for i := range limiters {
+			limiters[i] = &Limiter{}
+			limiters[i].SetMetrics([metricCount]bool{true})
+			limiters[i].SetLease(start, PartStatic, StaticShare(parts[PartStatic], i, entryCount), time.Time{})
 		}
-		doubled := rapid.Bool().Draw(rt, "doubled")
-		books := [2][OwnedPartCount]*Owner{{owner(), owner()}, {owner(), owner()}}
+		splitBrain := rapid.Bool().Draw(rt, "split brain")
+		owners := [2][OwnedPartCount]*Owner{{newOwner(), newOwner()}, {newOwner(), newOwner()}}
 		lost := rapid.IntRange(0, OwnedPartCount).Draw(rt, "lost")
-		let, seconds := 0, rapid.IntRange(2, 10).Draw(rt, "seconds")
+		admitted, seconds := 0, rapid.IntRange(2, 10).Draw(rt, "seconds")
 		const step = 50 * time.Millisecond
 		for now := start; now.Before(start.Add(time.Duration(seconds) * time.Second)); now = now.Add(step) {
-			for i, s := range shares {
+			for i, l := range limiters {
 				view := 0
-				if doubled {
+				if splitBrain {
 					view = i % 2
 				}
 				if now.Sub(start)%RenewInterval == 0 {
-					demand := s.Demand(now)
+					demand := l.Demand(now)
 					for part := range OwnedPartCount {
 						if part == lost {
 							continue
 						}
-						granted := books[view][part].Grant(now, rillreach.InstanceID(fmt.Sprint(i)), parts[part], demand)
-						s.SetLease(now, Part(part), granted, now.Add(LeaseTTL))
+						granted := owners[view][part].Grant(now, rillreach.InstanceID(fmt.Sprint(i)), parts[part], demand)
+						l.SetLease(now, Part(part), granted, now.Add(LeaseTTL))
 					}
 				}
-				for s.Admit(now, 0).OK {
-					let++
-					s.Done()
+				for l.Admit(now, 0).OK {
+					admitted++
+					l.Done()
 				}
 			}
 		}
 		bound := limitRate*float64(seconds+1) + entryCount
-		if doubled {
+		if splitBrain {
 			bound *= 2
 		}
-		require.LessOrEqual(rt, float64(let), bound)
+		require.LessOrEqual(rt, float64(admitted), bound)
 	})
 }
--- a/limit/owner.go
+++ b/limit/owner.go
@@ -9,47 +9,48 @@
 const (
 	// LeaseTTL is how long a lease lasts.
 	LeaseTTL = 6 * time.Second
-	// RenewInterval is how often an entry asks for its leases anew.
+	// RenewInterval is the time between two renewals of an entry's leases.
 	RenewInterval = 2 * time.Second
-	// forgetAfter is how long an owner remembers an entry's demand.
-	forgetAfter = 2 * LeaseTTL
+	// staleAfter is how long an owner keeps the claim of an entry that no longer asks.
+	staleAfter = 2 * LeaseTTL
 )
 
-// Owner is the books of one owner for one part of one row; its zero value is ready.
+// Owner leases one part of one row's limits to entries. Its zero value is ready to use.
 type Owner struct {
-	// Since is when this process became the owner; until a lease's length after that it grants nothing, since leases
-	// of the owner before it may still be in use.
+	// Since is when this process became the owner. It grants nothing for LeaseTTL after that, because leases of the
+	// previous owner may still be in use.
 	Since time.Time
 
 	claims map[rillreach.InstanceID]*claim
 }
 
+// claim is the last demand and the current lease of one entry.
 type claim struct {
-	demand  Amounts
-	granted Amounts
-	expires time.Time
-	seen    time.Time
+	demand   Amounts
+	granted  Amounts
+	expires  time.Time
+	lastSeen time.Time
 }
 
-// Grant leases to an entry what its demand calls for: its fair part of what the owner has, as far as other entries'
-// leases leave it.
-func (o *Owner) Grant(now time.Time, entry rillreach.InstanceID, have, demand Amounts) Amounts {
-	o.forget(now)
-	c := o.claimOf(entry)
-	c.demand, c.seen = demand, now
+// Grant leases an entry its fair share of the part's capacity, up to its demand. The lease is reduced to what the other
+// entries' current leases leave.
+func (o *Owner) Grant(now time.Time, entry rillreach.InstanceID, capacity, demand Amounts) Amounts {
+	o.dropStaleClaims(now)
+	c := o.claimFor(entry)
+	c.demand, c.lastSeen = demand, now
 	if now.Sub(o.Since) < LeaseTTL {
 		return Amounts{}
 	}
 	var granted Amounts
-	for m := range have {
-		granted[m] = o.grant(Metric(m), now, c, have[m])
+	for m := range capacity {
+		granted[m] = o.grant(Metric(m), now, c, capacity[m])
 	}
 	c.granted = granted
 	c.expires = now.Add(LeaseTTL)
 	return granted
 }
 
-func (o *Owner) claimOf(entry rillreach.InstanceID) *claim {
+func (o *Owner) claimFor(entry rillreach.InstanceID) *claim {
 	if o.claims == nil {
 		o.claims = map[rillreach.InstanceID]*claim{}
 	}
@@ -61,16 +62,16 @@
 	return c
 }
 
-func (o *Owner) grant(m Metric, now time.Time, c *claim, have float64) float64 {
-	left := have
+func (o *Owner) grant(m Metric, now time.Time, c *claim, capacity float64) float64 {
+	available := capacity
 	for _, other := range o.claims {
 		if other != c && now.Before(other.expires) {
-			left -= other.granted[m]
+			available -= other.granted[m]
 		}
 	}
-	unit := min(1, have)
-	wanted := max(o.fair(m, c, have), unit)
-	granted := min(wanted, left)
+	unit := min(1, capacity)
+	wanted := max(o.fairShare(m, c, capacity), unit)
+	granted := min(wanted, available)
 	if c.demand[m] <= 0 || granted < unit {
 		return 0
 	}
@@ -80,10 +81,10 @@
 	return granted
 }
 
-// fair is the entry's part by max-min fairness: demands that are below an equal part are met, and the rest is divided
-// equally among the others.
-func (o *Owner) fair(m Metric, c *claim, have float64) float64 {
-	level := have
+// fairShare returns the entry's share of the capacity under max-min fairness: demands below an equal share are met, and
+// the rest is divided equally among the other entries.
+func (o *Owner) fairShare(m Metric, c *claim, capacity float64) float64 {
+	level := capacity
 	for range len(o.claims) {
 		below, above := 0.0, 0
 		for _, other := range o.claims {
@@ -96,7 +97,7 @@
 		if above == 0 {
 			break
 		}
-		next := (have - below) / float64(above)
+		next := (capacity - below) / float64(above)
 		if next >= level {
 			break
 		}
@@ -105,16 +106,16 @@
 	return min(c.demand[m], level)
 }
 
-func (o *Owner) forget(now time.Time) {
+func (o *Owner) dropStaleClaims(now time.Time) {
 	for id, c := range o.claims {
-		if now.Sub(c.seen) > forgetAfter {
+		if now.Sub(c.lastSeen) > staleAfter {
 			delete(o.claims, id)
 		}
 	}
 }
 
-// Idle reports whether nobody has asked for a while.
+// Idle reports whether no entry has asked for a lease for staleAfter.
 func (o *Owner) Idle(now time.Time) bool {
-	o.forget(now)
+	o.dropStaleClaims(now)
 	return len(o.claims) == 0
 }
--- a/limit/share.go
+++ b/limit/share.go
@@ -5,27 +5,32 @@
 )
 
 const (
-	// headroom is how much more than its use an entry asks for, so that it can grow.
-	headroom = 1.25
-	// useWeight is how fast the measured use follows.
-	useWeight = 0.3
-	// burstSeconds is how long an unused rate is saved up.
+	// headroomFactor multiplies an entry's usage to give its demand, so that the usage can grow.
+	headroomFactor = 1.25
+	// usageDecayWeight is the weight of a new measurement that is below the smoothed usage.
+	usageDecayWeight = 0.3
+	// burstSeconds is the time for which an unused rate accrues, in seconds.
 	burstSeconds = 1.0
 )
 
-// Limiter is what one entry may use of one row's limits; its zero value may use nothing.
+// Limiter admits the requests of one row at one entry, within the entry's leases. Its zero value holds no leases. It is
+// not safe for concurrent use.
 type Limiter struct {
-	parts   [PartCount]holding
-	set     [metricCount]bool
-	saved   Amounts
-	last    time.Time
-	running int
-	asked   Amounts
-	use     Amounts
-	counted time.Time
+	leases  [PartCount]lease
+	limited [metricCount]bool
+	// balance holds the accrued requests and tokens that can be used now.
+	balance    Amounts
+	lastRefill time.Time
+	running    int
+	// requested counts what callers have asked for since lastMeasured, including rejected requests.
+	requested Amounts
+	// usage is the smoothed rate of what callers ask for.
+	usage        Amounts
+	lastMeasured time.Time
 }
 
-type holding struct {
+// lease is a part's amounts that the entry may use until the lease expires.
+type lease struct {
 	amounts Amounts
 	expires time.Time
 }
@@ -33,136 +38,137 @@
 // Verdict is the decision on one request.
 type Verdict struct {
 	OK bool
-	// Metric is what there is not enough of.
+	// Metric is the exhausted metric if the request is rejected.
 	Metric Metric
-	// RetryAfter is when there may be enough.
+	// RetryAfter is the time after which a rejected request may be admitted.
 	RetryAfter time.Duration
 }
 
-// SetMetrics says which metrics the row limits.
-func (s *Limiter) SetMetrics(set [metricCount]bool) { s.set = set }
+// SetMetrics sets which metrics the row limits.
+func (l *Limiter) SetMetrics(limited [metricCount]bool) { l.limited = limited }
 
-// SetLease takes in a lease of a part until its end; the static part never ends.
-func (s *Limiter) SetLease(now time.Time, part Part, amounts Amounts, expires time.Time) {
-	s.refill(now)
-	s.parts[part] = holding{amounts: amounts, expires: expires}
+// SetLease replaces the lease of a part. The static part does not expire.
+func (l *Limiter) SetLease(now time.Time, part Part, amounts Amounts, expires time.Time) {
+	l.refill(now)
+	l.leases[part] = lease{amounts: amounts, expires: expires}
 }
 
-// Allowed is what may be used now.
-func (s *Limiter) Allowed(now time.Time) Amounts {
+// Allowed returns the sum of the current leases.
+func (l *Limiter) Allowed(now time.Time) Amounts {
 	var sum Amounts
-	for part, h := range s.parts {
-		if Part(part) != PartStatic && !now.Before(h.expires) {
+	for part, held := range l.leases {
+		if Part(part) != PartStatic && !now.Before(held.expires) {
 			continue
 		}
 		for m := range sum {
-			sum[m] += h.amounts[m]
+			sum[m] += held.amounts[m]
 		}
 	}
 	return sum
 }
 
-// Admit decides on a request that costs some tokens, and counts it if it is let in; Done has to follow.
-func (s *Limiter) Admit(now time.Time, tokens float64) Verdict {
-	s.refill(now)
-	allowed := s.Allowed(now)
-	s.asked[RequestsPerSecond]++
-	s.asked[TokensPerSecond] += tokens
-	s.asked[ConcurrentRequests] = max(s.asked[ConcurrentRequests], float64(s.running+1))
-	if v := s.check(allowed, tokens); !v.OK {
+// Admit decides on a request that costs the given number of tokens. If the request is admitted, the caller must call
+// Done when it ends.
+func (l *Limiter) Admit(now time.Time, tokens float64) Verdict {
+	l.refill(now)
+	allowed := l.Allowed(now)
+	l.requested[RequestsPerSecond]++
+	l.requested[TokensPerSecond] += tokens
+	l.requested[ConcurrentRequests] = max(l.requested[ConcurrentRequests], float64(l.running+1))
+	if v := l.check(allowed, tokens); !v.OK {
 		return v
 	}
-	s.saved[RequestsPerSecond]--
-	s.saved[TokensPerSecond] -= tokens
-	s.running++
+	l.balance[RequestsPerSecond]--
+	l.balance[TokensPerSecond] -= tokens
+	l.running++
 	return Verdict{OK: true}
 }
 
-// Done ends a request that was let in.
-func (s *Limiter) Done() { s.running-- }
+// Done records the end of an admitted request.
+func (l *Limiter) Done() { l.running-- }
 
-// Running is how many requests are running.
-func (s *Limiter) Running() int { return s.running }
+// Running returns the number of admitted requests that have not ended.
+func (l *Limiter) Running() int { return l.running }
 
-// Demand is what the entry asks its owners for: what callers have asked for lately, and some more.
-func (s *Limiter) Demand(now time.Time) Amounts {
-	s.measure(now)
-	demand := s.use
+// Demand returns what the entry asks the owners for: its recent usage and some headroom.
+func (l *Limiter) Demand(now time.Time) Amounts {
+	l.updateUsage(now)
+	demand := l.usage
 	for m := range demand {
-		demand[m] *= headroom
+		demand[m] *= headroomFactor
 	}
-	demand[ConcurrentRequests] = max(demand[ConcurrentRequests], float64(s.running))
+	demand[ConcurrentRequests] = max(demand[ConcurrentRequests], float64(l.running))
 	return demand
 }
 
-// Idle reports whether the entry has no use for the row.
-func (s *Limiter) Idle() bool {
-	const least = 0.01
-	return s.running == 0 && s.use[RequestsPerSecond] < least && s.asked[RequestsPerSecond] == 0
+// Idle reports whether the row has no running requests and hardly any recent usage.
+func (l *Limiter) Idle() bool {
+	const minUsage = 0.01 // requests per second
+	return l.running == 0 && l.usage[RequestsPerSecond] < minUsage && l.requested[RequestsPerSecond] == 0
 }
 
-// check holds a request against the saved amounts. A request may overdraw its tokens once there are any, so that one
-// larger than what can be saved up is let in, and paid for before the next.
-func (s *Limiter) check(allowed Amounts, tokens float64) Verdict {
+// check compares a request with the balance. A request that needs more tokens than can accrue is admitted once the
+// balance is full. It overdraws the balance, which has to recover before the next request is admitted.
+func (l *Limiter) check(allowed Amounts, tokens float64) Verdict {
 	switch {
-	case s.set[ConcurrentRequests] && float64(s.running+1) > allowed[ConcurrentRequests]:
+	case l.limited[ConcurrentRequests] && float64(l.running+1) > allowed[ConcurrentRequests]:
 		return Verdict{Metric: ConcurrentRequests, RetryAfter: RenewInterval}
-	case s.set[RequestsPerSecond] && s.saved[RequestsPerSecond] < 1:
-		return Verdict{Metric: RequestsPerSecond, RetryAfter: until(1-s.saved[RequestsPerSecond], allowed[RequestsPerSecond])}
-	case s.set[TokensPerSecond] && s.saved[TokensPerSecond] < min(tokens, allowed[TokensPerSecond]*burstSeconds):
-		return Verdict{Metric: TokensPerSecond, RetryAfter: until(tokens-s.saved[TokensPerSecond], allowed[TokensPerSecond])}
-	case s.set[TokensPerSecond] && allowed[TokensPerSecond] <= 0:
+	case l.limited[RequestsPerSecond] && l.balance[RequestsPerSecond] < 1:
+		return Verdict{Metric: RequestsPerSecond, RetryAfter: timeToAccrue(1-l.balance[RequestsPerSecond], allowed[RequestsPerSecond])}
+	case l.limited[TokensPerSecond] && l.balance[TokensPerSecond] < min(tokens, allowed[TokensPerSecond]*burstSeconds):
+		return Verdict{Metric: TokensPerSecond, RetryAfter: timeToAccrue(tokens-l.balance[TokensPerSecond], allowed[TokensPerSecond])}
+	case l.limited[TokensPerSecond] && allowed[TokensPerSecond] <= 0:
 		return Verdict{Metric: TokensPerSecond, RetryAfter: RenewInterval}
 	default:
 		return Verdict{OK: true}
 	}
 }
 
-// until is how long an amount takes to be saved up, but not longer than a minute.
-func until(missing, rate float64) time.Duration {
+// timeToAccrue returns the time in which the missing amount accrues, at most one minute.
+func timeToAccrue(missing, rate float64) time.Duration {
 	if rate <= 0 {
 		return RenewInterval
 	}
 	return min(time.Duration(missing/rate*float64(time.Second)), time.Minute)
 }
 
-// refill saves up what the time since the last call has brought.
-func (s *Limiter) refill(now time.Time) {
-	passed := now.Sub(s.last).Seconds()
-	if s.last.IsZero() {
-		passed = burstSeconds
+// refill adds to the balance what has accrued since the last call.
+func (l *Limiter) refill(now time.Time) {
+	elapsed := now.Sub(l.lastRefill).Seconds()
+	if l.lastRefill.IsZero() {
+		elapsed = burstSeconds
 	}
-	s.last = now
-	if passed <= 0 {
+	l.lastRefill = now
+	if elapsed <= 0 {
 		return
 	}
-	allowed := s.Allowed(now)
+	allowed := l.Allowed(now)
 	for _, m := range []Metric{RequestsPerSecond, TokensPerSecond} {
-		most := allowed[m] * burstSeconds
-		if m == RequestsPerSecond && most > 0 {
-			most = max(most, 1)
+		capacity := allowed[m] * burstSeconds
+		if m == RequestsPerSecond && capacity > 0 {
+			capacity = max(capacity, 1)
 		}
-		s.saved[m] = min(s.saved[m]+allowed[m]*passed, most)
+		l.balance[m] = min(l.balance[m]+allowed[m]*elapsed, capacity)
 	}
 }
 
-// measure moves the measured use towards what was asked for since the last time.
-func (s *Limiter) measure(now time.Time) {
-	passed := now.Sub(s.counted).Seconds()
-	if s.counted.IsZero() || passed <= 0 {
-		passed = RenewInterval.Seconds()
+// updateUsage adapts the usage to what was requested since the last call: an increase at once, a decrease gradually.
+func (l *Limiter) updateUsage(now time.Time) {
+	elapsed := now.Sub(l.lastMeasured).Seconds()
+	if l.lastMeasured.IsZero() || elapsed <= 0 {
+		elapsed = RenewInterval.Seconds()
 	}
-	s.counted = now
-	for m := range s.use {
-		seen := s.asked[m]
+	l.lastMeasured = now
+	for m := range l.usage {
+		observed := l.requested[m]
 		if Metric(m) != ConcurrentRequests {
-			seen /= passed
+			observed /= elapsed
 		}
-		if seen > s.use[m] {
-			s.use[m] = seen
+		if observed > l.usage[m] {
+			l.usage[m] = observed
 		} else {
-			s.use[m] += useWeight * (seen - s.use[m])
+			l.usage[m] += usageDecayWeight * (observed - l.usage[m])
 		}
 	}
-	s.asked = Amounts{}
+	l.requested = Amounts{}
 }
--- a/permit/doc.go
+++ b/permit/doc.go
@@ -1,4 +1,5 @@
-// Package permit bounds the requests that all entries together send to one runner. An allotter beside the runner allots permits to the entries that
-// follow it, each of which lets one request begin within a short time. Entries need no knowledge of each other, and one that is cut off from
-// the allotter gets none. It is without I/O.
+// Package permit bounds the rate of requests that all entries together send to one runner. An agent runs an Allocator
+// for the runner and issues permits to the entries that follow the agent; each permit allows one request to start
+// within a short time. Entries need no knowledge of each other, and an entry that loses its connection to the agent
+// gets no permits. The package does no I/O.
 package permit
--- a/permit/set.go
+++ b/permit/set.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// mostHeld bounds the permits that are kept for one runner.
-const mostHeld = 64
+// maxHeld is the most permits that a Set holds.
+const maxHeld = 64
 
-// Set are the permits that an entry has for one runner, by when they end; the zero value has none.
-type Set struct{ ends []time.Time }
+// Set holds an entry's permits for one runner as a list of expiration times. The zero value is empty.
+type Set struct{ expirations []time.Time }
 
-// Add takes permits that may be used until the given moment.
-func (p *Set) Add(n int, until time.Time) {
-	n = min(n, mostHeld-len(p.ends))
+// Add adds n permits that expire at the given time. Permits beyond maxHeld are dropped.
+func (s *Set) Add(n int, until time.Time) {
+	n = min(n, maxHeld-len(s.expirations))
 	for range n {
-		p.ends = append(p.ends, until)
+		s.expirations = append(s.expirations, until)
 	}
 }
 
-// Available reports that a request may begin.
-func (p *Set) Available(now time.Time) bool {
-	p.expire(now)
-	return len(p.ends) > 0
+// Available reports whether the set holds a permit that has not expired.
+func (s *Set) Available(now time.Time) bool {
+	s.expire(now)
+	return len(s.expirations) > 0
 }
 
-// Take uses the permit that ends first, and reports whether there is one.
-func (p *Set) Take(now time.Time) bool {
-	p.expire(now)
-	if len(p.ends) == 0 {
+// Take uses the permit that expires first, and reports whether there was one.
+func (s *Set) Take(now time.Time) bool {
+	s.expire(now)
+	if len(s.expirations) == 0 {
 		return false
 	}
 	first := 0
-	for i, end := range p.ends {
-		if end.Before(p.ends[first]) {
+	for i, end := range s.expirations {
+		if end.Before(s.expirations[first]) {
 			first = i
 		}
 	}
-	p.ends = slices.Delete(p.ends, first, first+1)
+	s.expirations = slices.Delete(s.expirations, first, first+1)
 	return true
 }
 
-func (p *Set) expire(now time.Time) {
-	p.ends = slices.DeleteFunc(p.ends, func(end time.Time) bool { return !now.Before(end) })
+func (s *Set) expire(now time.Time) {
+	s.expirations = slices.DeleteFunc(s.expirations, func(end time.Time) bool { return !now.Before(end) })
 }
--- a/permit/spacer.go
+++ b/permit/spacer.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// Pacer spaces the requests of one sender to a runner for which nobody allots permits; its zero value has sent nothing.
+// Pacer enforces a minimum interval between one sender's requests to a runner while no allocator issues permits. The
+// zero value is ready to use.
 type Pacer struct {
-	// next is when the next request may begin, zero where none has been spaced, and space the time between two.
-	next  time.Time
-	space time.Duration
+	// next is when the next request may start; zero before the first call to Due.
+	next time.Time
+	// interval is the time between two requests, as last passed to Due.
+	interval time.Duration
 }
 
-// Due reports that a request may begin now, where the given time is to pass between two. The phase, from 0 to 1, says when in that time the first one
-// comes: those of senders who begin together must not.
-func (s *Pacer) Due(now time.Time, space time.Duration, phase float64) bool {
-	s.space = space
+// Due reports whether a request may start now, given the interval between two requests. The phase, from 0 to 1, places
+// the first request within the interval, so that senders that start pacing at the same time do not send at the same
+// time.
+func (p *Pacer) Due(now time.Time, interval time.Duration, phase float64) bool {
+	p.interval = interval
 	switch {
-	case s.next.IsZero():
-		s.next = now.Add(time.Duration(phase * float64(space)))
-	case s.next.After(now.Add(space)):
-		s.next = now.Add(space) // more time had to pass before
+	case p.next.IsZero():
+		p.next = now.Add(time.Duration(phase * float64(interval)))
+	case p.next.After(now.Add(interval)):
+		p.next = now.Add(interval) // the interval was longer before
 	}
-	return !now.Before(s.next)
+	return !now.Before(p.next)
 }
 
-// RecordStart records that a request has begun.
-func (s *Pacer) RecordStart(now time.Time) {
-	if !s.next.IsZero() {
-		s.next = now.Add(s.space)
+// RecordStart records that a request has started. It has no effect before the first call to Due.
+func (p *Pacer) RecordStart(now time.Time) {
+	if !p.next.IsZero() {
+		p.next = now.Add(p.interval)
 	}
 }
 
-// Reset forgets what was spaced.
-func (s *Pacer) Reset() { *s = Pacer{} }
+// Reset returns the pacer to its zero value.
+func (p *Pacer) Reset() { *p = Pacer{} }
--- a/permit/spacer_test.go
+++ b/permit/spacer_test.go
@@ -7,32 +7,32 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSpacer(t *testing.T) {
-	const space = 4 * time.Second
+func TestPacer(t *testing.T) {
+	const interval = 4 * time.Second
 	at := start.Add
-	t.Run("the first request comes at its phase", func(t *testing.T) {
-		var s Pacer
-		assert.False(t, s.Due(at(0), space, 0.5))
-		assert.False(t, s.Due(at(space/2-1), space, 0))
-		assert.True(t, s.Due(at(space/2), space, 0.9))
+	t.Run("the first request is due at its phase", func(t *testing.T) {
+		var p Pacer
+		assert.False(t, p.Due(at(0), interval, 0.5))
+		assert.False(t, p.Due(at(interval/2-1), interval, 0))
+		assert.True(t, p.Due(at(interval/2), interval, 0.9))
 	})
-	t.Run("each later one so long after the one before", func(t *testing.T) {
-		var s Pacer
-		assert.True(t, s.Due(at(0), space, 0))
-		s.RecordStart(at(time.Second))
-		assert.False(t, s.Due(at(time.Second+space-1), space, 0))
-		assert.True(t, s.Due(at(time.Second+space), space, 0))
+	t.Run("each later request is due one interval after the one before", func(t *testing.T) {
+		var p Pacer
+		assert.True(t, p.Due(at(0), interval, 0))
+		p.RecordStart(at(time.Second))
+		assert.False(t, p.Due(at(time.Second+interval-1), interval, 0))
+		assert.True(t, p.Due(at(time.Second+interval), interval, 0))
 	})
-	t.Run("a shorter time holds at once", func(t *testing.T) {
-		var s Pacer
-		s.Due(at(0), space, 0)
-		s.RecordStart(at(0))
-		assert.False(t, s.Due(at(1), space/4, 0))
-		assert.True(t, s.Due(at(1+space/4), space/4, 0))
+	t.Run("a shorter interval takes effect at once", func(t *testing.T) {
+		var p Pacer
+		p.Due(at(0), interval, 0)
+		p.RecordStart(at(0))
+		assert.False(t, p.Due(at(1), interval/4, 0))
+		assert.True(t, p.Due(at(1+interval/4), interval/4, 0))
 	})
-	t.Run("what began without it changes nothing", func(t *testing.T) {
-		var s Pacer
-		s.RecordStart(at(0))
-		assert.True(t, s.Due(at(1), space, 0))
+	t.Run("a request that starts before the first call to Due has no effect", func(t *testing.T) {
+		var p Pacer
+		p.RecordStart(at(0))
+		assert.True(t, p.Due(at(1), interval, 0))
 	})
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a request that failed may be tried again: never past its deadline, never where it may
-// have run and must not run twice, and never beyond a budget that successes earn.
+// Package retry decides whether a failed request may be retried: never after its deadline, never if it must not run
+// twice and may have run, and never beyond a retry budget that successful requests replenish.
 package retry
 
 import (
@@ -10,31 +10,33 @@
 )
 
 const (
-	// DefaultRatio is how many retries one success earns.
+	// DefaultRatio is the number of retries that each success adds to a budget.
 	DefaultRatio = 0.1
-	// DefaultReserve is how many retries are there without any success.
+	// DefaultReserve is the number of retries that a budget allows without any success.
 	DefaultReserve = 10
 )
 
-// Budget is a balance of retries; its zero value uses the defaults.
+// Budget bounds the number of retries. Each retry reduces its balance by one, and each success adds Ratio to it, up to
+// Reserve. The zero value uses the defaults. It is safe for concurrent use.
 type Budget struct {
-	// Ratio is how many retries one success earns; zero means DefaultRatio.
+	// Ratio is the number of retries that each success adds; zero means DefaultRatio.
 	Ratio float64
-	// Reserve is the balance at the start and its upper bound; zero means DefaultReserve.
+	// Reserve is the initial and the maximum balance; zero means DefaultReserve.
 	Reserve float64
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// spent is the reserve less the balance.
 	spent float64
 }
 
-// RecordSuccess records a success.
+// RecordSuccess adds Ratio to the balance.
 func (b *Budget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-b.ratio())
 }
 
-// TrySpend takes one retry from the balance, or reports that there is none.
+// TrySpend takes one retry from the balance, and reports whether there was one.
 func (b *Budget) TrySpend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,26 +61,27 @@
 	return b.Reserve
 }
 
-// Failure is what is known of an attempt that did not succeed.
+// Failure describes a failed attempt.
 type Failure struct {
-	// Refusal is how the attempt ended.
+	// Refusal is the outcome of the attempt, with its reason.
 	Refusal *rillreach.Refusal
-	// Attempt counts from one.
+	// Attempt is the number of the attempt, counted from one.
 	Attempt int
-	// ResponseStarted says that part of the answer has gone to the caller.
+	// ResponseStarted is set if part of the response has been sent to the caller.
 	ResponseStarted bool
-	// NonIdempotent says that the request must not run twice.
+	// NonIdempotent is set if the request must not run twice.
 	NonIdempotent bool
-	// Deadline is when the caller gives up; zero means never.
+	// Deadline is the time after which the caller no longer waits; zero means that there is none.
 	Deadline time.Time
 }
 
-// Verdict is a decision about a retry.
+// Verdict is the decision on a failed attempt: VerdictRetry, or the reason for not retrying.
 type Verdict string
 
 // The verdicts on a failed attempt.
 const (
-	VerdictRetry             Verdict = "retry"
+	VerdictRetry Verdict = "retry"
+	// VerdictFinal means that the reason for the refusal rules out another attempt.
 	VerdictFinal             Verdict = "final"
 	VerdictResponseStarted   Verdict = "answer-began"
 	VerdictMayHaveRun        Verdict = "may-have-run"
@@ -87,10 +90,10 @@
 	VerdictBudgetExhausted   Verdict = "budget-spent"
 )
 
-// MaxAttempts is how many attempts one request gets.
+// MaxAttempts is the maximum number of attempts per request, the first one included.
 const MaxAttempts = 4
 
-// Decide says whether a failed attempt is followed by another; it spends from the budget when it is.
+// Decide decides whether a failed attempt is retried. If so, it takes the retry from the budget.
 func (b *Budget) Decide(now time.Time, f Failure) Verdict {
 	switch {
 	case f.ResponseStarted:
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -10,7 +10,7 @@
 	"github.com/rillreach/rillreach"
 )
 
-func failed(change func(*Failure)) Failure {
+func failureWith(change func(*Failure)) Failure {
 	f := Failure{Refusal: rillreach.NotRun(rillreach.ReasonOverload, "full"), Attempt: 1}
 	change(&f)
 	return f
@@ -22,20 +22,20 @@
 		failure Failure
 		verdict Verdict
 	}{
-		"a refusal as not run is tried elsewhere":            {failed(func(*Failure) {}), VerdictRetry},
-		"an answer that has begun is not":                    {failed(func(f *Failure) { f.ResponseStarted = true }), VerdictResponseStarted},
-		"nor is what may have run and must not run twice":    {failed(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, ""); f.NonIdempotent = true }), VerdictMayHaveRun},
-		"what may have run and may run twice is tried again": {failed(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, "") }), VerdictRetry},
-		"a bad request is bad everywhere":                    {failed(func(f *Failure) { f.Refusal = rillreach.NotRun(rillreach.ReasonBadRequest, "") }), VerdictFinal},
-		"attempts are bounded":                               {failed(func(f *Failure) { f.Attempt = MaxAttempts }), VerdictAttemptsExhausted},
-		"a deadline is not passed":                           {failed(func(f *Failure) { f.Deadline = now }), VerdictDeadlineExceeded},
+		"a request that has not run is retried":                     {failureWith(func(*Failure) {}), VerdictRetry},
+		"a request whose response has started is not retried":       {failureWith(func(f *Failure) { f.ResponseStarted = true }), VerdictResponseStarted},
+		"a non-idempotent request that may have run is not retried": {failureWith(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, ""); f.NonIdempotent = true }), VerdictMayHaveRun},
+		"an idempotent request that may have run is retried":        {failureWith(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, "") }), VerdictRetry},
+		"a bad request is not retried":                              {failureWith(func(f *Failure) { f.Refusal = rillreach.NotRun(rillreach.ReasonBadRequest, "") }), VerdictFinal},
+		"the number of attempts is bounded":                         {failureWith(func(f *Failure) { f.Attempt = MaxAttempts }), VerdictAttemptsExhausted},
+		"a request is not retried after its deadline":               {failureWith(func(f *Failure) { f.Deadline = now }), VerdictDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, c.verdict, (&Budget{}).Decide(now, c.failure)) })
 	}
 }
 
-// TestRetriesAreBounded has requests succeed and fail in any order: retries never pass the reserve and what successes
-// have earned.
+// TestRetriesAreBounded guards against more retries than the reserve and the preceding successes allow, with successes
+// and failures in any order.
 func TestRetriesAreBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := &Budget{}
@@ -49,7 +49,7 @@
 			}
 		}
 		if spent > DefaultReserve+earned+1e-9 {
-			rt.Fatalf("%v retries after %v earned", spent, earned)
+			rt.Fatalf("%v retries after successes added %v to the reserve", spent, earned)
 		}
 	})
 }
--- a/retry/shares.go
+++ b/retry/shares.go
@@ -8,132 +8,137 @@
 )
 
 const (
-	// slots is into how many spans the window is cut for counting.
-	slots = 10
-	// DefaultEntries is how many entries share the slack while nobody has said how many there are.
+	// slotCount is the number of time slots that make up the sliding window.
+	slotCount = 10
+	// DefaultEntries is the number of entries assumed to share the slack until SetEntries is called.
 	DefaultEntries = 8
-	// shareOf is the part of ratio and slack that is used; the rest covers requests counted late.
-	shareOf = 0.85
+	// usableFraction is the fraction of ratio and slack that is used. The rest covers requests that are counted late.
+	usableFraction = 0.85
 )
 
-// ServiceBudgets bounds the sends beyond a request's first to each service, over a sliding window and over all entries together:
-// each entry uses the ratio of its own requests and an equal part of the slack, and asks nobody. Its fields are set before use.
+// ServiceBudgets bounds the repeats sent to each service. A repeat is any send of a request beyond its first, such as a
+// retry or a hedge. The bound applies to all entries together, over a sliding window: each entry may send Ratio times
+// its own requests plus an equal share of Slack, without coordination. The exported fields must be set before use. It
+// is safe for concurrent use.
 type ServiceBudgets struct {
-	// Ratio, Window and Slack are the site's bounds.
+	// Ratio is the number of repeats allowed per request, and Slack the number allowed in addition for all entries
+	// together, both within any Window.
 	Ratio  float64
 	Window time.Duration
 	Slack  float64
 
 	mu       sync.Mutex
 	entries  int
-	began    time.Time
+	started  time.Time
 	services map[rillreach.ServiceID]*window
 }
 
-// window counts requests and repeats of one service by spans of time.
+// window counts the requests and repeats of one service in a ring of time slots.
 type window struct {
-	requests [slots]int
-	repeats  [slots]int
-	last     int64
+	requests [slotCount]int
+	repeats  [slotCount]int
+	// lastSlot is the number of the latest slot, counted from ServiceBudgets.started.
+	lastSlot int64
 }
 
-// SetEntries says how many entries share the slack.
-func (s *ServiceBudgets) SetEntries(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.entries = n
+// SetEntries sets the number of entries that share the slack.
+func (b *ServiceBudgets) SetEntries(n int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.entries = n
 }
 
-// Entries is how many entries share the slack, as far as is known.
-func (s *ServiceBudgets) Entries() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.sharing()
+// Entries returns the number of entries that share the slack, or DefaultEntries if it is not known.
+func (b *ServiceBudgets) Entries() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.entryCount()
 }
 
-// sharing is the number of entries, or a guess while nobody has said it.
-func (s *ServiceBudgets) sharing() int {
-	if s.entries == 0 {
+// entryCount is Entries for callers that hold the lock.
+func (b *ServiceBudgets) entryCount() int {
+	if b.entries == 0 {
 		return DefaultEntries
 	}
-	return s.entries
+	return b.entries
 }
 
-// RecordRequest counts a caller's request for the service.
-func (s *ServiceBudgets) RecordRequest(now time.Time, service rillreach.ServiceID) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w, i := s.window(now, service)
+// RecordRequest counts a caller's request to the service.
+func (b *ServiceBudgets) RecordRequest(now time.Time, service rillreach.ServiceID) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w, i := b.window(now, service)
 	w.requests[i]++
 }
 
-// Allows reports whether one more repeat fits.
-func (s *ServiceBudgets) Allows(now time.Time, service rillreach.ServiceID) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w, _ := s.window(now, service)
-	return s.fits(w)
+// Allows reports whether the budget of the service allows another repeat.
+func (b *ServiceBudgets) Allows(now time.Time, service rillreach.ServiceID) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w, _ := b.window(now, service)
+	return b.hasRoom(w)
 }
 
-// TrySpend counts one repeat, or reports that the window holds as many as it may.
-func (s *ServiceBudgets) TrySpend(now time.Time, service rillreach.ServiceID) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w, i := s.window(now, service)
-	if !s.fits(w) {
+// TrySpend counts a repeat if the budget of the service allows it, and reports whether it does.
+func (b *ServiceBudgets) TrySpend(now time.Time, service rillreach.ServiceID) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w, i := b.window(now, service)
+	if !b.hasRoom(w) {
 		return false
 	}
 	w.repeats[i]++
 	return true
 }
 
-// Remaining is the part of this entry's share that is left, of the service where that is the least.
-func (s *ServiceBudgets) Remaining(now time.Time) float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	least := 1.0
-	for name := range s.services {
-		w, _ := s.window(now, name)
-		spent, most := s.use(w)
-		if most > 0 {
-			least = min(least, max(0, 1-float64(spent)/most))
+// Remaining returns the unused fraction of this entry's budget, for the service with the least left.
+func (b *ServiceBudgets) Remaining(now time.Time) float64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	lowest := 1.0
+	for name := range b.services {
+		w, _ := b.window(now, name)
+		spent, allowed := b.usage(w)
+		if allowed > 0 {
+			lowest = min(lowest, max(0, 1-float64(spent)/allowed))
 		}
 	}
-	return least
+	return lowest
 }
 
-// fits reports whether one more repeat stays within this entry's share.
-func (s *ServiceBudgets) fits(w *window) bool {
-	repeats, most := s.use(w)
-	return float64(repeats+1) <= most
+// hasRoom reports whether one more repeat stays within this entry's budget.
+func (b *ServiceBudgets) hasRoom(w *window) bool {
+	repeats, allowed := b.usage(w)
+	return float64(repeats+1) <= allowed
 }
 
-// use is how many repeats the window holds, and how many it may.
-func (s *ServiceBudgets) use(w *window) (repeats int, most float64) {
+// usage returns the number of repeats in the window, and the number that this entry's budget allows.
+func (b *ServiceBudgets) usage(w *window) (repeats int, allowed float64) {
 	requests := 0
-	for k := range slots {
+	for k := range slotCount {
 		requests += w.requests[k]
 		repeats += w.repeats[k]
 	}
-	return repeats, shareOf * (s.Ratio*float64(requests) + s.Slack/float64(s.sharing()))
+	return repeats, usableFraction * (b.Ratio*float64(requests) + b.Slack/float64(b.entryCount()))
 }
 
-// window gives the counts of a service and the index of the current span, with those that are over emptied.
-func (s *ServiceBudgets) window(now time.Time, service rillreach.ServiceID) (*window, int) {
-	if s.services == nil {
-		s.services = map[rillreach.ServiceID]*window{}
-		s.began = now
+// window returns the counts of a service and the index of the current slot. It clears the slots that have left the
+// window.
+func (b *ServiceBudgets) window(now time.Time, service rillreach.ServiceID) (*window, int) {
+	if b.services == nil {
+		b.services = map[rillreach.ServiceID]*window{}
+		b.started = now
 	}
-	w := s.services[service]
-	current := int64(now.Sub(s.began) / max(s.Window/slots, 1)) // the steady clock counts, not the time of day
+	w := b.services[service]
+	current := int64(now.Sub(b.started) / max(b.Window/slotCount, 1)) // by the monotonic clock
 	if w == nil {
-		w = &window{last: current}
-		s.services[service] = w
+		w = &window{lastSlot: current}
+		b.services[service] = w
 	}
-	for range min(max(current-w.last, 0), slots) {
-		w.last++
-		w.requests[w.last%slots], w.repeats[w.last%slots] = 0, 0
+	for range min(max(current-w.lastSlot, 0), slotCount) {
+		w.lastSlot++
+		w.requests[w.lastSlot%slotCount], w.repeats[w.lastSlot%slotCount] = 0, 0
 	}
-	w.last = max(w.last, current)
-	return w, int(w.last % slots)
+	w.lastSlot = max(w.lastSlot, current)
+	return w, int(w.lastSlot % slotCount)
 }
--- a/roster/slow_start.go
+++ b/roster/slow_start.go
@@ -18,7 +18,7 @@
 	r.permits.Add(n, until)
 }
 
-// SpacePermits gives a permit now and then, with so much time between two, for runners without an agent. The phase is that of permit.Spacer.
+// SpacePermits gives a permit now and then, with so much time between two, for runners without an agent. The phase is that of permit.Pacer.
 func (r *Runner) SpacePermits(now time.Time, space time.Duration, phase float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/route/choose.go
+++ b/route/choose.go
@@ -18,61 +18,61 @@
 	ReasonNone      Reason = "no-candidate"
 )
 
-// Request is what has to be placed.
+// Request describes the request to route.
 type Request struct {
 	// Tokens is the length of the prompt.
 	Tokens int
-	// Objective is the row's.
+	// Objective is the row's objective.
 	Objective rillreach.Objective
 }
 
-// Candidate is a runner that could take the request, with what is known or estimated of it.
+// Candidate is a runner that could serve the request, with its known and estimated properties.
 type Candidate struct {
-	// QueueWait is the estimated time until the runner would begin.
+	// QueueWait is the estimated time until the runner would start the request.
 	QueueWait time.Duration
-	// PrefillRate is the tokens a second that the runner computes.
+	// PrefillRate is the runner's prefill speed in tokens per second. Zero means that it is not known.
 	PrefillRate float64
-	// CachedTokens is how many leading tokens its accelerator memory is expected to hold.
+	// CachedTokens is the number of leading tokens whose KV cache is expected in the runner's accelerator memory.
 	CachedTokens int
-	// StoredTokens is how many leading tokens could be imported from a store.
+	// StoredTokens is the number of leading tokens whose KV cache could be imported from a store.
 	StoredTokens int
-	// ImportTime is how long the import of the kept tokens would take, the link's queue included.
+	// ImportTime is the estimated time to import the stored tokens, including the wait for the link.
 	ImportTime time.Duration
-	// Home says that the runner is the conversation's first by rank.
+	// Home is set if the runner is the first in the conversation's rendezvous ranking.
 	Home bool
-	// Continuation says that the prompt goes on from an earlier one, HitRate how often the runner's memory has lately held
-	// the state of such a prompt when it came home.
+	// Continuation is set if the prompt continues an earlier one.
 	Continuation bool
-	HitRate      float64
-	// Avoid says that the runner is suspected, leaving or has refused already.
+	// HitRate is the recent fraction of continuations whose KV cache was still in the runner's memory.
+	HitRate float64
+	// Avoid is set if the runner is suspected to have failed, is leaving, or has already refused the request.
 	Avoid bool
 }
 
-// Choice is the decision.
+// Choice is the decision on a request, or the estimate for one candidate.
 type Choice struct {
-	// Index is the chosen candidate, or -1.
-	Index int
-	// Reason says why.
+	// Index is the index of the chosen candidate, or -1 if there is none.
+	Index  int
 	Reason Reason
-	// Import says that the kept state is worth importing.
-	Import bool
-	// TimeToFirstToken is the estimated time to first token.
+	// Import is set if importing the stored tokens costs less than computing them.
+	Import           bool
 	TimeToFirstToken time.Duration
-	// RecomputedTokens is the estimated number of tokens computed although they were computed before.
+	// RecomputedTokens is the estimated number of tokens to compute again.
 	RecomputedTokens int
 }
 
 const (
+	// defaultPrefillRate applies to runners whose rate is not known, in tokens per second.
 	defaultPrefillRate = 4000
-	// recomputeSeconds is how many seconds of delay one whole recomputation of a prompt is worth avoiding, by objective.
-	recomputeSecondsFirst     = 0.05
-	recomputeSecondsRecompute = 8
-	// homeBonus keeps equals at home, where the next return looks first.
+	// The penalties are the seconds of delay that are acceptable to avoid recomputing a whole prompt, by objective.
+	recomputePenaltyFirstToken = 0.05
+	recomputePenaltyRecompute  = 8
+	// homeBonus, in seconds, makes the home runner win among equals, because the conversation's next prompt is tried
+	// there first.
 	homeBonus = 0.01
 )
 
-// Choose picks the candidate with the least cost under the objective.
-func Choose(q Request, candidates []Candidate) Choice {
+// Choose returns the candidate with the lowest expected cost under the objective.
+func Choose(req Request, candidates []Candidate) Choice {
 	best := Choice{Index: -1, Reason: ReasonNone}
 	bestCost := 0.0
 	for i := range candidates {
@@ -80,9 +80,9 @@
 		if c.Avoid {
 			continue
 		}
-		choice := Estimate(q, c)
+		choice := Estimate(req, c)
 		choice.Index = i
-		cost := costOf(q, c, choice)
+		cost := expectedCost(req, c, choice)
 		if best.Index < 0 || cost < bestCost {
 			best, bestCost = choice, cost
 		}
@@ -90,29 +90,29 @@
 	return best
 }
 
-// Estimate says how a request would start on one candidate, and whether it would import.
-func Estimate(q Request, c *Candidate) Choice {
-	plain := estimate(q, c, c.CachedTokens, 0)
+// Estimate estimates the start of a request on one candidate, with or without import, whichever costs less.
+func Estimate(req Request, c *Candidate) Choice {
+	withoutImport := estimateStart(req, c, c.CachedTokens, 0)
 	if c.StoredTokens <= c.CachedTokens {
-		plain.Reason = reasonWithoutImport(c)
-		return plain
+		withoutImport.Reason = reasonWithoutImport(c)
+		return withoutImport
 	}
-	imported := estimate(q, c, c.StoredTokens, c.ImportTime)
-	imported.Import = true
-	imported.Reason = ReasonImport
-	if score(q, imported) < score(q, plain) {
-		return imported
+	withImport := estimateStart(req, c, c.StoredTokens, c.ImportTime)
+	withImport.Import = true
+	withImport.Reason = ReasonImport
+	if startCost(req, withImport) < startCost(req, withoutImport) {
+		return withImport
 	}
-	plain.Reason = reasonWithoutImport(c)
-	return plain
+	withoutImport.Reason = reasonWithoutImport(c)
+	return withoutImport
 }
 
-func estimate(q Request, c *Candidate, reused int, delay time.Duration) Choice {
+func estimateStart(req Request, c *Candidate, reused int, delay time.Duration) Choice {
 	rate := c.PrefillRate
 	if rate <= 0 {
 		rate = defaultPrefillRate
 	}
-	computed := max(q.Tokens-reused, 0)
+	computed := max(req.Tokens-reused, 0)
 	prefill := time.Duration(float64(computed) / rate * float64(time.Second))
 	return Choice{TimeToFirstToken: max(c.QueueWait, delay) + prefill, RecomputedTokens: computed}
 }
@@ -128,35 +128,36 @@
 	}
 }
 
-// score is the cost of a start in seconds: its delay, and what recomputing is worth under the objective.
-func score(q Request, choice Choice) float64 {
-	if q.Tokens == 0 {
+// startCost returns the cost of a choice in seconds: the time to first token, plus the objective's penalty in
+// proportion to the recomputed tokens.
+func startCost(req Request, choice Choice) float64 {
+	if req.Tokens == 0 {
 		return choice.TimeToFirstToken.Seconds()
 	}
-	worth := recomputeSecondsFirst
-	if q.Objective == rillreach.ObjectiveRecompute {
-		worth = recomputeSecondsRecompute
+	penalty := recomputePenaltyFirstToken
+	if req.Objective == rillreach.ObjectiveRecompute {
+		penalty = recomputePenaltyRecompute
 	}
-	share := float64(choice.RecomputedTokens) / float64(q.Tokens)
-	return choice.TimeToFirstToken.Seconds() + worth*share
+	fraction := float64(choice.RecomputedTokens) / float64(req.Tokens)
+	return choice.TimeToFirstToken.Seconds() + penalty*fraction
 }
 
-// costOf is the expected cost of a candidate: at the home of a returning prompt, that of finding its state in memory or
-// not, by the runner's hit rate.
-func costOf(q Request, c *Candidate, choice Choice) float64 {
-	cost := score(q, choice)
+// expectedCost returns the expected cost of a candidate. For the home runner of a continuation, it weights the cost
+// with and without the KV cache in memory by the runner's hit rate.
+func expectedCost(req Request, c *Candidate, choice Choice) float64 {
+	cost := startCost(req, choice)
 	if !c.Home {
 		return cost
 	}
 	if c.Continuation && c.CachedTokens < c.StoredTokens {
-		held := *c
-		held.CachedTokens, held.StoredTokens = c.StoredTokens, 0
-		cost += c.HitRate * (score(q, Estimate(q, &held)) - cost)
+		cached := *c
+		cached.CachedTokens, cached.StoredTokens = c.StoredTokens, 0
+		cost += c.HitRate * (startCost(req, Estimate(req, &cached)) - cost)
 	}
 	return cost - homeBonus
 }
 
-// Better reports whether the first of two choices is the better one under the objective.
-func Better(q Request, a, b Choice) bool {
-	return score(q, a) < score(q, b)
+// Better reports whether choice a costs less than choice b under the objective.
+func Better(req Request, a, b Choice) bool {
+	return startCost(req, a) < startCost(req, b)
 }
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,3 +1,3 @@
-// Package route decides where a request runs: its side by the row's weights, and its runner by reuse,
-// queue and link time under the row's objective.
+// Package route decides where a request runs. It selects the side by the row's weights, and the runner by cached state,
+// queue wait and import time under the row's objective.
 package route
--- a/route/side.go
+++ b/route/side.go
@@ -6,21 +6,24 @@
 )
 
 const (
-	sidePoints = 1 << 20
-	sideSalt   = 0x51de
+	// pointCount is the resolution of the split between the sides.
+	pointCount = 1 << 20
+	// sideSalt is mixed into the hash of a conversation to get its point.
+	sideSalt = 0x51de
 )
 
-// Side is the side that a conversation belongs to. A conversation has one fixed point; the new side takes the points
-// below its weight, so that a shift moves just the conversations between the old weight and the new one.
+// Side returns the side that a conversation belongs to. Each conversation hashes to a fixed point, and the new side
+// takes the points below its weight, so that a change of weight moves only the conversations between the two weights.
 func Side(weights rillreach.Weights, conversation uint64) rillreach.Side {
-	point := hash.Mix(conversation, sideSalt) % sidePoints
-	if point*rillreach.WholeWeight < uint64(weights.New)*sidePoints {
+	point := hash.Mix(conversation, sideSalt) % pointCount
+	if point*rillreach.WholeWeight < uint64(weights.New)*pointCount {
 		return rillreach.SideNew
 	}
 	return rillreach.SideOld
 }
 
-// FallbackSide is the side that may take a request when its own has no backend server, if the row gives it any weight.
+// FallbackSide returns the other side, which may take a request if its own side has no backend server, and reports
+// whether the row gives that side any weight.
 func FallbackSide(weights rillreach.Weights, side rillreach.Side) (rillreach.Side, bool) {
 	other := rillreach.SideOld
 	if side == rillreach.SideOld {
--- a/slowstart/doc.go
+++ b/slowstart/doc.go
@@ -1,3 +1,3 @@
-// Package slowstart decides how many requests all entries together may send to a runner that has just started: one that is cold bears few a
-// second, and falls over under more. It is without I/O.
+// Package slowstart decides how many requests all entries together may send to a runner that has just started. A cold
+// runner handles only a few requests per second and fails under more. The package does no I/O.
 package slowstart
--- a/slowstart/limits.go
+++ b/slowstart/limits.go
@@ -3,35 +3,37 @@
 import "github.com/rillreach/rillreach/permit"
 
 const (
-	// burstShare is the part of the slack that may be allotted at once; the rest is left for clocks that are read early or late.
-	burstShare = 0.8
-	// leastBurst lets a permit be allotted whole.
-	leastBurst = 1.0
+	// burstFraction is the fraction of the slack that may be allocated at once. The rest allows for clocks that are
+	// read early or late.
+	burstFraction = 0.8
+	// minBurst is the least burst, in permits. With less than one, no whole permit could accrue.
+	minBurst = 1.0
 )
 
-// Limits are what a cold runner bears, and the bound that all senders together have to keep.
+// Limits describes the request rate that a cold runner can handle, and the bound for all senders together.
 type Limits struct {
-	// PerSecond is how many requests a second it bears; zero says that nothing is bounded.
+	// PerSecond is the rate that the runner can handle, in requests per second. Zero means no limit.
 	PerSecond float64
-	// Factor and Slack give the most in any one second: PerSecond times Factor, plus Slack.
+	// Factor and Slack define the most requests in any one second: PerSecond times Factor, plus Slack.
 	Factor float64
 	Slack  float64
 }
 
-// Bounded reports that cold runners bear only so many requests.
+// Bounded reports whether there is a limit.
 func (l Limits) Bounded() bool { return l.PerSecond > 0 }
 
-// Rate is at what rate permits are allotted, none where nothing is bounded: those of one second and of the validity before it may be used together.
+// Rate returns the rate at which permits are allocated, or zero if there is no limit. It takes into account that
+// permits allocated during one second and during the permit.Validity before it may all be used within that second.
 func (l Limits) Rate() permit.Rate {
 	if !l.Bounded() {
 		return permit.Rate{}
 	}
-	perSecond := min(l.PerSecond*max(l.Factor, 1), (l.most()-l.burst())/(1+permit.Validity.Seconds()))
+	perSecond := min(l.PerSecond*max(l.Factor, 1), (l.maxPerSecond()-l.burst())/(1+permit.Validity.Seconds()))
 	return permit.Rate{PerSecond: max(0, perSecond), Burst: l.burst()}
 }
 
-// most is the bound on any one second.
-func (l Limits) most() float64 { return l.PerSecond*max(l.Factor, 1) + l.Slack }
+// maxPerSecond returns the most requests in any one second.
+func (l Limits) maxPerSecond() float64 { return l.PerSecond*max(l.Factor, 1) + l.Slack }
 
-// burst is how many permits may be allotted at once.
-func (l Limits) burst() float64 { return max(leastBurst, l.Slack*burstShare) }
+// burst returns the most permits that may be allocated at once.
+func (l Limits) burst() float64 { return max(minBurst, l.Slack*burstFraction) }
--- a/table/doc.go
+++ b/table/doc.go
@@ -1,3 +1,3 @@
-// Package table holds a process's copy of the operators' rows: it only moves forward, and a row
-// that fails its checks leaves the last good one in force.
+// Package table holds a process's copy of the operators' rows. A row is replaced only by a later version, and a row
+// that fails validation leaves the last valid version in force.
 package table
--- a/table/errors.go
+++ b/table/errors.go
@@ -2,4 +2,4 @@
 
 import "github.com/cockroachdb/errors"
 
-var errBadName = errors.New("object's name is not the row's account/model/version")
+var errNameMismatch = errors.New("object name does not match the row's account/model/version")
--- a/table/table.go
+++ b/table/table.go
@@ -11,35 +11,41 @@
 
 const shardCount = 16
 
-// Verdict says what became of an object that was offered to the table.
+// Verdict is the result of applying an object to the table.
 type Verdict string
 
 // The verdicts on an object.
 const (
-	VerdictApplied  Verdict = "applied"
-	VerdictRemoved  Verdict = "removed"
-	VerdictStale    Verdict = "stale"
+	// VerdictApplied means that the object's row is in force now.
+	VerdictApplied Verdict = "applied"
+	// VerdictRemoved means that the row has been deleted.
+	VerdictRemoved Verdict = "removed"
+	// VerdictStale means that the object's version is not newer than the last one seen.
+	VerdictStale Verdict = "stale"
+	// VerdictRejected means that the object is not valid.
 	VerdictRejected Verdict = "rejected"
 )
 
-// ApplyResult is the decision on one object with its cause.
+// ApplyResult is the result of Apply for one object.
 type ApplyResult struct {
 	Name    string
 	Version uint64
 	Verdict Verdict
-	Err     error
-	// Before and After are the rows in force before and after a change; a row that did not exist is zero.
+	// Err is the reason if the object was rejected.
+	Err error
+	// Before and After are the rows in force before and after the call. They are zero if there was no row.
 	Before rillreach.Row
 	After  rillreach.Row
 }
 
-// VersionedRow is a row in force with the version of its object.
+// VersionedRow is a row in force and the version of its object.
 type VersionedRow struct {
 	Row     rillreach.Row
 	Version uint64
 }
 
-// Table is a copy of the rows; its zero value is empty and ready.
+// Table is a copy of the rows, sharded by account. Its zero value is empty and ready to use. It is safe for concurrent
+// use.
 type Table struct {
 	shards [shardCount]shard
 }
@@ -50,72 +56,73 @@
 }
 
 type account struct {
-	lines       map[string]VersionedRow
-	seen        map[string]uint64
-	credentials []rillreach.Credential
+	rows map[string]VersionedRow
+	// lastVersions holds the last version seen of each object, including deleted and rejected ones.
+	lastVersions map[string]uint64
+	credentials  []rillreach.Credential
 }
 
-// Apply takes one object of the kind rows into the table.
+// Apply applies an object that holds a row to the table.
 func (t *Table) Apply(object rillreach.Object) ApplyResult {
 	result := ApplyResult{Name: object.Name, Version: object.Version}
 	id, _, ok := strings.Cut(object.Name, "/")
 	if !ok {
 		result.Verdict = VerdictRejected
-		result.Err = errBadName
+		result.Err = errNameMismatch
 		return result
 	}
 	s := t.shardOf(rillreach.AccountID(id))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(rillreach.AccountID(id))
-	result.Before = a.lines[object.Name].Row
+	result.Before = a.rows[object.Name].Row
 	result.Verdict, result.Err = a.apply(object)
-	result.After = a.lines[object.Name].Row
+	result.After = a.rows[object.Name].Row
 	return result
 }
 
-// Find returns the line that serves a model for an account. The model is given as name or as name@version; a bare
-// name means the line that was edited last.
+// Find returns the row that serves a model for an account. The model is given as name or name@version. If several rows
+// match a name without version, Find returns the one that was edited last.
 func (t *Table) Find(id rillreach.AccountID, model string) (VersionedRow, bool) {
 	name, version, exact := strings.Cut(model, "@")
 	var found VersionedRow
-	t.view(id, func(a *account) {
-		for _, line := range a.lines {
-			if string(line.Row.Model) != name || (exact && string(line.Row.Version) != version) {
+	t.readAccount(id, func(a *account) {
+		for _, row := range a.rows {
+			if string(row.Row.Model) != name || (exact && string(row.Row.Version) != version) {
 				continue
 			}
-			if line.Version > found.Version {
-				found = line
+			if row.Version > found.Version {
+				found = row
 			}
 		}
 	})
 	return found, found.Version > 0
 }
 
-// Get returns the line with a name.
+// Get returns the row with the given name, account/model/version.
 func (t *Table) Get(name string) (VersionedRow, bool) {
 	id, _, _ := strings.Cut(name, "/")
 	var found VersionedRow
-	t.view(rillreach.AccountID(id), func(a *account) { found = a.lines[name] })
+	t.readAccount(rillreach.AccountID(id), func(a *account) { found = a.rows[name] })
 	return found, found.Version > 0
 }
 
-// List returns the lines of an account in the order of their names.
+// List returns the rows of an account, sorted by name.
 func (t *Table) List(id rillreach.AccountID) []VersionedRow {
-	var lines []VersionedRow
-	t.view(id, func(a *account) {
-		for _, line := range a.lines {
-			lines = append(lines, line)
+	var rows []VersionedRow
+	t.readAccount(id, func(a *account) {
+		for _, row := range a.rows {
+			rows = append(rows, row)
 		}
 	})
-	slices.SortFunc(lines, func(a, b VersionedRow) int { return strings.Compare(a.Row.Name(), b.Row.Name()) })
-	return lines
+	slices.SortFunc(rows, func(a, b VersionedRow) int { return strings.Compare(a.Row.Name(), b.Row.Name()) })
+	return rows
 }
 
-// Credentials returns the credentials of all lines of an account.
+// Credentials returns the credentials in all rows of an account. Callers must not modify the slice.
 func (t *Table) Credentials(id rillreach.AccountID) []rillreach.Credential {
 	var credentials []rillreach.Credential
-	t.view(id, func(a *account) { credentials = a.credentials })
+	t.readAccount(id, func(a *account) { credentials = a.credentials })
 	return credentials
 }
 
@@ -123,7 +130,7 @@
 	return &t.shards[hash.String(string(id))%shardCount]
 }
 
-func (t *Table) view(id rillreach.AccountID, read func(*account)) {
+func (t *Table) readAccount(id rillreach.AccountID, read func(*account)) {
 	s := t.shardOf(id)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -138,20 +145,20 @@
 	}
 	a := s.accounts[id]
 	if a == nil {
-		a = &account{lines: map[string]VersionedRow{}, seen: map[string]uint64{}}
+		a = &account{rows: map[string]VersionedRow{}, lastVersions: map[string]uint64{}}
 		s.accounts[id] = a
 	}
 	return a
 }
 
 func (a *account) apply(object rillreach.Object) (Verdict, error) {
-	if object.Version <= a.seen[object.Name] {
+	if object.Version <= a.lastVersions[object.Name] {
 		return VerdictStale, nil
 	}
-	a.seen[object.Name] = object.Version
+	a.lastVersions[object.Name] = object.Version
 	if object.Deleted {
-		delete(a.lines, object.Name)
-		a.collect()
+		delete(a.rows, object.Name)
+		a.rebuildCredentials()
 		return VerdictRemoved, nil
 	}
 	row, err := rillreach.DecodeRow(object.Value)
@@ -159,18 +166,18 @@
 		return VerdictRejected, err
 	}
 	if row.Name() != object.Name {
-		return VerdictRejected, errBadName
+		return VerdictRejected, errNameMismatch
 	}
-	a.lines[object.Name] = VersionedRow{Row: row, Version: object.Version}
-	a.collect()
+	a.rows[object.Name] = VersionedRow{Row: row, Version: object.Version}
+	a.rebuildCredentials()
 	return VerdictApplied, nil
 }
 
-// collect gathers the credentials anew; the old slice stays as it is for its readers.
-func (a *account) collect() {
+// rebuildCredentials replaces the list of credentials. It leaves the old slice unmodified, since readers may hold it.
+func (a *account) rebuildCredentials() {
 	var credentials []rillreach.Credential
-	for _, line := range a.lines {
-		credentials = append(credentials, line.Row.Credentials...)
+	for _, row := range a.rows {
+		credentials = append(credentials, row.Row.Credentials...)
 	}
 	a.credentials = credentials
 }
