--- a/roster/slow_start.go
+++ b/roster/slow_start.go
@@ -18,7 +18,7 @@
 	r.permits.Add(n, until)
 }
 
-// SpacePermits gives a permit now and then, with so much time between two, for runners without an agent. The phase is that of permit.Spacer.
+// SpacePermits gives a permit now and then, with so much time between two, for runners without an agent. The phase is that of permit.Pacer.
 func (r *Runner) SpacePermits(now time.Time, space time.Duration, phase float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,7 +26,7 @@
 		r.spacer.Reset()
 		return
 	}
-	if !r.permits.Any(now) && r.spacer.Due(now, space, phase) {
+	if !r.permits.Available(now) && r.spacer.Due(now, space, phase) {
 		r.permits.Add(1, now.Add(space))
 	}
 }
