--- a/agent/delegate.go
+++ b/agent/delegate.go
@@ -44,7 +44,7 @@
 		}
 	}
 	key := once.KeyHash(d.Account, string(d.ID))
-	ranked := route.Rank(key, len(usable), 1, func(i int) uint64 { return usable[i].Place })
+	ranked := route.Rank(key, len(usable), 1, func(i int) uint64 { return usable[i].PlacementHash })
 	if ranked.Len() == 0 {
 		return nil
 	}
--- a/agent/load.go
+++ b/agent/load.go
@@ -19,14 +19,14 @@
 }
 
 // hint is what the agent tells entries of its load.
-func (a *Agent) hint() membership.Hint {
-	hint := membership.Hint{
-		Wait:        a.slots.estimate(),
+func (a *Agent) hint() membership.LoadHint {
+	hint := membership.LoadHint{
+		QueueWait:   a.slots.estimate(),
 		Backlog:     a.slots.backlog(),
 		PrefillRate: float64(a.load.prefill.Load()),
 	}
 	if a.keeper != nil {
-		hint.HitRate, hint.LinkRate, hint.StateBytes = a.keeper.Rates()
+		hint.HitRate, hint.LinkRate, hint.BytesPerToken = a.keeper.Rates()
 	}
 	return hint
 }
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -120,7 +120,7 @@
 }
 
 func (a *Agent) acknowledge(ctx context.Context, call *peer.Call) error {
-	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.hint(), Mark: a.Node.Copy.Mark(rillreach.KindRow).Version})
+	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.hint(), Mark: a.Node.Copy.Watermark(rillreach.KindRow).Version})
 	if err != nil {
 		return err
 	}
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -76,8 +76,8 @@
 }
 
 // Events returns what the engine's cache has dropped, from a sequence on.
-func (e *Engine) Events(ctx context.Context, from uint64) (keep.Events, error) {
-	var page keep.Events
+func (e *Engine) Events(ctx context.Context, from uint64) (keep.EventPage, error) {
+	var page keep.EventPage
 	resp, err := e.control(ctx, http.MethodGet, PathEvents+"?from="+strconv.FormatUint(from, 10), nil)
 	if err != nil {
 		return page, err
--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -123,7 +123,7 @@
 }
 
 func residentPrompts(count int) any {
-	r := &keep.Resident{}
+	r := &keep.CacheEstimate{}
 	for i := range count {
 		r.Add(rillreach.BlockKey{byte(i), byte(i >> 8)}, "salt", 100)
 	}
@@ -132,9 +132,9 @@
 
 func rows(count int) any {
 	held := &table.Table{}
-	copied := replicate.NewCopy()
-	copied.Follow(rillreach.KindRow, func(o rillreach.Object) { held.Apply(o) }, nil)
-	delta := replicate.Delta{Snapshot: true, To: replicate.Mark{Kind: rillreach.KindRow, Version: uint64(count + 1)}}
+	copied := replicate.NewReplica()
+	copied.AddKind(rillreach.KindRow, func(o rillreach.Object) { held.Apply(o) }, nil)
+	delta := replicate.Delta{Snapshot: true, To: replicate.Watermark{Kind: rillreach.KindRow, Version: uint64(count + 1)}}
 	for i := range count {
 		row := rillreach.Row{
 			Format: rillreach.RowFormat, Account: rillreach.AccountID(fmt.Sprint("account-", i/2)), Model: rillreach.ModelID(fmt.Sprint("m", i)),
@@ -151,7 +151,7 @@
 func instances(count int) any {
 	members := membership.New()
 	for i := range count {
-		members.Announce(rillreach.Instance{
+		members.Upsert(rillreach.Instance{
 			ID: rillreach.InstanceID(fmt.Sprintf("agent-%05d", i)), Role: rillreach.RoleAgent, Incarnation: "1", Side: rillreach.SideOld,
 			Address: netip.MustParseAddrPort("127.0.0.1:1"), Model: rillreach.ModelID(fmt.Sprint("m", i%37)), Versions: []rillreach.VersionID{"v1"},
 		})
@@ -200,7 +200,7 @@
 func watchers() float64 {
 	count := 0
 	for _, plan := range replicate.MakePlans(nodes(planned), 1) {
-		if plan.Watches {
+		if plan.IsWatcher {
 			count++
 		}
 	}
--- a/bench/capacity/state_test.go
+++ b/bench/capacity/state_test.go
@@ -79,14 +79,14 @@
 }
 
 func snapshotOf(kind rillreach.Kind, objects []rillreach.Object) replicate.Delta {
-	return replicate.Delta{Snapshot: true, To: replicate.Mark{Kind: kind, Version: uint64(len(objects) + 1)}, Objects: objects}
+	return replicate.Delta{Snapshot: true, To: replicate.Watermark{Kind: kind, Version: uint64(len(objects) + 1)}, Objects: objects}
 }
 
 // BenchmarkRows is the copy of the rows and the table made of it.
 func BenchmarkRows(b *testing.B) {
 	perItem(b, []int{1000, 4000, 16000}, func(count int) any {
-		t, c := &table.Table{}, replicate.NewCopy()
-		c.Follow(rillreach.KindRow, func(o rillreach.Object) { t.Apply(o) }, nil)
+		t, c := &table.Table{}, replicate.NewReplica()
+		c.AddKind(rillreach.KindRow, func(o rillreach.Object) { t.Apply(o) }, nil)
 		objects := make([]rillreach.Object, count)
 		for i := range objects {
 			objects[i] = rowObject(i)
@@ -99,8 +99,8 @@
 // BenchmarkInstances is the copy of the list of instances and the members made of it.
 func BenchmarkInstances(b *testing.B) {
 	perItem(b, []int{500, 1500, 5030}, func(count int) any {
-		m, c := membership.New(), replicate.NewCopy()
-		c.Follow(rillreach.KindInstance, func(o rillreach.Object) { _ = m.Apply(o) }, nil)
+		m, c := membership.New(), replicate.NewReplica()
+		c.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = m.Apply(o) }, nil)
 		objects := make([]rillreach.Object, count)
 		for i := range objects {
 			objects[i] = instanceObject(i)
@@ -138,7 +138,7 @@
 // BenchmarkResident is what an agent believes its engine's memory to hold.
 func BenchmarkResident(b *testing.B) {
 	perItem(b, []int{500, 1000, 4000}, func(count int) any {
-		r := &keep.Resident{}
+		r := &keep.CacheEstimate{}
 		for i := range count {
 			r.Add(rillreach.BlockKey{byte(i), byte(i >> 8)}, "salt", 100)
 		}
--- a/bench/freshness/freshness.go
+++ b/bench/freshness/freshness.go
@@ -78,7 +78,7 @@
 	m := &model{Setting: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed)), index: map[rillreach.InstanceID]int{}}
 	m.build()
 	for i, plan := range m.plans {
-		if plan.Watches {
+		if plan.IsWatcher {
 			m.push(i, 0)
 		}
 	}
--- a/bench/policy/kept.go
+++ b/bench/policy/kept.go
@@ -83,8 +83,8 @@
 	if len(stores) == 0 || fresh <= 0 {
 		return
 	}
-	question := keep.Export{
-		Tokens: fresh, Bytes: int64(fresh) * bytesPerToken, Chance: s.gapsOf(p.account).Chance(0, 48*time.Hour),
+	question := keep.ExportInput{
+		Tokens: fresh, Bytes: int64(fresh) * bytesPerToken, ReturnProbability: s.gapsOf(p.account).ReturnProbability(0, 48*time.Hour),
 		PrefillRate: prefillRate, LinkRate: stores[0].link.rate * float64(len(stores)),
 	}
 	if !s.policy.exporting(question) {
@@ -125,10 +125,10 @@
 	return stores
 }
 
-func (s *simulation) gapsOf(account rillreach.AccountID) *keep.Gaps {
+func (s *simulation) gapsOf(account rillreach.AccountID) *keep.ReturnHistogram {
 	g := s.gaps[account]
 	if g == nil {
-		g = &keep.Gaps{}
+		g = &keep.ReturnHistogram{}
 		s.gaps[account] = g
 	}
 	return g
--- a/bench/policy/policy.go
+++ b/bench/policy/policy.go
@@ -25,9 +25,9 @@
 	// place chooses a runner.
 	place(s *simulation, v view, p prompt) *runner
 	// importing decides whether to read kept state.
-	importing(q keep.Import) bool
+	importing(q keep.ImportInput) bool
 	// exporting decides whether to write state.
-	exporting(q keep.Export) bool
+	exporting(q keep.ExportInput) bool
 	// patient says that writing waits for reading.
 	patient() bool
 	// stripes is over how many stores a conversation's state is spread.
@@ -41,10 +41,10 @@
 	Keep bool
 }
 
-func (n Naive) importing(q keep.Import) bool { return n.Keep && q.Kept > q.Cached }
-func (n Naive) exporting(keep.Export) bool   { return n.Keep }
-func (n Naive) patient() bool                { return false }
-func (n Naive) stripes() int                 { return 1 }
+func (n Naive) importing(q keep.ImportInput) bool { return n.Keep && q.Stored > q.Cached }
+func (n Naive) exporting(keep.ExportInput) bool   { return n.Keep }
+func (n Naive) patient() bool                     { return false }
+func (n Naive) stripes() int                      { return 1 }
 
 func (n Naive) named(name string) string {
 	if n.Keep {
@@ -155,9 +155,9 @@
 	return v.order[ranked.At(choice.Index)]
 }
 
-func (Own) importing(q keep.Import) bool { return q.Decide() == keep.VerdictImport }
-func (Own) exporting(q keep.Export) bool { return q.Decide() == keep.VerdictExport }
-func (Own) patient() bool                { return true }
+func (Own) importing(q keep.ImportInput) bool { return q.Decide() == keep.VerdictImport }
+func (Own) exporting(q keep.ExportInput) bool { return q.Decide() == keep.VerdictExport }
+func (Own) patient() bool                     { return true }
 
 // Perfect knows every runner's queue and memory, every store and every link as they are, and takes what starts this
 // prompt best. It is greedy, and so a yardstick and not the optimum over all prompts.
@@ -195,4 +195,4 @@
 }
 
 // Keeps reports whether a baseline uses the stores.
-func Keeps(p Policy) bool { return p.exporting(keep.Export{}) }
+func Keeps(p Policy) bool { return p.exporting(keep.ExportInput{}) }
--- a/bench/policy/simulate.go
+++ b/bench/policy/simulate.go
@@ -65,7 +65,7 @@
 	stores     map[rillreach.Side][]*store
 	cross      link
 	entries    [entryCount]view
-	gaps       map[rillreach.AccountID]*keep.Gaps
+	gaps       map[rillreach.AccountID]*keep.ReturnHistogram
 	lastSeen   map[int]time.Duration
 	seen       map[int]prompt
 	weights    rillreach.Weights
@@ -79,7 +79,7 @@
 		runners:  map[rillreach.Side][]*runner{},
 		stores:   map[rillreach.Side][]*store{},
 		cross:    link{rate: crossRate},
-		gaps:     map[rillreach.AccountID]*keep.Gaps{},
+		gaps:     map[rillreach.AccountID]*keep.ReturnHistogram{},
 		lastSeen: map[int]time.Duration{},
 		seen:     map[int]prompt{},
 		weights:  rillreach.Weights{Old: rillreach.WholeWeight},
@@ -122,7 +122,7 @@
 	v.order = s.usable(side)
 	v.turn++
 	if last, ok := s.lastSeen[p.conversation]; ok {
-		s.gapsOf(p.account).Returned(s.now - last)
+		s.gapsOf(p.account).RecordReturn(s.now - last)
 	}
 	s.lastSeen[p.conversation] = s.now
 	s.seen[p.conversation] = p
@@ -147,8 +147,8 @@
 	r, p := j.runner, j.prompt
 	cached := min(r.cache.tokens(p.conversation), p.tokens)
 	kept, bytes, arrives := s.keptOf(r.side, p, cached)
-	question := keep.Import{
-		Tokens: p.tokens, Cached: cached, Kept: kept, Bytes: int64(bytes), Transfer: arrives.wait, Wait: r.wait(s.now),
+	question := keep.ImportInput{
+		Tokens: p.tokens, Cached: cached, Stored: kept, Bytes: int64(bytes), TransferTime: arrives.wait, QueueWait: r.wait(s.now),
 		PrefillRate: prefillRate, Objective: s.deployment.Objective,
 	}
 	s.tell(j, cached)
--- a/controller/lease/books.go
+++ b/controller/lease/books.go
@@ -108,7 +108,7 @@
 	var best rillreach.InstanceID
 	var bestWeight uint64
 	for _, m := range entries {
-		weight := hash.Mix(hash.String(row), m.Place)
+		weight := hash.Mix(hash.String(row), m.PlacementHash)
 		if weight >= bestWeight && (len(taken) == 0 || m.ID != taken[0]) {
 			best, bestWeight = m.ID, weight
 		}
@@ -122,7 +122,7 @@
 	own := hash.Mix(hash.String(row), hash.String(string(c.Self.ID)))
 	rank := 0
 	for _, m := range entries {
-		if m.ID != c.Self.ID && hash.Mix(hash.String(row), m.Place) > own {
+		if m.ID != c.Self.ID && hash.Mix(hash.String(row), m.PlacementHash) > own {
 			rank++
 		}
 	}
--- a/controller/lease/lease_test.go
+++ b/controller/lease/lease_test.go
@@ -37,7 +37,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	members := membership.New()
 	for i := range entries {
-		members.Announce(entryInstance(i))
+		members.Upsert(entryInstance(i))
 	}
 	c := &Controller{
 		Self: entryInstance(self), Members: members, Table: &table.Table{}, Log: logr.Discard(),
@@ -67,23 +67,23 @@
 		m := c.Members.Find(before[0])
 		m.Suspect(*now)
 		assert.Equal(t, before, c.owners(limited.Name()))
-		c.Members.Leave(m.ID, m.Incarnation)
+		c.Members.MarkLeaving(m.ID, m.Incarnation)
 		assert.Equal(t, before[1], c.owners(limited.Name())[0])
 	})
 	t.Run("an entry leases nothing of what it does not own", func(t *testing.T) {
 		c, now := newController(t, 0, 1)
 		*now = now.Add(limit.TTL)
 		assert.NotZero(t, c.grantAll("entry-0000", ask(5)).Granted[0])
-		c.Members.Announce(entryInstance(1))
-		c.Members.Announce(entryInstance(2))
-		c.Members.Leave("entry-0000", "1")
+		c.Members.Upsert(entryInstance(1))
+		c.Members.Upsert(entryInstance(2))
+		c.Members.MarkLeaving("entry-0000", "1")
 		assert.Zero(t, c.grantAll("entry-0000", ask(5)).Granted[0])
 	})
 	t.Run("an owner anew leases nothing until the leases of others have ended", func(t *testing.T) {
 		c, now := newController(t, 0, 1)
 		*now = now.Add(limit.TTL)
 		require.NotZero(t, c.grantAll("entry-0000", ask(5)).Granted[0])
-		c.Members.Announce(rillreach.Instance{
+		c.Members.Upsert(rillreach.Instance{
 			ID: "entry-0000", Role: rillreach.RoleEntry, Incarnation: "2", Address: netip.MustParseAddrPort("127.0.0.1:1"),
 		})
 		*now = now.Add(forgetting)
--- a/controller/probe/probe.go
+++ b/controller/probe/probe.go
@@ -61,8 +61,8 @@
 		c.Log.V(1).Info("instance still out of reach", "instance", m.ID, "wait", wait, "cause", err.Error())
 		return
 	}
-	c.Members.Announce(conn.Peer)
-	m.Clear()
+	c.Members.Upsert(conn.Peer)
+	m.ClearSuspicion()
 	c.Log.Info("instance back in reach", "instance", m.ID, "incarnation", conn.Peer.Incarnation)
 }
 
--- a/controller/spread/count.go
+++ b/controller/spread/count.go
@@ -51,13 +51,13 @@
 
 func (c *Controller) answerCount(ctx context.Context, _ *peer.Conn, count fleet.Count) (fleet.Counted, error) {
 	var total sum
-	if c.Copy.Mark(count.Kind).Version >= count.Version {
+	if c.Copy.Watermark(count.Kind).Version >= count.Version {
 		total.counted.InForce = 1
 	} else {
 		total.counted.Behind = 1
 	}
 	var wg conc.WaitGroup
-	for _, child := range replicate.ChildrenUnder(c.Self.ID, count.Root, nodesOf(c.Members.All())) {
+	for _, child := range replicate.ChildrenInTree(c.Self.ID, count.Root, nodesOf(c.Members.All())) {
 		wg.Go(func() { total.add(c.countUnder(ctx, child, count)) })
 	}
 	wg.Wait()
--- a/controller/spread/digest.go
+++ b/controller/spread/digest.go
@@ -64,7 +64,7 @@
 // CatchUp compares marks with a peer when real traffic has shown that its copy of the rows goes up to a mark that this
 // process has not reached.
 func (c *Controller) CatchUp(conn *peer.Conn, mark uint64) {
-	if mark <= c.Copy.Mark(rillreach.KindRow).Version {
+	if mark <= c.Copy.Watermark(rillreach.KindRow).Version {
 		return
 	}
 	c.Stats.Carried.Add(1)
@@ -79,7 +79,7 @@
 
 func (c *Controller) syncOver(ctx context.Context, conn *peer.Conn) error {
 	c.Stats.Digests.Add(1)
-	reply, err := peer.Ask[fleet.Sync, fleet.Synced](ctx, conn, peer.MethodSync, fleet.Sync{Marks: c.Copy.Marks()})
+	reply, err := peer.Ask[fleet.Sync, fleet.Synced](ctx, conn, peer.MethodSync, fleet.Sync{Marks: c.Copy.Watermarks()})
 	if err != nil {
 		return errors.Wrapf(err, "compare marks with %s", conn.Peer.ID)
 	}
@@ -90,9 +90,9 @@
 }
 
 // giveBack sends the peer what it lacks itself.
-func (c *Controller) giveBack(ctx context.Context, conn *peer.Conn, marks []replicate.Mark) error {
+func (c *Controller) giveBack(ctx context.Context, conn *peer.Conn, marks []replicate.Watermark) error {
 	for _, mark := range marks {
-		d, ok := c.Copy.Since(mark)
+		d, ok := c.Copy.DeltaSince(mark)
 		if !ok {
 			continue
 		}
@@ -105,9 +105,9 @@
 }
 
 func (c *Controller) answerSync(_ context.Context, _ *peer.Conn, s fleet.Sync) (fleet.Synced, error) {
-	reply := fleet.Synced{Marks: c.Copy.Marks()}
+	reply := fleet.Synced{Marks: c.Copy.Watermarks()}
 	for _, mark := range s.Marks {
-		if d, ok := c.Copy.Since(mark); ok {
+		if d, ok := c.Copy.DeltaSince(mark); ok {
 			reply.Deltas = append(reply.Deltas, d)
 		}
 	}
@@ -118,7 +118,7 @@
 func (c *Controller) currentPlan() replicate.Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	changes, now := c.Members.Changes(), c.Clock.Now()
+	changes, now := c.Members.ChangeCount(), c.Clock.Now()
 	redraw := now.Sub(c.drawn) > redrawEvery
 	if !redraw && changes == c.planned && c.turn > 0 {
 		return c.plan
--- a/controller/spread/fleet_test.go
+++ b/controller/spread/fleet_test.go
@@ -189,11 +189,11 @@
 	self := f.instance(i, listener, incarnation)
 	members := membership.New()
 	mux := &peer.Mux{Log: logr.Discard()}
-	pool := &peer.Pool{Self: self, Mux: mux, Log: logr.Discard(), Met: members.Announce, Dial: f.network.dialFrom(self.Address.String())}
+	pool := &peer.Pool{Self: self, Mux: mux, Log: logr.Discard(), Met: members.Upsert, Dial: f.network.dialFrom(self.Address.String())}
 	pool.Start(ctx)
-	copied := replicate.NewCopy()
-	copied.Follow(rillreach.KindRow, func(rillreach.Object) {}, nil)
-	copied.Follow(rillreach.KindInstance, func(o rillreach.Object) { _ = members.Apply(o) }, nil)
+	copied := replicate.NewReplica()
+	copied.AddKind(rillreach.KindRow, func(rillreach.Object) {}, nil)
+	copied.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = members.Apply(o) }, nil)
 	g := &gate{ObjectStore: f.store}
 	c := &Controller{
 		Self: self, Store: g, Copy: copied, Members: members, Pool: pool, Log: logr.Discard(),
@@ -271,7 +271,7 @@
 func (f *testFleet) holding(version uint64) int {
 	count := 0
 	for _, n := range f.nodes {
-		if n.Copy.Mark(rillreach.KindRow).Version >= version {
+		if n.Copy.Watermark(rillreach.KindRow).Version >= version {
 			count++
 		}
 	}
--- a/controller/spread/spread.go
+++ b/controller/spread/spread.go
@@ -54,7 +54,7 @@
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
 	// Copy is what is kept close to the platform.
-	Copy *replicate.Copy
+	Copy *replicate.Replica
 	// Members are the known processes.
 	Members *membership.Members
 	// Pool connects to peers.
@@ -120,7 +120,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	c.setDefaults()
 	c.base = ctx
-	c.Members.Announce(c.Self)
+	c.Members.Upsert(c.Self)
 	c.confirmed.Store(c.Clock.Now().UnixNano())
 	c.bootstrap(ctx)
 	var wg conc.WaitGroup
@@ -159,7 +159,7 @@
 func (c *Controller) watchAll(ctx context.Context, kind rillreach.Kind) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		if !c.currentPlan().Watches {
+		if !c.currentPlan().IsWatcher {
 			pause.For(ctx, planCheckEvery)
 			continue
 		}
@@ -175,7 +175,7 @@
 }
 
 func (c *Controller) watch(ctx context.Context, kind rillreach.Kind) error {
-	mark := c.Copy.Mark(kind)
+	mark := c.Copy.Watermark(kind)
 	if mark.Version == 0 {
 		return c.list(ctx, kind)
 	}
@@ -189,7 +189,7 @@
 	}
 	c.merge(replicate.Delta{
 		From:    mark.Version,
-		To:      replicate.Mark{Kind: kind, Version: page.Version, Time: page.Time},
+		To:      replicate.Watermark{Kind: kind, Version: page.Version, Time: page.Time},
 		Objects: page.Objects,
 	}, "")
 	return nil
@@ -202,7 +202,7 @@
 		return err
 	}
 	c.merge(replicate.Delta{
-		To:       replicate.Mark{Kind: kind, Version: page.Version, Time: page.Time},
+		To:       replicate.Watermark{Kind: kind, Version: page.Version, Time: page.Time},
 		Snapshot: true,
 		Objects:  page.Objects,
 	}, "")
@@ -210,12 +210,12 @@
 }
 
 // merge takes a delta in and hands it on if it was new.
-func (c *Controller) merge(d replicate.Delta, from rillreach.InstanceID) replicate.Verdict {
+func (c *Controller) merge(d replicate.Delta, from rillreach.InstanceID) replicate.MergeResult {
 	verdict := c.Copy.Merge(d)
-	if d.To.Kind == rillreach.KindRow && (verdict == replicate.VerdictApplied || verdict == replicate.VerdictConfirmed) {
+	if d.To.Kind == rillreach.KindRow && (verdict == replicate.MergeApplied || verdict == replicate.MergeConfirmed) {
 		c.confirmed.Store(c.Clock.Now().UnixNano())
 	}
-	if verdict != replicate.VerdictApplied || d.Snapshot {
+	if verdict != replicate.MergeApplied || d.Snapshot {
 		return verdict
 	}
 	c.Stats.Deltas.Add(1)
@@ -250,19 +250,19 @@
 }
 
 func (c *Controller) takePush(ctx context.Context, from *peer.Conn, p fleet.Push) (fleet.Pushed, error) {
-	if c.merge(p.Delta, from.Peer.ID) == replicate.VerdictGap {
+	if c.merge(p.Delta, from.Peer.ID) == replicate.MergeGap {
 		if err := c.syncOver(ctx, from); err != nil {
 			return fleet.Pushed{}, err
 		}
 	}
-	return fleet.Pushed{Mark: c.Copy.Mark(p.Delta.To.Kind)}, nil
+	return fleet.Pushed{Mark: c.Copy.Watermark(p.Delta.To.Kind)}, nil
 }
 
 func (c *Controller) takeNotice(_ context.Context, from *peer.Conn, n fleet.Notice) (fleet.Noted, error) {
 	if n.Instance.ID != from.Peer.ID {
 		return fleet.Noted{}, rillreach.NotRun(rillreach.ReasonBadRequest, "notice is about another instance than its sender")
 	}
-	c.Members.Announce(n.Instance)
+	c.Members.Upsert(n.Instance)
 	return fleet.Noted{}, nil
 }
 
--- a/controller/spread/spread_test.go
+++ b/controller/spread/spread_test.go
@@ -189,7 +189,7 @@
 	f.settled()
 	cut := 0
 	for _, n := range f.nodes {
-		if n.currentPlan().Watches {
+		if n.currentPlan().IsWatcher {
 			f.network.cutOff(n.address.String())
 			n.gate.shut.Store(true)
 			cut++
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -106,7 +106,7 @@
 	understand := []rillreach.Filter{
 		authenticate.Filter{Table: e.Node.Table},
 		identify.Filter{Clock: e.Node.Clock},
-		resolve.Filter{Table: e.Node.Table, Namer: keep.NewNamer(e.Secret)},
+		resolve.Filter{Table: e.Node.Table, Namer: keep.NewKeyDeriver(e.Secret)},
 	}
 	observe := func(step string, took time.Duration, _ error) { e.Node.Metrics.Step(step, took) }
 	e.chain = &filter.Chain{Log: e.Node.Log, Observe: observe, Filters: append(understand[:len(understand):len(understand)], admit.Filter{Limiter: e.lease}, e.dispatch)}
--- a/filter/dispatch/attempt.go
+++ b/filter/dispatch/attempt.go
@@ -37,7 +37,7 @@
 		Key:          req.Key,
 		Ticket:       req.Ticket,
 		Sides:        allowedSides(req.Row.Weights),
-		Mark:         f.Node.Copy.Mark(rillreach.KindRow).Version,
+		Mark:         f.Node.Copy.Watermark(rillreach.KindRow).Version,
 	}
 	if req.Service == "" {
 		d.Model, d.Version = req.Row.Model, req.Row.Version
@@ -124,8 +124,8 @@
 // learn takes from an acknowledgement how loaded the agent is, and whether its copy of the rows goes further.
 func (f *Filter) learn(conn *peer.Conn, m *membership.Member, ack fleet.Ack) {
 	hint := ack.Hint
-	hint.At = f.Node.Clock.Now()
-	m.SetHint(hint)
+	hint.ReceivedAt = f.Node.Clock.Now()
+	m.SetLoadHint(hint)
 	f.Node.Spread.CatchUp(conn, ack.Mark)
 }
 
--- a/filter/dispatch/believe.go
+++ b/filter/dispatch/believe.go
@@ -12,11 +12,11 @@
 	}
 	switch refusal.Reason {
 	case rillreach.ReasonLeaving:
-		f.Node.Members.Leave(m.ID, m.Incarnation)
+		f.Node.Members.MarkLeaving(m.ID, m.Incarnation)
 	case rillreach.ReasonOverload:
-		hint, now := m.Hint(), f.Node.Clock.Now()
-		hint.Wait = max(hint.Wait-now.Sub(hint.At), refusal.RetryAfter)
-		hint.At = now
-		m.SetHint(hint)
+		hint, now := m.LoadHint(), f.Node.Clock.Now()
+		hint.QueueWait = max(hint.QueueWait-now.Sub(hint.ReceivedAt), refusal.RetryAfter)
+		hint.ReceivedAt = now
+		m.SetLoadHint(hint)
 	}
 }
--- a/filter/dispatch/choose.go
+++ b/filter/dispatch/choose.go
@@ -56,7 +56,7 @@
 
 func (f *Filter) chooseOn(req *rillreach.Request, side rillreach.Side, tried []rillreach.InstanceID) (*membership.Member, route.Choice, int) {
 	members := f.Node.Members.Group(groupOf(req, side))
-	ranked := route.Rank(req.Conversation, len(members), candidateCount+len(tried), func(i int) uint64 { return members[i].Place })
+	ranked := route.Rank(req.Conversation, len(members), candidateCount+len(tried), func(i int) uint64 { return members[i].PlacementHash })
 	var room [route.MaxRanked]route.Candidate
 	candidates := room[:ranked.Len()]
 	for rank := range candidates {
@@ -74,9 +74,9 @@
 
 // candidate is what is known of an agent: its last hint, aged by the time since.
 func (f *Filter) candidate(req *rillreach.Request, m *membership.Member) route.Candidate {
-	hint := m.Hint()
+	hint := m.LoadHint()
 	c := route.Candidate{
-		Wait:        max(hint.Wait-f.Node.Clock.Now().Sub(hint.At), 0),
+		Wait:        max(hint.QueueWait-f.Node.Clock.Now().Sub(hint.ReceivedAt), 0),
 		PrefillRate: hint.PrefillRate,
 		HitRate:     hint.HitRate,
 		Returning:   len(req.Parts) > req.Opening,
@@ -84,7 +84,7 @@
 	}
 	if c.Returning && hint.LinkRate > 0 {
 		c.Kept = req.Tokens
-		c.ImportTime = time.Duration(float64(req.Tokens) * hint.StateBytes / hint.LinkRate * float64(time.Second))
+		c.ImportTime = time.Duration(float64(req.Tokens) * hint.BytesPerToken / hint.LinkRate * float64(time.Second))
 	}
 	return c
 }
--- a/filter/dispatch/choose_test.go
+++ b/filter/dispatch/choose_test.go
@@ -56,13 +56,13 @@
 	})
 	t.Run("a leaving agent is not chosen", func(t *testing.T) {
 		first, _, _ := f.chooseOn(promptFor("model-5"), rillreach.SideOld, nil)
-		f.Node.Members.Leave(first.ID, first.Incarnation)
+		f.Node.Members.MarkLeaving(first.ID, first.Incarnation)
 		next, _, _ := f.chooseOn(promptFor("model-5"), rillreach.SideOld, nil)
 		assert.NotEqual(t, first.ID, next.ID)
 	})
 	t.Run("a loaded home is passed over for a free agent", func(t *testing.T) {
 		first, _, _ := f.chooseOn(promptFor("model-7"), rillreach.SideOld, nil)
-		first.SetHint(membership.Hint{Wait: 5 * time.Second, At: time.Now()})
+		first.SetLoadHint(membership.LoadHint{QueueWait: 5 * time.Second, ReceivedAt: time.Now()})
 		next, _, _ := f.chooseOn(promptFor("model-7"), rillreach.SideOld, nil)
 		assert.NotEqual(t, first.ID, next.ID)
 	})
--- a/filter/dispatch/dispatch_test.go
+++ b/filter/dispatch/dispatch_test.go
@@ -48,7 +48,7 @@
 }
 
 func (f *smallFleet) announce(i int) {
-	f.Node.Members.Announce(rillreach.Instance{
+	f.Node.Members.Upsert(rillreach.Instance{
 		ID: rillreach.InstanceID(fmt.Sprint("agent-", i)), Role: rillreach.RoleAgent, Incarnation: "1",
 		Address: netip.MustParseAddrPort("127.0.0.1:1"), Side: rillreach.SideOld, Model: "m", Versions: []rillreach.VersionID{"v1"},
 	})
--- a/filter/dispatch/silent_test.go
+++ b/filter/dispatch/silent_test.go
@@ -41,7 +41,7 @@
 		t.Cleanup(server.Close)
 		self.Address = netip.MustParseAddrPort(server.Listener.Addr().String())
 		pool.Self = self
-		entry.Members.Announce(self)
+		entry.Members.Upsert(self)
 	}
 	return &Filter{Node: entry, Budget: &retry.Budget{}, AckTimeout: 100 * time.Millisecond, Log: logr.Discard()}
 }
--- a/filter/resolve/resolve.go
+++ b/filter/resolve/resolve.go
@@ -26,7 +26,7 @@
 	// Table holds the rows.
 	Table *table.Table
 	// Namer names blocks and salts.
-	Namer keep.Namer
+	Namer keep.KeyDeriver
 }
 
 // Name is the step's name.
@@ -44,7 +44,7 @@
 	}
 	req.Row, req.RowVersion = line.Row, line.Version
 	scope := keep.Scope{Account: req.Account, Model: line.Row.Model, Version: line.Row.Version}
-	req.Blocks = f.Namer.Chain(scope, req.Parts)
+	req.Blocks = f.Namer.BlockKeys(scope, req.Parts)
 	req.Conversation = f.conversation(scope, req)
 	return f.bind(scope, req)
 }
@@ -62,7 +62,7 @@
 
 func (f Filter) conversation(scope keep.Scope, req *rillreach.Request) uint64 {
 	if req.CacheKey != "" {
-		named := f.Namer.Chain(scope, [][]byte{[]byte(req.CacheKey)})
+		named := f.Namer.BlockKeys(scope, [][]byte{[]byte(req.CacheKey)})
 		return binary.LittleEndian.Uint64(named[0][:])
 	}
 	return binary.LittleEndian.Uint64(req.Blocks[req.Opening-1][:])
@@ -77,7 +77,7 @@
 			return rillreach.NotRun(rillreach.ReasonBadRequest, "field cache_salt is not a string")
 		}
 	}
-	req.Salt = f.Namer.Salt(scope, callers)
+	req.Salt = f.Namer.CacheSalt(scope, callers)
 	req.Fields[fieldSalt] = quote(req.Salt)
 	req.Fields[fieldModel] = quote(string(scope.Model))
 	req.Body = writeObject(req.Fields)
--- a/fleet/dispatch.go
+++ b/fleet/dispatch.go
@@ -56,8 +56,8 @@
 
 // Ack says that an agent has taken a request.
 type Ack struct {
-	Hint membership.Hint `cbor:"1,keyasint"`
-	Mark uint64          `cbor:"2,keyasint,omitempty"`
+	Hint membership.LoadHint `cbor:"1,keyasint"`
+	Mark uint64              `cbor:"2,keyasint,omitempty"`
 }
 
 // Check accepts every acknowledgement.
--- a/fleet/spread.go
+++ b/fleet/spread.go
@@ -17,7 +17,7 @@
 
 // Pushed answers a push with how far the receiver's copy then goes.
 type Pushed struct {
-	Mark replicate.Mark `cbor:"1,keyasint"`
+	Mark replicate.Watermark `cbor:"1,keyasint"`
 }
 
 // Check accepts every answer.
@@ -25,7 +25,7 @@
 
 // Sync compares marks: it says how far the asker's copy goes.
 type Sync struct {
-	Marks []replicate.Mark `cbor:"1,keyasint"`
+	Marks []replicate.Watermark `cbor:"1,keyasint"`
 }
 
 // Check reports more marks than there are kinds.
@@ -39,8 +39,8 @@
 
 // Synced answers with what the asker lacks, and with the answerer's own marks.
 type Synced struct {
-	Deltas []replicate.Delta `cbor:"1,keyasint,omitempty"`
-	Marks  []replicate.Mark  `cbor:"2,keyasint"`
+	Deltas []replicate.Delta     `cbor:"1,keyasint,omitempty"`
+	Marks  []replicate.Watermark `cbor:"2,keyasint"`
 }
 
 // Check checks every delta.
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -97,11 +97,11 @@
 }
 
 // replacedFor is for how long newer weights than those of the window have been named; zero where there are none.
-func replacedFor(window weights.Window, now time.Time) time.Duration {
-	if window.Replaced.IsZero() {
+func replacedFor(window weights.StartWindow, now time.Time) time.Duration {
+	if window.ReplacedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(window.Replaced)
+	return now.Sub(window.ReplacedAt)
 }
 
 // oldFrom is how long after the naming of new weights answers on the old ones are as good as others.
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -175,7 +175,7 @@
 		}
 		_, holds := holders[s.Address]
 		stores = append(stores, fetch.Store{
-			Place: s.Address, Capacity: s.CapacityTokens, Total: g.stores.index.Total(s.Address), BitsPerSecond: s.LinkBitsPerSecond,
+			Place: s.Address, Capacity: s.CapacityTokens, Total: g.stores.index.TotalTokens(s.Address), BitsPerSecond: s.LinkBitsPerSecond,
 			First: s.FirstDelay, Busy: info.busy, OtherZone: s.Zone != v.Zone, Holds: holds || g.stores.isSaving(key, s.Address, now),
 		})
 	}
--- a/gateway/local_zone.go
+++ b/gateway/local_zone.go
@@ -88,7 +88,7 @@
 // applySparseBulletin takes over a bulletin of an agent that was asked for little: what its runner held when more was heard of it is out of date.
 func (g *Gateway) applySparseBulletin(b *bulletin.Bulletin, now time.Time) {
 	if r := g.state.Roster.Find(b.Runner); r != nil {
-		if place := r.Info().Address; g.stores.index.Total(place) > 0 {
+		if place := r.Info().Address; g.stores.index.TotalTokens(place) > 0 {
 			g.stores.index.Forget(place)
 		}
 	}
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -29,7 +29,7 @@
 
 // versionState is what holds for a request at all runners that have one version of its model's weights.
 type versionState struct {
-	window weights.Window
+	window weights.StartWindow
 	// prompt is set once a plan has been asked for.
 	prompt *promptState
 }
--- a/gateway/restart.go
+++ b/gateway/restart.go
@@ -14,7 +14,7 @@
 // runnerRestarted forgets what a runner's earlier run held, and its connections, which ended with it.
 func (g *Gateway) runnerRestarted(info deployment.Runner) {
 	now := time.Now()
-	g.stores.index.Renew(info.Address, info.Run())
+	g.stores.index.ObserveRun(info.Address, info.Run())
 	g.pool.Forget(info.Address)
 	g.line.changed()
 	delay, known := g.restartDelay(info.Generation, now)
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -55,7 +55,7 @@
 	assert.Zero(t, v.Load.Waiting)
 	assert.False(t, v.Avoid)
 	assert.Empty(t, g.stores.index.Holders(partKey))
-	assert.Zero(t, g.stores.index.Total(enginePlace))
+	assert.Zero(t, g.stores.index.TotalTokens(enginePlace))
 }
 
 func TestRunnerStartsAgain(t *testing.T) {
@@ -107,7 +107,7 @@
 		v := g.state.Roster.Find("r").View(time.Now())
 		assert.Equal(t, 4, v.Load.Waiting)
 		assert.True(t, v.Avoid)
-		assert.Equal(t, 800, g.stores.index.Total(enginePlace))
+		assert.Equal(t, 800, g.stores.index.TotalTokens(enginePlace))
 	})
 }
 
@@ -143,10 +143,10 @@
 	g := w.gateway
 	first := g.state.Roster.Find("e1")
 	g.stores.applyRunner(first.Info().Run(), &bulletin.Holder{Place: e.Address(), Whole: true, Changes: []holdings.Change{{Key: partKey, Tokens: 800}}})
-	require.Equal(t, 800, g.stores.index.Total(e.Address()))
+	require.Equal(t, 800, g.stores.index.TotalTokens(e.Address()))
 	e.Restart(later)
 	w.store.Put("servers", e.ID, e.Record("ready"))
-	w.eventually(t, func() bool { return g.stores.index.Total(e.Address()) == 0 })
+	w.eventually(t, func() bool { return g.stores.index.TotalTokens(e.Address()) == 0 })
 	assert.NotSame(t, first, g.state.Roster.Find("e1"))
 	<-first.Over()
 }
--- a/gateway/start_deadline.go
+++ b/gateway/start_deadline.go
@@ -18,16 +18,16 @@
 const windowCheck = time.Second
 
 // window is when requests like this one may begin on weights of their model.
-func (g *Gateway) window(x *exchange, version deployment.WeightVersion) weights.Window {
+func (g *Gateway) window(x *exchange, version deployment.WeightVersion) weights.StartWindow {
 	if x.wire.Prompt == nil || x.service.Engine == nil {
-		return weights.Window{}
+		return weights.StartWindow{}
 	}
-	return weights.Window{Replaced: g.state.Replaced(x.wire.Prompt.Model, version), Bound: g.Settings.Bounds.Weights}
+	return weights.StartWindow{ReplacedAt: g.state.Replaced(x.wire.Prompt.Model, version), Bound: g.Settings.Bounds.Weights}
 }
 
 // startDeadline cancels a request at its runner where it has not begun when the window on the runner's weights closes.
 type startDeadline struct {
-	window func() weights.Window
+	window func() weights.StartWindow
 	// end ends the attempt.
 	end func()
 
@@ -39,7 +39,7 @@
 // boundStart has the attempt end where the request does not begin in time.
 func (g *Gateway) boundStart(x *exchange, t *target, end func()) *startDeadline {
 	d := &startDeadline{
-		window: func() weights.Window { return g.window(x, t.weights) },
+		window: func() weights.StartWindow { return g.window(x, t.weights) },
 		end: func() {
 			t.cancelled.Store(true)
 			end()
@@ -59,7 +59,7 @@
 		return
 	}
 	left := windowCheck
-	if end := d.window().Close(); !end.IsZero() {
+	if end := d.window().ClosesAt(); !end.IsZero() {
 		left = min(left, time.Until(end))
 	}
 	if left <= 0 {
--- a/gateway/stores.go
+++ b/gateway/stores.go
@@ -52,7 +52,7 @@
 
 // applyRunner takes over what a run holds, as its agent says.
 func (b *storeBook) applyRunner(run rillreach.InstanceRun, h *bulletin.Holder) {
-	b.index.Update(holdings.Update{Place: h.Place, Run: run, Whole: h.Whole, Changes: h.Changes})
+	b.index.Update(holdings.Update{Address: h.Place, Run: run, Snapshot: h.Whole, Changes: h.Changes})
 }
 
 // apply takes over what an agent says of a store.
--- a/holdings/expired.go
+++ b/holdings/expired.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Expired are the salts whose parts are about to be freed, and since when those who fetch are told so; its zero value is empty.
-type Expired struct {
+// ExpiredSalts are the salts whose parts are about to be freed, and since when those who fetch are told so; its zero value is empty.
+type ExpiredSalts struct {
 	mu   sync.Mutex
 	told map[string]time.Time
 }
 
-// Free reports whether the parts under a salt may be freed: those who fetch have been told for as long as it takes until no
+// MayFree reports whether the parts under a salt may be freed: those who fetch have been told for as long as it takes until no
 // fetch that began before can still run. The first question is what begins the telling.
-func (e *Expired) Free(salt string, now time.Time, after time.Duration) bool {
+func (e *ExpiredSalts) MayFree(salt string, now time.Time, after time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	since, ok := e.told[salt]
@@ -28,7 +28,7 @@
 }
 
 // Salts are those that are told of.
-func (e *Expired) Salts() []string {
+func (e *ExpiredSalts) Salts() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	salts := make([]string, 0, len(e.told))
--- a/holdings/holdings_test.go
+++ b/holdings/holdings_test.go
@@ -56,7 +56,7 @@
 		total += c.Tokens
 		assert.Equal(t, c.Tokens, index.Holders(c.Key)[placeA])
 	}
-	assert.Equal(t, total, index.Total(placeA))
+	assert.Equal(t, total, index.TotalTokens(placeA))
 }
 
 func TestReaderFarBehindGetsEverything(t *testing.T) {
@@ -84,18 +84,18 @@
 	t.Run("a holder that is forgotten holds nothing", func(t *testing.T) {
 		x.Forget(placeB)
 		assert.Equal(t, map[netip.AddrPort]int{placeA: 10}, x.Holders(key("p")))
-		assert.Zero(t, x.Total(placeB))
+		assert.Zero(t, x.TotalTokens(placeB))
 	})
 }
 
 func TestNothingIsFreedWhileAFetchMayRun(t *testing.T) {
-	var d Expired
+	var d ExpiredSalts
 	start := time.Unix(0, 0)
-	assert.False(t, d.Free("1/m", start, time.Second), "the first question only begins to tell")
+	assert.False(t, d.MayFree("1/m", start, time.Second), "the first question only begins to tell")
 	assert.Equal(t, []string{"1/m"}, d.Salts())
-	assert.False(t, d.Free("1/m", start.Add(999*time.Millisecond), time.Second))
-	assert.True(t, d.Free("1/m", start.Add(time.Second), time.Second))
-	assert.False(t, d.Free("2/m", start.Add(time.Second), time.Second), "each salt is told of by itself")
+	assert.False(t, d.MayFree("1/m", start.Add(999*time.Millisecond), time.Second))
+	assert.True(t, d.MayFree("1/m", start.Add(time.Second), time.Second))
+	assert.False(t, d.MayFree("2/m", start.Add(time.Second), time.Second), "each salt is told of by itself")
 }
 
 func TestChangesOnTheirWay(t *testing.T) {
@@ -116,14 +116,14 @@
 		for _, c := range sent {
 			assert.Equal(t, before.Holders(c.Key), after.Holders(c.Key))
 		}
-		assert.Equal(t, before.Total(placeA), after.Total(placeA))
+		assert.Equal(t, before.TotalTokens(placeA), after.TotalTokens(placeA))
 	})
 }
 
 func TestIndexOfRuns(t *testing.T) {
 	first, second := rillreach.InstanceRun{ID: "a", Generation: 1}, rillreach.InstanceRun{ID: "a", Generation: 2}
 	of := func(run rillreach.InstanceRun, whole bool, changes ...Change) Update {
-		return Update{Place: placeA, Run: run, Whole: whole, Changes: changes}
+		return Update{Address: placeA, Run: run, Snapshot: whole, Changes: changes}
 	}
 	held := func(updates ...Update) map[string]int {
 		var x Index
@@ -159,11 +159,11 @@
 	t.Run("a run that is renewed twice keeps what it holds", func(t *testing.T) {
 		var x Index
 		x.Update(of(first, true, change("p", 10)))
-		x.Renew(placeA, second)
-		assert.Zero(t, x.Total(placeA))
+		x.ObserveRun(placeA, second)
+		assert.Zero(t, x.TotalTokens(placeA))
 		x.Update(of(second, true, change("q", 5)))
-		x.Renew(placeA, second)
-		x.Renew(placeA, first)
-		assert.Equal(t, 5, x.Total(placeA))
+		x.ObserveRun(placeA, second)
+		x.ObserveRun(placeA, first)
+		assert.Equal(t, 5, x.TotalTokens(placeA))
 	})
 }
--- a/holdings/index.go
+++ b/holdings/index.go
@@ -41,28 +41,28 @@
 
 // Update is what one run of a runner tells that it holds.
 type Update struct {
-	Place netip.AddrPort
-	Run   rillreach.InstanceRun
-	// Whole says that the changes are everything that is held.
-	Whole   bool
-	Changes []Change
+	Address netip.AddrPort
+	Run     rillreach.InstanceRun
+	// Snapshot says that the changes are everything that is held.
+	Snapshot bool
+	Changes  []Change
 }
 
 // Update takes over what a run holds. What an earlier run than the latest one tells is late and changes nothing.
 func (x *Index) Update(u Update) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.renew(u.Place, u.Run) {
+	if !x.renew(u.Address, u.Run) {
 		return
 	}
-	if u.Whole {
-		x.forget(u.Place)
+	if u.Snapshot {
+		x.forget(u.Address)
 	}
-	x.apply(u.Place, u.Changes)
+	x.apply(u.Address, u.Changes)
 }
 
-// Renew drops what runs before this one held at the address.
-func (x *Index) Renew(place netip.AddrPort, run rillreach.InstanceRun) {
+// ObserveRun drops what runs before this one held at the address.
+func (x *Index) ObserveRun(place netip.AddrPort, run rillreach.InstanceRun) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.renew(place, run)
@@ -97,8 +97,8 @@
 	return holders
 }
 
-// Total is how many tokens a holder has altogether.
-func (x *Index) Total(place netip.AddrPort) int {
+// TotalTokens is how many tokens a holder has altogether.
+func (x *Index) TotalTokens(place netip.AddrPort) int {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	return x.total[place]
--- a/holdings/tracker.go
+++ b/holdings/tracker.go
@@ -87,8 +87,8 @@
 	return slices.Clone(t.log[position-t.base:]), next, false
 }
 
-// Total is how many tokens are held.
-func (t *Tracker) Total() int {
+// TotalTokens is how many tokens are held.
+func (t *Tracker) TotalTokens() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	total := 0
@@ -98,8 +98,8 @@
 	return total
 }
 
-// Salts returns how many tokens are held under each salt.
-func (t *Tracker) Salts() map[string]int {
+// TokensBySalt returns how many tokens are held under each salt.
+func (t *Tracker) TokensBySalt() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	salts := map[string]int{}
@@ -109,8 +109,8 @@
 	return salts
 }
 
-// Under returns the parts that are held under a salt.
-func (t *Tracker) Under(salt string) []Key {
+// KeysUnder returns the parts that are held under a salt.
+func (t *Tracker) KeysUnder(salt string) []Key {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var keys []Key
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -16,7 +16,7 @@
 	capacity int
 	order    *list.List
 	blocks   map[uint64]*list.Element
-	events   []keep.Event
+	events   []keep.EvictionEvent
 	next     uint64
 }
 
@@ -64,7 +64,7 @@
 func (c *cache) dropOldest() {
 	oldest := c.order.Remove(c.order.Back()).(cached)
 	delete(c.blocks, oldest.block)
-	c.events = append(c.events, keep.Event{Sequence: c.next, Salt: oldest.salt})
+	c.events = append(c.events, keep.EvictionEvent{Sequence: c.next, Salt: oldest.salt})
 	c.next++
 	if len(c.events) > eventMemory {
 		c.events = c.events[1:]
@@ -72,10 +72,10 @@
 }
 
 // since returns the events from a sequence on that are remembered.
-func (c *cache) since(from uint64) ([]keep.Event, uint64) {
+func (c *cache) since(from uint64) ([]keep.EvictionEvent, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	events := []keep.Event{}
+	events := []keep.EvictionEvent{}
 	for _, e := range c.events {
 		if e.Sequence >= from {
 			events = append(events, e)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -183,7 +183,7 @@
 		return
 	}
 	events, next := s.cache.since(from)
-	standin.WriteJSON(w, keep.Events{Incarnation: s.incarnation, Events: events, Next: next})
+	standin.WriteJSON(w, keep.EventPage{Incarnation: s.incarnation, Events: events, Next: next})
 }
 
 func (s *Server) clear(http.ResponseWriter, *http.Request, httprouter.Params) { s.cache.clear() }
--- a/keep/envelope.go
+++ b/keep/envelope.go
@@ -42,13 +42,13 @@
 // Join puts the stripes of one writing of a block together again.
 func Join(stripes []Block) (Block, error) {
 	if len(stripes) == 0 {
-		return Block{}, errors.Wrap(ErrNotWhole, "no stripes")
+		return Block{}, errors.Wrap(ErrInvalidBlock, "no stripes")
 	}
 	whole := stripes[0]
 	whole.Payload = nil
 	for i, s := range stripes {
 		if s.Stripe != i || s.Stripes != len(stripes) || !s.sameWriting(whole) {
-			return Block{}, errors.Wrap(ErrNotWhole, "stripes are not of one writing")
+			return Block{}, errors.Wrap(ErrInvalidBlock, "stripes are not of one writing")
 		}
 		whole.Payload = append(whole.Payload, s.Payload...)
 	}
@@ -59,8 +59,8 @@
 	return b.Key == other.Key && b.Parent == other.Parent && b.Generation == other.Generation && b.From == other.From && b.To == other.To
 }
 
-// ErrNotWhole says that what was read is not a block as it was sealed: cut short, overwritten, freed or another's.
-var ErrNotWhole = errors.New("block is not as it was sealed")
+// ErrInvalidBlock says that what was read is not a block as it was sealed: cut short, overwritten, freed or another's.
+var ErrInvalidBlock = errors.New("block is not as it was sealed")
 
 // Sealer seals blocks so that a reader can tell a whole one; only processes with the fleet's secret can make one.
 type Sealer struct {
@@ -85,19 +85,19 @@
 // Open reads a block back and checks that it is whole and the one that was asked for.
 func (s Sealer) Open(data []byte, key rillreach.BlockKey) (Block, error) {
 	if len(data) <= hash.Size {
-		return Block{}, errors.Wrap(ErrNotWhole, "too short")
+		return Block{}, errors.Wrap(ErrInvalidBlock, "too short")
 	}
 	sum, body := data[:hash.Size], data[hash.Size:]
 	want := hash.Keyed(s.key, body)
 	if subtle.ConstantTimeCompare(sum, want[:]) != 1 {
-		return Block{}, errors.Wrap(ErrNotWhole, "checksum differs")
+		return Block{}, errors.Wrap(ErrInvalidBlock, "checksum differs")
 	}
 	var b Block
 	if err := cbor.Unmarshal(body, &b); err != nil {
-		return Block{}, errors.Wrap(ErrNotWhole, err.Error())
+		return Block{}, errors.Wrap(ErrInvalidBlock, err.Error())
 	}
 	if b.Key != key {
-		return Block{}, errors.Wrap(ErrNotWhole, "another block was read")
+		return Block{}, errors.Wrap(ErrInvalidBlock, "another block was read")
 	}
 	return b, nil
 }
--- a/keep/key.go
+++ b/keep/key.go
@@ -14,20 +14,20 @@
 	Version rillreach.VersionID
 }
 
-// Namer makes the names of blocks with a secret of the whole fleet.
-type Namer struct {
+// KeyDeriver makes the names of blocks with a secret of the whole fleet.
+type KeyDeriver struct {
 	blocks hash.Key
 	salts  hash.Key
 }
 
-// NewNamer makes a namer from the fleet's secret.
-func NewNamer(secret []byte) Namer {
-	return Namer{blocks: hash.Derive("blocks", secret), salts: hash.Derive("salts", secret)}
+// NewKeyDeriver makes a namer from the fleet's secret.
+func NewKeyDeriver(secret []byte) KeyDeriver {
+	return KeyDeriver{blocks: hash.Derive("blocks", secret), salts: hash.Derive("salts", secret)}
 }
 
-// Chain names every prefix of a prompt that ends with one of its parts: each name covers the scope, the name before
+// BlockKeys names every prefix of a prompt that ends with one of its parts: each name covers the scope, the name before
 // it and the part itself.
-func (n Namer) Chain(scope Scope, parts [][]byte) []rillreach.BlockKey {
+func (n KeyDeriver) BlockKeys(scope Scope, parts [][]byte) []rillreach.BlockKey {
 	keys := make([]rillreach.BlockKey, len(parts))
 	parent := n.root(scope)
 	for i, part := range parts {
@@ -37,12 +37,12 @@
 	return keys
 }
 
-// Salt is the cache salt that keeps the scope's state apart in an engine; a caller's own salt divides its scope further.
-func (n Namer) Salt(scope Scope, callers string) string {
+// CacheSalt is the cache salt that keeps the scope's state apart in an engine; a caller's own salt divides its scope further.
+func (n KeyDeriver) CacheSalt(scope Scope, callers string) string {
 	sum := hash.Keyed(n.salts, []byte(scope.Account), []byte(scope.Model), []byte(scope.Version), []byte(callers))
 	return hex.EncodeToString(sum[:16])
 }
 
-func (n Namer) root(scope Scope) rillreach.BlockKey {
+func (n KeyDeriver) root(scope Scope) rillreach.BlockKey {
 	return hash.Keyed(n.blocks, []byte(scope.Account), []byte(scope.Model), []byte(scope.Version))
 }
--- a/keep/link.go
+++ b/keep/link.go
@@ -52,28 +52,28 @@
 	return !now.Before(l.avoid)
 }
 
-// Estimate is how long an import of some bytes would take, those under way included.
-func (l *Link) Estimate(bytes int64) time.Duration {
+// EstimateImport is how long an import of some bytes would take, those under way included.
+func (l *Link) EstimateImport(bytes int64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return secondsOf(float64(l.urgent+bytes) / l.currentRate())
 }
 
-// Patience is how long an import may take before it is given up.
-func (l *Link) Patience(bytes int64) time.Duration {
-	return max(slowFactor*l.Estimate(bytes), minTransfer)
+// ImportTimeout is how long an import may take before it is given up.
+func (l *Link) ImportTimeout(bytes int64) time.Duration {
+	return max(slowFactor*l.EstimateImport(bytes), minTransfer)
 }
 
-// Begin counts an import that starts.
-func (l *Link) Begin(bytes int64) {
+// BeginImport counts an import that starts.
+func (l *Link) BeginImport(bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.urgent += bytes
 }
 
-// BeginLater counts an export or copy if there is room for it beside the imports, else it is not to be started. Those
+// TryBeginBackground counts an export or copy if there is room for it beside the imports, else it is not to be started. Those
 // under way may take no more than their share of a second of the link.
-func (l *Link) BeginLater(bytes int64) bool {
+func (l *Link) TryBeginBackground(bytes int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.urgent > 0 {
@@ -86,16 +86,16 @@
 	return true
 }
 
-// End records how an import went: it moves the measured rate, and has the link left alone after a failure.
-func (l *Link) End(now time.Time, bytes int64, took time.Duration, ok bool) {
+// EndImport records how an import went: it moves the measured rate, and has the link left alone after a failure.
+func (l *Link) EndImport(now time.Time, bytes int64, took time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.urgent -= bytes
 	l.learn(now, bytes, took, ok)
 }
 
-// EndLater records how an export or copy went.
-func (l *Link) EndLater(now time.Time, bytes int64, took time.Duration, ok bool) {
+// EndBackground records how an export or copy went.
+func (l *Link) EndBackground(now time.Time, bytes int64, took time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.later -= bytes
--- a/keep/resident.go
+++ b/keep/resident.go
@@ -8,27 +8,27 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Event is one change of an engine's cache as the engine publishes it, late and with gaps.
-type Event struct {
+// EvictionEvent is one change of an engine's cache as the engine publishes it, late and with gaps.
+type EvictionEvent struct {
 	// Sequence grows by one from event to event of one incarnation of the engine.
 	Sequence uint64 `json:"sequence"`
 	// Salt names the scope whose state was dropped, in whole or in part.
 	Salt string `json:"salt"`
 }
 
-// Events is a page of events.
-type Events struct {
-	Incarnation string  `json:"incarnation"`
-	Events      []Event `json:"events"`
+// EventPage is a page of events.
+type EventPage struct {
+	Incarnation string          `json:"incarnation"`
+	Events      []EvictionEvent `json:"events"`
 	// Next is the sequence that the next event will have.
 	Next uint64 `json:"next"`
 }
 
-// Resident is what an engine's memory is believed to hold: the prompts answered lately, less what its events have
+// CacheEstimate is what an engine's memory is believed to hold: the prompts answered lately, less what its events have
 // taken away. Belief that is wrong costs time and never correctness, since the engine itself looks up what it has.
-type Resident struct {
-	// Most bounds the prompts that are remembered; zero means a default.
-	Most int
+type CacheEstimate struct {
+	// MaxPrompts bounds the prompts that are remembered; zero means a default.
+	MaxPrompts int
 
 	mu          sync.Mutex
 	incarnation string
@@ -48,7 +48,7 @@
 const defaultMostResident = 4096
 
 // Add notes that the engine holds a prompt up to a block.
-func (r *Resident) Add(key rillreach.BlockKey, salt string, tokens int) {
+func (r *CacheEstimate) Add(key rillreach.BlockKey, salt string, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil {
@@ -59,7 +59,7 @@
 		return
 	}
 	r.byKey[key] = r.order.PushFront(resident{key: key, salt: r.numberOf(salt), tokens: int32(min(tokens, math.MaxInt32))})
-	most := r.Most
+	most := r.MaxPrompts
 	if most == 0 {
 		most = defaultMostResident
 	}
@@ -68,8 +68,8 @@
 	}
 }
 
-// Longest is how many leading parts of a prompt the engine is believed to hold, and their tokens.
-func (r *Resident) Longest(blocks []rillreach.BlockKey) (int, int) {
+// LongestPrefix is how many leading parts of a prompt the engine is believed to hold, and their tokens.
+func (r *CacheEstimate) LongestPrefix(blocks []rillreach.BlockKey) (int, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := len(blocks) - 1; i >= 0; i-- {
@@ -80,8 +80,8 @@
 	return 0, 0
 }
 
-// Take takes a page of events in. A gap in the sequence, or a new incarnation, takes away everything it may cover.
-func (r *Resident) Take(page Events) {
+// ApplyEvents takes a page of events in. A gap in the sequence, or a new incarnation, takes away everything it may cover.
+func (r *CacheEstimate) ApplyEvents(page EventPage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if page.Incarnation != r.incarnation {
@@ -106,15 +106,15 @@
 	}
 }
 
-// Next is the sequence of the event that is awaited.
-func (r *Resident) Next() uint64 {
+// NextSequence is the sequence of the event that is awaited.
+func (r *CacheEstimate) NextSequence() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.next
 }
 
 // drop takes away the oldest prompt of a salt, which the engine drops first.
-func (r *Resident) drop(salt string) {
+func (r *CacheEstimate) drop(salt string) {
 	if r.order == nil {
 		return
 	}
@@ -130,18 +130,18 @@
 	}
 }
 
-func (r *Resident) remove(e *list.Element) {
+func (r *CacheEstimate) remove(e *list.Element) {
 	delete(r.byKey, e.Value.(resident).key)
 	r.order.Remove(e)
 }
 
-func (r *Resident) reset() {
+func (r *CacheEstimate) reset() {
 	r.order = list.New()
 	r.byKey = map[rillreach.BlockKey]*list.Element{}
 	r.salts = map[string]uint32{}
 }
 
-func (r *Resident) numberOf(salt string) uint32 {
+func (r *CacheEstimate) numberOf(salt string) uint32 {
 	number, ok := r.salts[salt]
 	if !ok {
 		number = uint32(len(r.salts))
--- a/keep/worth.go
+++ b/keep/worth.go
@@ -7,17 +7,17 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Import is the question whether to read kept state or to compute it again.
-type Import struct {
+// ImportInput is the question whether to read kept state or to compute it again.
+type ImportInput struct {
 	// Tokens is the length of the prompt, Cached what the engine holds of it, Kept what could be read.
 	Tokens int
 	Cached int
-	Kept   int
+	Stored int
 	// Bytes is what reading it would carry over the link, Transfer how long that would take.
-	Bytes    int64
-	Transfer time.Duration
-	// Wait is how long the request waits for its turn anyway.
-	Wait time.Duration
+	Bytes        int64
+	TransferTime time.Duration
+	// QueueWait is how long the request waits for its turn anyway.
+	QueueWait time.Duration
 	// PrefillRate is the tokens a second that the engine computes.
 	PrefillRate float64
 	// Objective is the row's.
@@ -29,14 +29,14 @@
 
 // The verdicts on kept state.
 const (
-	VerdictImport   Verdict = "import"
-	VerdictCached   Verdict = "cached"
-	VerdictNothing  Verdict = "nothing-kept"
-	VerdictFaster   Verdict = "recompute-is-faster"
-	VerdictExport   Verdict = "export"
-	VerdictSmall    Verdict = "too-small"
-	VerdictNotWorth Verdict = "return-unlikely"
-	VerdictKeptLong Verdict = "already-kept"
+	VerdictImport          Verdict = "import"
+	VerdictCached          Verdict = "cached"
+	VerdictNotStored       Verdict = "nothing-kept"
+	VerdictRecomputeFaster Verdict = "recompute-is-faster"
+	VerdictExport          Verdict = "export"
+	VerdictTooSmall        Verdict = "too-small"
+	VerdictReturnUnlikely  Verdict = "return-unlikely"
+	VerdictAlreadyStored   Verdict = "already-kept"
 )
 
 const (
@@ -48,30 +48,30 @@
 
 // Decide says whether to import. Under the objective of little recomputation reading may take longer than computing
 // again would, but not without bound.
-func (i Import) Decide() Verdict {
+func (i ImportInput) Decide() Verdict {
 	switch {
-	case i.Kept <= i.Cached && i.Cached > 0:
+	case i.Stored <= i.Cached && i.Cached > 0:
 		return VerdictCached
-	case i.Kept <= i.Cached:
-		return VerdictNothing
+	case i.Stored <= i.Cached:
+		return VerdictNotStored
 	}
 	rate := i.PrefillRate
 	if rate <= 0 {
 		rate = defaultPrefill
 	}
-	compute := secondsOf(float64(i.Kept-i.Cached) / rate)
+	compute := secondsOf(float64(i.Stored-i.Cached) / rate)
 	patience := patienceFirst
 	if i.Objective == rillreach.ObjectiveRecompute {
 		patience = patienceRecompute
 	}
-	if max(i.Transfer-i.Wait, 0) > secondsOf(patience*compute.Seconds()) {
-		return VerdictFaster
+	if max(i.TransferTime-i.QueueWait, 0) > secondsOf(patience*compute.Seconds()) {
+		return VerdictRecomputeFaster
 	}
 	return VerdictImport
 }
 
-// Gaps is a histogram of how long an account's prompts took to return, on a scale that doubles from step to step.
-type Gaps struct {
+// ReturnHistogram is a histogram of how long an account's prompts took to return, on a scale that doubles from step to step.
+type ReturnHistogram struct {
 	counts [gapSteps]float64
 	lost   float64
 }
@@ -85,20 +85,20 @@
 	gapMemory = 2000.0
 )
 
-// Returned notes that a prompt came back after a gap.
-func (g *Gaps) Returned(gap time.Duration) {
+// RecordReturn notes that a prompt came back after a gap.
+func (g *ReturnHistogram) RecordReturn(gap time.Duration) {
 	g.fade()
 	g.counts[stepOf(gap)]++
 }
 
-// Lost notes that a prompt was given up on.
-func (g *Gaps) Lost() {
+// RecordLoss notes that a prompt was given up on.
+func (g *ReturnHistogram) RecordLoss() {
 	g.fade()
 	g.lost++
 }
 
-// Chance is how likely a prompt comes back before some time from now, given how long it has been away.
-func (g *Gaps) Chance(away, within time.Duration) float64 {
+// ReturnProbability is how likely a prompt comes back before some time from now, given how long it has been away.
+func (g *ReturnHistogram) ReturnProbability(away, within time.Duration) float64 {
 	var before, all float64
 	from, to := stepOf(away), stepOf(within)
 	for step := range gapSteps {
@@ -115,7 +115,7 @@
 	return before / all
 }
 
-func (g *Gaps) fade() {
+func (g *ReturnHistogram) fade() {
 	total := g.lost
 	for _, c := range g.counts {
 		total += c
@@ -136,14 +136,14 @@
 	return min(int(math.Log2(float64(gap)/float64(gapFirst))), gapSteps-1)
 }
 
-// Export is the question whether state is worth writing to a store.
-type Export struct {
+// ExportInput is the question whether state is worth writing to a store.
+type ExportInput struct {
 	// Tokens is how much of the prompt is not kept yet.
 	Tokens int
 	// Bytes is what writing it would carry.
 	Bytes int64
-	// Chance is how likely the prompt comes back while a store still holds it.
-	Chance float64
+	// ReturnProbability is how likely the prompt comes back while a store still holds it.
+	ReturnProbability float64
 	// PrefillRate is the tokens a second that the engine computes, LinkRate the bytes a second that the link carries.
 	PrefillRate float64
 	LinkRate    float64
@@ -154,9 +154,9 @@
 
 // Decide says whether to export: the time that reading it would save, by the chance of its return, has to be more than
 // the link is taken up by writing it.
-func (e Export) Decide() Verdict {
+func (e ExportInput) Decide() Verdict {
 	if e.Tokens < minExport {
-		return VerdictSmall
+		return VerdictTooSmall
 	}
 	prefill, link := e.PrefillRate, e.LinkRate
 	if prefill <= 0 {
@@ -167,8 +167,8 @@
 	}
 	transfer := float64(e.Bytes) / link
 	saved := float64(e.Tokens)/prefill - transfer
-	if e.Chance*saved <= transfer*(1-e.Chance)*backgroundCost {
-		return VerdictNotWorth
+	if e.ReturnProbability*saved <= transfer*(1-e.ReturnProbability)*backgroundCost {
+		return VerdictReturnUnlikely
 	}
 	return VerdictExport
 }
--- a/kept/export.go
+++ b/kept/export.go
@@ -28,10 +28,10 @@
 	key := d.Blocks[len(d.Blocks)-1]
 	k.mu.Lock()
 	last, _ := k.recent.lastKept(d)
-	chance := k.recent.gapsOf(d.Account).Chance(0, retention)
+	chance := k.recent.gapsOf(d.Account).ReturnProbability(0, retention)
 	k.mu.Unlock()
 	if last.key == key {
-		return keep.VerdictKeptLong, nil
+		return keep.VerdictAlreadyStored, nil
 	}
 	stores := k.storesOn(k.Self.Side, d.Conversation)
 	if len(stores) == 0 {
@@ -41,11 +41,11 @@
 	if perToken == 0 {
 		perToken = bytesPerToken
 	}
-	question := keep.Export{
-		Tokens:   d.Tokens - last.to,
-		Bytes:    int64(float64(d.Tokens-last.to) * perToken),
-		Chance:   chance,
-		LinkRate: k.linkTo(stores[0].ID).Rate() * float64(len(stores)),
+	question := keep.ExportInput{
+		Tokens:            d.Tokens - last.to,
+		Bytes:             int64(float64(d.Tokens-last.to) * perToken),
+		ReturnProbability: chance,
+		LinkRate:          k.linkTo(stores[0].ID).Rate() * float64(len(stores)),
 	}
 	if verdict := question.Decide(); verdict != keep.VerdictExport {
 		return verdict, nil
@@ -55,7 +55,7 @@
 		return "", err
 	}
 	if state.Tokens <= last.to {
-		return keep.VerdictSmall, nil
+		return keep.VerdictTooSmall, nil
 	}
 	b := keep.Block{
 		Key: key, Parent: last.key, Generation: uuid.NewString(), From: last.to, To: state.Tokens, Payload: state.Payload,
--- a/kept/import.go
+++ b/kept/import.go
@@ -30,7 +30,7 @@
 	if len(d.Blocks) == 0 || d.Tokens < minTokens {
 		return
 	}
-	parts, cached := k.resident.Longest(d.Blocks)
+	parts, cached := k.resident.LongestPrefix(d.Blocks)
 	if len(d.Blocks) > 1 {
 		k.noteHit(parts > 0)
 	}
@@ -38,17 +38,17 @@
 		return
 	}
 	f := k.find(ctx, d)
-	question := keep.Import{
-		Tokens: d.Tokens, Cached: cached, Wait: wait, PrefillRate: prefill, Objective: d.Objective,
+	question := keep.ImportInput{
+		Tokens: d.Tokens, Cached: cached, QueueWait: wait, PrefillRate: prefill, Objective: d.Objective,
 	}
 	if f.last >= parts {
-		question.Kept = d.Tokens * (f.last + 1) / len(d.Blocks)
+		question.Stored = d.Tokens * (f.last + 1) / len(d.Blocks)
 		question.Bytes = f.bytes
-		question.Transfer = k.estimate(f)
+		question.TransferTime = k.estimate(f)
 	}
 	verdict := question.Decide()
 	k.Log.Info("import", "decision", verdict, "request", d.ID, "account", d.Account, "model", d.Model, "tokens", d.Tokens,
-		"cached", cached, "kept", question.Kept, "bytes", question.Bytes, "chosen", storesOf(f))
+		"cached", cached, "kept", question.Stored, "bytes", question.Bytes, "chosen", storesOf(f))
 	if verdict == keep.VerdictImport {
 		k.take(ctx, d, f)
 	}
@@ -78,7 +78,7 @@
 	}
 	var longest time.Duration
 	for id, bytes := range perStore {
-		longest = max(longest, k.linkTo(id).Estimate(bytes))
+		longest = max(longest, k.linkTo(id).EstimateImport(bytes))
 	}
 	return longest
 }
@@ -152,7 +152,7 @@
 			sizes, err := k.Stores.Lookup(ctx, m.Address, stripes)
 			if err != nil {
 				k.Stats.Failed.Add(1)
-				k.linkTo(m.ID).End(k.Clock.Now(), 0, 0, false)
+				k.linkTo(m.ID).EndImport(k.Clock.Now(), 0, 0, false)
 				return
 			}
 			mu.Lock()
@@ -189,14 +189,14 @@
 	for key := d.Blocks[f.last]; key != (rillreach.BlockKey{}); {
 		pieces := f.pieces[key]
 		if pieces == nil {
-			return nil, errors.Wrap(keep.ErrNotWhole, "a block goes on from one that is not there")
+			return nil, errors.Wrap(keep.ErrInvalidBlock, "a block goes on from one that is not there")
 		}
 		b, err := k.read(ctx, pieces)
 		if err != nil {
 			return nil, err
 		}
 		if len(reversed) > 0 && !reversed[len(reversed)-1].Follows(b) {
-			return nil, errors.Wrap(keep.ErrNotWhole, "blocks do not follow each other")
+			return nil, errors.Wrap(keep.ErrInvalidBlock, "blocks do not follow each other")
 		}
 		reversed = append(reversed, b)
 		key = b.Parent
@@ -206,7 +206,7 @@
 		chain[len(reversed)-1-i] = b
 	}
 	if !chain[0].Follows(keep.Block{}) {
-		return nil, keep.ErrNotWhole
+		return nil, keep.ErrInvalidBlock
 	}
 	return chain, nil
 }
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -31,7 +31,7 @@
 // EventSource is an engine that publishes what its cache drops.
 type EventSource interface {
 	// Events returns the events from a sequence on.
-	Events(ctx context.Context, from uint64) (keep.Events, error)
+	Events(ctx context.Context, from uint64) (keep.EventPage, error)
 }
 
 // Keeper is the work on kept state beside one engine; exported fields are set before Run.
@@ -55,7 +55,7 @@
 	// Stats counts the work.
 	Stats Stats
 
-	resident keep.Resident
+	resident keep.CacheEstimate
 	jobs     chan func(context.Context)
 
 	mu     sync.Mutex
@@ -130,12 +130,12 @@
 }
 
 func (k *Keeper) readEvents(ctx context.Context) {
-	page, err := k.Events.Events(ctx, k.resident.Next())
+	page, err := k.Events.Events(ctx, k.resident.NextSequence())
 	if err != nil {
 		k.Log.V(1).Info("cache events not read", "cause", err.Error())
 		return
 	}
-	k.resident.Take(page)
+	k.resident.ApplyEvents(page)
 	if len(page.Events) > 0 {
 		k.Log.Info("cache events", "count", len(page.Events), "next", page.Next)
 	}
--- a/kept/recent.go
+++ b/kept/recent.go
@@ -15,7 +15,7 @@
 type recent struct {
 	order  *list.List
 	byConv map[uint64]*list.Element
-	gaps   map[rillreach.AccountID]*keep.Gaps
+	gaps   map[rillreach.AccountID]*keep.ReturnHistogram
 }
 
 // conversation is one that was served here.
@@ -36,13 +36,13 @@
 }
 
 func newRecent() recent {
-	return recent{order: list.New(), byConv: map[uint64]*list.Element{}, gaps: map[rillreach.AccountID]*keep.Gaps{}}
+	return recent{order: list.New(), byConv: map[uint64]*list.Element{}, gaps: map[rillreach.AccountID]*keep.ReturnHistogram{}}
 }
 
 // answered notes a prompt of a conversation, and how long the conversation was away.
 func (r *recent) answered(now time.Time, d fleet.Dispatch) {
 	if c := r.find(d.Conversation); c != nil {
-		r.gapsOf(d.Account).Returned(now.Sub(c.last))
+		r.gapsOf(d.Account).RecordReturn(now.Sub(c.last))
 		c.last = now
 		return
 	}
@@ -56,7 +56,7 @@
 	}
 	oldest := r.order.Remove(r.order.Back()).(*conversation)
 	delete(r.byConv, oldest.id)
-	r.gapsOf(oldest.account).Lost()
+	r.gapsOf(oldest.account).RecordLoss()
 }
 
 func (r *recent) find(id uint64) *conversation {
@@ -99,10 +99,10 @@
 	return keptBlock{}, false
 }
 
-func (r *recent) gapsOf(account rillreach.AccountID) *keep.Gaps {
+func (r *recent) gapsOf(account rillreach.AccountID) *keep.ReturnHistogram {
 	g := r.gaps[account]
 	if g == nil {
-		g = &keep.Gaps{}
+		g = &keep.ReturnHistogram{}
 		r.gaps[account] = g
 	}
 	return g
--- a/kept/stores.go
+++ b/kept/stores.go
@@ -25,7 +25,7 @@
 // storesOn are the stores of a side for a conversation, the home first.
 func (k *Keeper) storesOn(side rillreach.Side, conversation uint64) []*membership.Member {
 	all := k.Members.Group(membership.Group{Role: rillreach.RoleStore, Side: side})
-	ranked := route.Rank(conversation, len(all), maxStripes, func(i int) uint64 { return all[i].Place })
+	ranked := route.Rank(conversation, len(all), maxStripes, func(i int) uint64 { return all[i].PlacementHash })
 	stores := make([]*membership.Member, 0, ranked.Len())
 	for rank := range ranked.Len() {
 		m := all[ranked.At(rank)]
@@ -63,15 +63,15 @@
 // readPiece reads one stripe over a link, and checks that it is whole.
 func (k *Keeper) readPiece(ctx context.Context, p piece) (keep.Block, error) {
 	link := k.linkTo(p.store.ID)
-	ctx, cancel := context.WithTimeout(ctx, link.Patience(p.bytes))
+	ctx, cancel := context.WithTimeout(ctx, link.ImportTimeout(p.bytes))
 	defer cancel()
 	start := k.Clock.Now()
-	link.Begin(p.bytes)
+	link.BeginImport(p.bytes)
 	data, err := k.Stores.Read(ctx, p.store.Address, p.stripe)
 	now := k.Clock.Now()
 	block, openErr := k.open(data, p.stripe.Key, err)
 	healthy := openErr == nil || errors.Is(openErr, rillreach.ErrNotFound)
-	link.End(now, p.bytes, now.Sub(start), healthy)
+	link.EndImport(now, p.bytes, now.Sub(start), healthy)
 	return block, openErr
 }
 
@@ -121,12 +121,12 @@
 	if !link.Usable(start) {
 		return errLinkDown
 	}
-	if !link.BeginLater(size) {
+	if !link.TryBeginBackground(size) {
 		return errLinkBusy
 	}
 	err = k.Stores.Write(ctx, m.Address, blockstore.Stripe{Key: b.Key, Index: b.Stripe, Count: b.Stripes}, sealed)
 	now := k.Clock.Now()
-	link.EndLater(now, size, now.Sub(start), err == nil)
+	link.EndBackground(now, size, now.Sub(start), err == nil)
 	if err != nil {
 		k.Stats.Failed.Add(1)
 		return err
--- a/membership/members.go
+++ b/membership/members.go
@@ -15,44 +15,44 @@
 type Member struct {
 	rillreach.Instance
 
-	// Place is the instance's hash for placement.
-	Place uint64
+	// PlacementHash is the instance's hash for placement.
+	PlacementHash uint64
 
-	hint      atomic.Pointer[Hint]
+	hint      atomic.Pointer[LoadHint]
 	suspected atomic.Int64
 	failures  atomic.Int32
 	leaving   atomic.Bool
 	changes   *atomic.Uint64
 }
 
-// Hint is what an agent last said of its own load; it lags.
-type Hint struct {
-	Wait        time.Duration `cbor:"1,keyasint,omitempty"`
+// LoadHint is what an agent last said of its own load; it lags.
+type LoadHint struct {
+	QueueWait   time.Duration `cbor:"1,keyasint,omitempty"`
 	PrefillRate float64       `cbor:"2,keyasint,omitempty"`
 	Backlog     float64       `cbor:"3,keyasint,omitempty"`
 	// HitRate is how often the engine's memory has lately held the state of a prompt that returned.
 	HitRate float64 `cbor:"4,keyasint,omitempty"`
 	// LinkRate is what the link to the stores carries, in bytes a second.
 	LinkRate float64 `cbor:"5,keyasint,omitempty"`
-	// StateBytes is the size of a token's state as it was last seen.
-	StateBytes float64 `cbor:"6,keyasint,omitempty"`
-	// At is when the hint came.
-	At time.Time `cbor:"-"`
+	// BytesPerToken is the size of a token's state as it was last seen.
+	BytesPerToken float64 `cbor:"6,keyasint,omitempty"`
+	// ReceivedAt is when the hint came.
+	ReceivedAt time.Time `cbor:"-"`
 }
 
-// Hint returns the last hint, or the zero hint.
-func (m *Member) Hint() Hint {
+// LoadHint returns the last hint, or the zero hint.
+func (m *Member) LoadHint() LoadHint {
 	if h := m.hint.Load(); h != nil {
 		return *h
 	}
-	return Hint{}
+	return LoadHint{}
 }
 
-// SetHint keeps a hint unless a later one is known.
-func (m *Member) SetHint(h Hint) {
+// SetLoadHint keeps a hint unless a later one is known.
+func (m *Member) SetLoadHint(h LoadHint) {
 	for {
 		old := m.hint.Load()
-		if old != nil && old.At.After(h.At) {
+		if old != nil && old.ReceivedAt.After(h.ReceivedAt) {
 			return
 		}
 		if m.hint.CompareAndSwap(old, &h) {
@@ -75,8 +75,8 @@
 	return wait
 }
 
-// Clear ends the suspicion.
-func (m *Member) Clear() {
+// ClearSuspicion ends the suspicion.
+func (m *Member) ClearSuspicion() {
 	m.failures.Store(0)
 	m.suspected.Store(0)
 	m.changes.Add(1)
@@ -141,13 +141,13 @@
 	if err != nil {
 		return err
 	}
-	s.Announce(instance)
+	s.Upsert(instance)
 	return nil
 }
 
-// Announce takes in what an instance, or the platform, says of it; word of an older incarnation changes nothing.
+// Upsert takes in what an instance, or the platform, says of it; word of an older incarnation changes nothing.
 // Incarnations are time-ordered identifiers, so that a greater one started later.
-func (s *Members) Announce(instance rillreach.Instance) {
+func (s *Members) Upsert(instance rillreach.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if instance.Incarnation <= s.gone[instance.ID] {
@@ -165,7 +165,7 @@
 }
 
 func (s *Members) newMember(instance rillreach.Instance) *Member {
-	m := &Member{Instance: instance, Place: hash.String(string(instance.ID)), changes: &s.changes}
+	m := &Member{Instance: instance, PlacementHash: hash.String(string(instance.ID)), changes: &s.changes}
 	m.leaving.Store(instance.Leaving)
 	return m
 }
@@ -184,15 +184,15 @@
 	s.replace(old, m)
 }
 
-// Leave marks one incarnation as leaving.
-func (s *Members) Leave(id rillreach.InstanceID, incarnation rillreach.Incarnation) {
+// MarkLeaving marks one incarnation as leaving.
+func (s *Members) MarkLeaving(id rillreach.InstanceID, incarnation rillreach.Incarnation) {
 	if m := s.Find(id); m != nil && m.Incarnation == incarnation {
 		m.leave()
 	}
 }
 
-// Changes counts the changes of the set, of its members' leaving and of their suspicion.
-func (s *Members) Changes() uint64 { return s.changes.Load() }
+// ChangeCount counts the changes of the set, of its members' leaving and of their suspicion.
+func (s *Members) ChangeCount() uint64 { return s.changes.Load() }
 
 // Find returns the member with the identifier, or nil.
 func (s *Members) Find(id rillreach.InstanceID) *Member {
--- a/node/node.go
+++ b/node/node.go
@@ -65,7 +65,7 @@
 	RowChanged func(before, after rillreach.Row)
 
 	// Copy, Table, Members and Owners are what the process knows; Start makes them.
-	Copy    *replicate.Copy
+	Copy    *replicate.Replica
 	Table   *table.Table
 	Members *membership.Members
 	Owners  *once.Owners
@@ -88,7 +88,7 @@
 	n.Members = membership.New()
 	n.Owners = &once.Owners{Lead: n.Lead}
 	n.Mux = &peer.Mux{Log: n.Log}
-	n.Pool = &peer.Pool{Self: n.Self, Mux: n.Mux, TLS: n.TLS, Log: n.Log, Met: n.Members.Announce}
+	n.Pool = &peer.Pool{Self: n.Self, Mux: n.Mux, TLS: n.TLS, Log: n.Log, Met: n.Members.Upsert}
 	n.followAll()
 	n.Spread = &spread.Controller{
 		Self: n.Self, Store: n.Store, Copy: n.Copy, Members: n.Members, Pool: n.Pool, Clock: n.Clock, Log: n.Log,
@@ -121,7 +121,7 @@
 		read        func() float64
 	}{
 		"rillreach.members":        {"instances that are known", func() float64 { return float64(len(n.Members.All())) }},
-		"rillreach.rows.version":   {"version up to which the copy of the rows goes", func() float64 { return float64(n.Copy.Mark(rillreach.KindRow).Version) }},
+		"rillreach.rows.version":   {"version up to which the copy of the rows goes", func() float64 { return float64(n.Copy.Watermark(rillreach.KindRow).Version) }},
 		"rillreach.platform.calls": {"calls of the platform for the copies of objects", func() float64 { return float64(n.Spread.Stats.PlatformCalls.Load()) }},
 		"rillreach.pushes":         {"changes handed on to peers", func() float64 { return float64(n.Spread.Stats.Pushes.Load()) }},
 		"rillreach.digests":        {"comparisons of marks with peers", func() float64 { return float64(n.Spread.Stats.Digests.Load()) }},
@@ -137,7 +137,7 @@
 
 // Ready reports whether the node knows the table.
 func (n *Node) Ready() bool {
-	return n.Copy.Mark(rillreach.KindRow).Version > 0 && !n.Leaving()
+	return n.Copy.Watermark(rillreach.KindRow).Version > 0 && !n.Leaving()
 }
 
 // Leaving reports whether the node takes no new work.
@@ -177,7 +177,7 @@
 
 func (n *Node) markLeaving() {
 	n.leaving.Store(true)
-	n.Members.Leave(n.Self.ID, n.Self.Incarnation)
+	n.Members.MarkLeaving(n.Self.ID, n.Self.Incarnation)
 }
 
 func (n *Node) notify(ctx context.Context, c *peer.Conn, leaving rillreach.Instance) {
@@ -189,10 +189,10 @@
 }
 
 func (n *Node) followAll() {
-	n.Copy = replicate.NewCopy()
-	n.Copy.Follow(rillreach.KindRow, n.applyRow, nil)
-	n.Copy.Follow(rillreach.KindInstance, n.applyInstance, nil)
-	n.Copy.Follow(rillreach.KindOwners, n.applyOwners, func(m replicate.Mark) { n.Owners.Confirm(m.Time) })
+	n.Copy = replicate.NewReplica()
+	n.Copy.AddKind(rillreach.KindRow, n.applyRow, nil)
+	n.Copy.AddKind(rillreach.KindInstance, n.applyInstance, nil)
+	n.Copy.AddKind(rillreach.KindOwners, n.applyOwners, func(m replicate.Watermark) { n.Owners.Confirm(m.Time) })
 }
 
 func (n *Node) applyRow(o rillreach.Object) {
--- a/node/operators.go
+++ b/node/operators.go
@@ -13,11 +13,11 @@
 
 // Status is what a node says of itself to operators.
 type Status struct {
-	Instance rillreach.Instance `json:"instance"`
-	Ready    bool               `json:"ready"`
-	Leaving  bool               `json:"leaving"`
-	Marks    []replicate.Mark   `json:"marks"`
-	Members  int                `json:"members"`
+	Instance rillreach.Instance    `json:"instance"`
+	Ready    bool                  `json:"ready"`
+	Leaving  bool                  `json:"leaving"`
+	Marks    []replicate.Watermark `json:"marks"`
+	Members  int                   `json:"members"`
 }
 
 // Operators returns what answers on the operators' address.
@@ -68,7 +68,7 @@
 		Instance: n.Self,
 		Ready:    n.Ready(),
 		Leaving:  n.Leaving(),
-		Marks:    n.Copy.Marks(),
+		Marks:    n.Copy.Watermarks(),
 		Members:  len(n.Members.All()),
 	})
 }
--- a/replicate/copy.go
+++ b/replicate/copy.go
@@ -9,9 +9,9 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Mark says how far a copy of one kind goes: it holds everything up to Version, which was all there was at Time of the
+// Watermark says how far a copy of one kind goes: it holds everything up to Version, which was all there was at Time of the
 // platform's clock.
-type Mark struct {
+type Watermark struct {
 	Kind    rillreach.Kind `cbor:"1,keyasint"`
 	Version uint64         `cbor:"2,keyasint"`
 	Time    time.Time      `cbor:"3,keyasint"`
@@ -22,7 +22,7 @@
 	// From is the version that a receiver must hold already; a snapshot needs none.
 	From uint64 `cbor:"1,keyasint"`
 	// To is the mark that the receiver then has.
-	To Mark `cbor:"2,keyasint"`
+	To Watermark `cbor:"2,keyasint"`
 	// Snapshot says that Objects are all there are.
 	Snapshot bool `cbor:"3,keyasint,omitempty"`
 	// Objects are those that changed.
@@ -45,50 +45,50 @@
 	return nil
 }
 
-// Verdict says what became of a delta.
-type Verdict string
+// MergeResult says what became of a delta.
+type MergeResult string
 
 // The verdicts on a delta.
 const (
-	// VerdictApplied says that objects were new.
-	VerdictApplied Verdict = "applied"
-	// VerdictConfirmed says that nothing was new but the time.
-	VerdictConfirmed Verdict = "confirmed"
-	// VerdictStale says that the copy was at least as far.
-	VerdictStale Verdict = "stale"
-	// VerdictGap says that something is missing before the delta.
-	VerdictGap Verdict = "gap"
+	// MergeApplied says that objects were new.
+	MergeApplied MergeResult = "applied"
+	// MergeConfirmed says that nothing was new but the time.
+	MergeConfirmed MergeResult = "confirmed"
+	// MergeStale says that the copy was at least as far.
+	MergeStale MergeResult = "stale"
+	// MergeGap says that something is missing before the delta.
+	MergeGap MergeResult = "gap"
 )
 
 // tombstones is how many removals a copy remembers for others.
 const tombstones = 4096
 
-// Copy is a process's copy of some kinds of objects.
-type Copy struct {
+// Replica is a process's copy of some kinds of objects.
+type Replica struct {
 	kinds map[rillreach.Kind]*kindCopy
 }
 
 type kindCopy struct {
 	mu      sync.RWMutex
-	mark    Mark
+	mark    Watermark
 	objects map[string]rillreach.Object
 	removed []rillreach.Object
 	// floor is the version below which removals have been forgotten.
 	floor uint64
 	apply func(rillreach.Object)
-	moved func(Mark)
+	moved func(Watermark)
 }
 
-// NewCopy returns an empty copy.
-func NewCopy() *Copy {
-	return &Copy{kinds: map[rillreach.Kind]*kindCopy{}}
+// NewReplica returns an empty copy.
+func NewReplica() *Replica {
+	return &Replica{kinds: map[rillreach.Kind]*kindCopy{}}
 }
 
-// Follow adds a kind. The function apply gets each object as it changes, in order; moved, which may be nil, gets each
+// AddKind adds a kind. The function apply gets each object as it changes, in order; moved, which may be nil, gets each
 // new mark after that. It must be called before the copy is used.
-func (c *Copy) Follow(kind rillreach.Kind, apply func(rillreach.Object), moved func(Mark)) {
+func (c *Replica) AddKind(kind rillreach.Kind, apply func(rillreach.Object), moved func(Watermark)) {
 	c.kinds[kind] = &kindCopy{
-		mark:    Mark{Kind: kind},
+		mark:    Watermark{Kind: kind},
 		objects: map[string]rillreach.Object{},
 		apply:   apply,
 		moved:   moved,
@@ -96,7 +96,7 @@
 }
 
 // Kinds returns the kinds that are followed.
-func (c *Copy) Kinds() []rillreach.Kind {
+func (c *Replica) Kinds() []rillreach.Kind {
 	kinds := make([]rillreach.Kind, 0, len(c.kinds))
 	for kind := range c.kinds {
 		kinds = append(kinds, kind)
@@ -104,28 +104,28 @@
 	return kinds
 }
 
-// Mark returns how far the copy of a kind goes.
-func (c *Copy) Mark(kind rillreach.Kind) Mark {
+// Watermark returns how far the copy of a kind goes.
+func (c *Replica) Watermark(kind rillreach.Kind) Watermark {
 	k := c.kinds[kind]
 	if k == nil {
-		return Mark{Kind: kind}
+		return Watermark{Kind: kind}
 	}
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.mark
 }
 
-// Marks returns how far the copy goes, for every kind.
-func (c *Copy) Marks() []Mark {
-	marks := make([]Mark, 0, len(c.kinds))
+// Watermarks returns how far the copy goes, for every kind.
+func (c *Replica) Watermarks() []Watermark {
+	marks := make([]Watermark, 0, len(c.kinds))
 	for kind := range c.kinds {
-		marks = append(marks, c.Mark(kind))
+		marks = append(marks, c.Watermark(kind))
 	}
 	return marks
 }
 
 // Objects returns the objects of a kind that exist.
-func (c *Copy) Objects(kind rillreach.Kind) []rillreach.Object {
+func (c *Replica) Objects(kind rillreach.Kind) []rillreach.Object {
 	k := c.kinds[kind]
 	k.mu.RLock()
 	defer k.mu.RUnlock()
@@ -137,18 +137,18 @@
 }
 
 // Merge takes a delta in.
-func (c *Copy) Merge(d Delta) Verdict {
+func (c *Replica) Merge(d Delta) MergeResult {
 	k := c.kinds[d.To.Kind]
 	if k == nil {
-		return VerdictStale
+		return MergeStale
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.merge(d)
 }
 
-// Since returns what a copy with the mark lacks, and whether that is anything.
-func (c *Copy) Since(mark Mark) (Delta, bool) {
+// DeltaSince returns what a copy with the mark lacks, and whether that is anything.
+func (c *Replica) DeltaSince(mark Watermark) (Delta, bool) {
 	k := c.kinds[mark.Kind]
 	if k == nil {
 		return Delta{}, false
@@ -161,7 +161,7 @@
 	return k.since(mark.Version), true
 }
 
-func (k *kindCopy) ahead(mark Mark) bool {
+func (k *kindCopy) ahead(mark Watermark) bool {
 	if k.mark.Version != mark.Version {
 		return k.mark.Version > mark.Version
 	}
@@ -186,26 +186,26 @@
 	return d
 }
 
-func (k *kindCopy) merge(d Delta) Verdict {
+func (k *kindCopy) merge(d Delta) MergeResult {
 	switch {
 	case d.To.Version < k.mark.Version, !k.aheadOf(d):
-		return VerdictStale
+		return MergeStale
 	case !d.Snapshot && d.From > k.mark.Version:
-		return VerdictGap
+		return MergeGap
 	}
 	changed := k.takeAll(d.Objects)
 	if d.Snapshot {
 		changed = k.removeMissing(d) || changed
 		k.floor = max(k.floor, d.To.Version)
 	}
-	k.mark = Mark{Kind: k.mark.Kind, Version: d.To.Version, Time: later(k.mark.Time, d.To.Time)}
+	k.mark = Watermark{Kind: k.mark.Kind, Version: d.To.Version, Time: later(k.mark.Time, d.To.Time)}
 	if k.moved != nil {
 		k.moved(k.mark)
 	}
 	if changed {
-		return VerdictApplied
+		return MergeApplied
 	}
-	return VerdictConfirmed
+	return MergeConfirmed
 }
 
 // aheadOf reports whether the delta goes further than the copy.
--- a/replicate/copy_test.go
+++ b/replicate/copy_test.go
@@ -17,14 +17,14 @@
 
 // recorder is a copy that notes what it was given, and fails when anything goes back.
 type recorder struct {
-	*Copy
+	*Replica
 	versions map[string]uint64
 	there    map[string]uint64
 }
 
 func newRecorder(t require.TestingT) *recorder {
-	r := &recorder{Copy: NewCopy(), versions: map[string]uint64{}, there: map[string]uint64{}}
-	r.Follow(kind, func(o rillreach.Object) {
+	r := &recorder{Replica: NewReplica(), versions: map[string]uint64{}, there: map[string]uint64{}}
+	r.AddKind(kind, func(o rillreach.Object) {
 		require.Greater(t, o.Version, r.versions[o.Name], "object %s goes back", o.Name)
 		r.versions[o.Name] = o.Version
 		r.there[o.Name] = o.Version
@@ -52,8 +52,8 @@
 	s.objects[name] = rillreach.Object{Kind: kind, Name: name, Version: s.version, Changed: s.now, Deleted: deleted}
 }
 
-func (s *source) mark() Mark {
-	return Mark{Kind: kind, Version: s.version, Time: s.now}
+func (s *source) mark() Watermark {
+	return Watermark{Kind: kind, Version: s.version, Time: s.now}
 }
 
 func (s *source) since(version uint64) Delta {
@@ -90,9 +90,9 @@
 	t.Run("a delta that begins where the copy ends is applied", func(t *testing.T) {
 		s, c := newSource(), newRecorder(t)
 		s.write("a", false)
-		assert.Equal(t, VerdictApplied, c.Merge(s.snapshot()))
+		assert.Equal(t, MergeApplied, c.Merge(s.snapshot()))
 		s.write("b", false)
-		assert.Equal(t, VerdictApplied, c.Merge(s.since(c.Mark(kind).Version)))
+		assert.Equal(t, MergeApplied, c.Merge(s.since(c.Watermark(kind).Version)))
 		assert.Equal(t, s.there(), c.there)
 	})
 	t.Run("a delta that begins later is a gap and changes nothing", func(t *testing.T) {
@@ -101,7 +101,7 @@
 		c.Merge(s.snapshot())
 		s.write("b", false)
 		s.write("c", false)
-		assert.Equal(t, VerdictGap, c.Merge(s.since(s.version-1)))
+		assert.Equal(t, MergeGap, c.Merge(s.since(s.version-1)))
 		assert.Len(t, c.there, 1)
 	})
 	t.Run("an older delta changes nothing", func(t *testing.T) {
@@ -110,7 +110,7 @@
 		old := s.snapshot()
 		s.write("a", true)
 		c.Merge(s.snapshot())
-		assert.Equal(t, VerdictStale, c.Merge(old))
+		assert.Equal(t, MergeStale, c.Merge(old))
 		assert.Empty(t, c.there)
 	})
 	t.Run("a snapshot removes what it does not hold", func(t *testing.T) {
@@ -119,7 +119,7 @@
 		s.write("b", false)
 		c.Merge(s.snapshot())
 		s.write("a", true)
-		assert.Equal(t, VerdictApplied, c.Merge(s.snapshot()))
+		assert.Equal(t, MergeApplied, c.Merge(s.snapshot()))
 		assert.Equal(t, s.there(), c.there)
 	})
 	t.Run("a later time alone confirms the copy", func(t *testing.T) {
@@ -127,8 +127,8 @@
 		s.write("a", false)
 		c.Merge(s.snapshot())
 		s.now = s.now.Add(time.Minute)
-		assert.Equal(t, VerdictConfirmed, c.Merge(s.since(s.version)))
-		assert.Equal(t, s.now, c.Mark(kind).Time)
+		assert.Equal(t, MergeConfirmed, c.Merge(s.since(s.version)))
+		assert.Equal(t, s.now, c.Watermark(kind).Time)
 	})
 	t.Run("removals that were forgotten are made up for by a snapshot", func(t *testing.T) {
 		s, near, far := newSource(), newRecorder(t), newRecorder(t)
@@ -137,14 +137,14 @@
 		near.Merge(s.snapshot())
 		far.Merge(s.snapshot())
 		s.write("first", true)
-		near.Merge(s.since(near.Mark(kind).Version))
+		near.Merge(s.since(near.Watermark(kind).Version))
 		for i := range tombstones {
 			name := fmt.Sprint(i)
 			s.write(name, false)
 			s.write(name, true)
-			near.Merge(s.since(near.Mark(kind).Version))
+			near.Merge(s.since(near.Watermark(kind).Version))
 		}
-		d, ok := near.Since(far.Mark(kind))
+		d, ok := near.DeltaSince(far.Watermark(kind))
 		require.True(t, ok)
 		assert.True(t, d.Snapshot)
 		far.Merge(d)
@@ -168,9 +168,9 @@
 				s.write(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(rt, "name"), rapid.Bool().Draw(rt, "deleted"))
 			},
 			"list":  func(*rapid.T) { copyOf("copy").Merge(s.snapshot()) },
-			"watch": func(*rapid.T) { c := copyOf("copy"); c.Merge(s.since(c.Mark(kind).Version)) },
+			"watch": func(*rapid.T) { c := copyOf("copy"); c.Merge(s.since(c.Watermark(kind).Version)) },
 			"ask": func(*rapid.T) {
-				if d, ok := copyOf("from").Since(copyOf("to").Mark(kind)); ok {
+				if d, ok := copyOf("from").DeltaSince(copyOf("to").Watermark(kind)); ok {
 					sent = append(sent, d)
 				}
 			},
@@ -183,7 +183,7 @@
 		first := copies[0]
 		first.Merge(s.snapshot())
 		for _, c := range copies[1:] {
-			if d, ok := first.Since(c.Mark(kind)); ok {
+			if d, ok := first.DeltaSince(c.Watermark(kind)); ok {
 				c.Merge(d)
 			}
 			if !maps.Equal(s.there(), c.there) {
--- a/replicate/tree.go
+++ b/replicate/tree.go
@@ -13,10 +13,10 @@
 	WatchersPerZone = 2
 	// Fanout is how many processes one process sends a change to.
 	Fanout = 8
-	// PartnersNear is how many processes of its own zone a process compares marks with.
-	PartnersNear = 3
-	// PartnersFar is how many processes of other zones a process compares marks with.
-	PartnersFar = 1
+	// PartnersInZone is how many processes of its own zone a process compares marks with.
+	PartnersInZone = 3
+	// PartnersInOtherZones is how many processes of other zones a process compares marks with.
+	PartnersInOtherZones = 1
 )
 
 // Node is a process as the spreading of objects sees it.
@@ -31,9 +31,9 @@
 
 // Plan is one process's part in the spreading.
 type Plan struct {
-	// Watches says that the process watches the platform, Watchers are all that do so in its zone.
-	Watches  bool
-	Watchers []rillreach.InstanceID
+	// IsWatcher says that the process watches the platform, Watchers are all that do so in its zone.
+	IsWatcher bool
+	Watchers  []rillreach.InstanceID
 	// Children are the processes to which it sends changes.
 	Children []rillreach.InstanceID
 	// Partners are the processes with which it compares marks.
@@ -44,7 +44,7 @@
 func MakePlan(self rillreach.InstanceID, nodes []Node, turn uint64) Plan {
 	at := slices.IndexFunc(nodes, func(n Node) bool { return n.ID == self })
 	if at < 0 {
-		return Plan{Watches: true}
+		return Plan{IsWatcher: true}
 	}
 	zone := nodes[at].Zone
 	near := inZone(nodes, zone)
@@ -67,10 +67,10 @@
 
 func makePlan(self rillreach.InstanceID, nodes []Node, zone rillreach.ZoneID, near []Node, watchers []rillreach.InstanceID, turn uint64) Plan {
 	return Plan{
-		Watches:  slices.Contains(watchers, self),
-		Watchers: watchers,
-		Children: children(self, near, watchers),
-		Partners: partners(self, nodes, zone, turn),
+		IsWatcher: slices.Contains(watchers, self),
+		Watchers:  watchers,
+		Children:  children(self, near, watchers),
+		Partners:  partners(self, nodes, zone, turn),
 	}
 }
 
@@ -133,7 +133,7 @@
 		}
 	}
 	salt := hash.Mix(hash.String(string(self)), turn)
-	return append(idsOf(byRank(near, salt), PartnersNear), idsOf(byRank(far, salt), PartnersFar)...)
+	return append(idsOf(byRank(near, salt), PartnersInZone), idsOf(byRank(far, salt), PartnersInOtherZones)...)
 }
 
 func byRank(nodes []Node, salt uint64) []Node {
@@ -170,8 +170,8 @@
 	return 0
 }
 
-// ChildrenUnder are the processes below self in its zone's tree with the given root.
-func ChildrenUnder(self, root rillreach.InstanceID, nodes []Node) []rillreach.InstanceID {
+// ChildrenInTree are the processes below self in its zone's tree with the given root.
+func ChildrenInTree(self, root rillreach.InstanceID, nodes []Node) []rillreach.InstanceID {
 	at := indexOf(nodes, self)
 	if at < 0 {
 		return nil
--- a/replicate/tree_test.go
+++ b/replicate/tree_test.go
@@ -42,7 +42,7 @@
 func watchersOf(list []Node, zone rillreach.ZoneID) []rillreach.InstanceID {
 	var watchers []rillreach.InstanceID
 	for _, n := range list {
-		if n.Zone == zone && MakePlan(n.ID, list, 1).Watches {
+		if n.Zone == zone && MakePlan(n.ID, list, 1).IsWatcher {
 			watchers = append(watchers, n.ID)
 		}
 	}
@@ -64,7 +64,7 @@
 		assert.Len(t, watchersOf(nodes(9, 3, 0), "z2"), WatchersPerZone)
 	})
 	t.Run("a process that nobody lists watches for itself", func(t *testing.T) {
-		assert.True(t, MakePlan("alone", nodes(4, 1, 1), 1).Watches)
+		assert.True(t, MakePlan("alone", nodes(4, 1, 1), 1).IsWatcher)
 	})
 	t.Run("no more processes are sent to than the trees allow", func(t *testing.T) {
 		list := nodes(300, 1, 50)
--- a/sidecar/collector.go
+++ b/sidecar/collector.go
@@ -52,7 +52,7 @@
 type kept struct {
 	*holder
 	stop    context.CancelFunc
-	expired holdings.Expired
+	expired holdings.ExpiredSalts
 	// readers are those who may still read parts under a expired salt.
 	readers map[string]*readers
 	// since is when this agent took the store over.
@@ -61,7 +61,7 @@
 
 // mayFree reports whether the parts under a salt of replaced weights may be freed now.
 func (k *kept) mayFree(salt string, now time.Time) bool {
-	told := k.expired.Free(salt, now, bulletin.Grant+freeMargin)
+	told := k.expired.MayFree(salt, now, bulletin.Grant+freeMargin)
 	return told && now.Sub(k.since) >= takeOver
 }
 
@@ -183,11 +183,11 @@
 // free frees the salts of replaced weights, once entries have been told long enough that they are expired.
 func (c *collector) free(ctx context.Context, k *kept) {
 	now := time.Now()
-	for salt := range k.tracker.Salts() {
+	for salt := range k.tracker.TokensBySalt() {
 		if !c.replaced(salt, now) || !c.unread(ctx, k, salt, now) {
 			continue
 		}
-		if err := c.freeAll(ctx, k, k.tracker.Under(salt)); err != nil {
+		if err := c.freeAll(ctx, k, k.tracker.KeysUnder(salt)); err != nil {
 			c.sidecar.Log.Error(err, "parts not freed", "decision", "retry", "store", k.place, "salt", salt)
 			continue
 		}
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -21,7 +21,7 @@
 			load, _, _ := s.publisher.get()
 			return float64(load.Waiting)
 		}},
-		{Name: "rillreach.runner.holds", Description: "tokens of KV cache that the runner holds", Read: func() float64 { return float64(s.own.tracker.Total()) }},
+		{Name: "rillreach.runner.holds", Description: "tokens of KV cache that the runner holds", Read: func() float64 { return float64(s.own.tracker.TotalTokens()) }},
 		{Name: "rillreach.followers", Description: "entries that follow the agent", Read: func() float64 { return float64(s.publisher.followers.Load()) }},
 		{Name: "rillreach.relay", Description: "1 where the agent is a relay, which watches the object store for the entries of its zone", Read: func() float64 {
 			if s.publisher.isRelay() {
@@ -39,7 +39,7 @@
 func (s *Sidecar) heldByStores() float64 {
 	total := 0
 	for _, k := range s.stores.all() {
-		total += k.tracker.Total()
+		total += k.tracker.TotalTokens()
 	}
 	return float64(total)
 }
--- a/sidecar/loader.go
+++ b/sidecar/loader.go
@@ -113,23 +113,23 @@
 // decide acts on one model's weights, and returns what entries should know of it.
 func (l *loader) decide(ctx context.Context, self deployment.Runner, load deployment.Load, named deployment.NamedWeights, loaded deployment.WeightVersion, since time.Duration) rollout {
 	rank, total := l.loadOrder.rank(l.sidecar.state.Roster.Group(self.Service), named, self.ID)
-	situation := weights.Situation{
-		Named: named.Version, Loaded: loaded, Since: since, Bound: l.sidecar.Settings.Bounds.Weights, Rank: rank, Total: total,
+	situation := weights.Input{
+		Newest: named.Version, Loaded: loaded, KnownFor: since, Bound: l.sidecar.Settings.Bounds.Weights, Rank: rank, Total: total,
 		Busy: load.Busy, Leaving: self.Leaving || load.Leaving,
 	}
-	byRank := time.Now().Add(weights.StartAfter(rank, total, situation.Bound) - since)
-	start := l.schedule(named.Model).Keep(loaded, named.Version, byRank)
-	situation.Earlier = byRank.Sub(start)
+	byRank := time.Now().Add(weights.StartDelay(rank, total, situation.Bound) - since)
+	start := l.schedule(named.Model).Update(loaded, named.Version, byRank)
+	situation.EarlierBy = byRank.Sub(start)
 	if l.givenTo == self.Run() && l.given.Weights == named.Version {
-		situation.Ordered = time.Since(l.givenAt)
+		situation.SinceOrder = time.Since(l.givenAt)
 	}
 	action := weights.Decide(situation)
 	if action != l.said {
 		l.said = action
 		l.sidecar.Log.Info("weights", "decision", action, "model", named.Model, "named", named.Version, "loaded", loaded,
-			"rank", rank, "total", total, "since", since.String(), "earlier", situation.Earlier.String(), "busy", load.Busy)
+			"rank", rank, "total", total, "since", since.String(), "earlier", situation.EarlierBy.String(), "busy", load.Busy)
 	}
-	if action == weights.Order {
+	if action == weights.ActionLoad {
 		l.order(ctx, self, load, named)
 	}
 	return rolloutOf(action, start)
--- a/sidecar/publisher_test.go
+++ b/sidecar/publisher_test.go
@@ -52,7 +52,7 @@
 	h.tracker.Replace(all)
 	follower := newFollower(nil)
 	var index holdings.Index
-	for messages := 0; index.Total(h.place) != parts*(parts+1)/2; messages++ {
+	for messages := 0; index.TotalTokens(h.place) != parts*(parts+1)/2; messages++ {
 		require.Less(t, messages, parts, "everything is told in the end")
 		b := bulletin.Bulletin{Runner: "r"}
 		assert.True(t, follower.addHolder(&b, h, nil))
--- a/sidecar/restart_test.go
+++ b/sidecar/restart_test.go
@@ -171,10 +171,10 @@
 	eventually(t, func() bool { return b.known() == earlier })
 	b.engine.Keep("1/m", "old", 800)
 	b.engine.Keep("1/m", "older", 400)
-	eventually(t, func() bool { return b.agent.own.tracker.Total() == 1200 })
+	eventually(t, func() bool { return b.agent.own.tracker.TotalTokens() == 1200 })
 	b.engine.Restart(later)
 	b.engine.Keep("1/m", "fresh", 300)
-	eventually(t, func() bool { return b.agent.own.tracker.Total() == 300 })
+	eventually(t, func() bool { return b.agent.own.tracker.TotalTokens() == 300 })
 	assert.Equal(t, rillreach.Generation(later), b.known())
 }
 
--- a/sidecar/rollout.go
+++ b/sidecar/rollout.go
@@ -16,10 +16,10 @@
 
 // rolloutOf is what an action for one model means to entries, where its load has the start.
 func rolloutOf(action weights.Action, start time.Time) rollout {
-	if action == weights.Nothing {
+	if action == weights.ActionNone {
 		return rollout{}
 	}
-	return rollout{loading: action != weights.Wait, start: start}
+	return rollout{loading: action != weights.ActionWait, start: start}
 }
 
 // and joins the rollouts of two models at one runner: the earlier start counts.
--- a/sidecar/rollout_test.go
+++ b/sidecar/rollout_test.go
@@ -16,14 +16,14 @@
 func TestRollout(t *testing.T) {
 	early, late := time.Unix(1000, 0), time.Unix(2000, 0)
 	t.Run("a load that waits for its turn is scheduled, and the runner still takes requests", func(t *testing.T) {
-		assert.Equal(t, rollout{start: early}, rolloutOf(weights.Wait, early))
+		assert.Equal(t, rollout{start: early}, rolloutOf(weights.ActionWait, early))
 	})
 	t.Run("one that is announced keeps new requests away", func(t *testing.T) {
-		assert.Equal(t, rollout{loading: true, start: early}, rolloutOf(weights.Empty, early))
-		assert.Equal(t, rollout{loading: true, start: early}, rolloutOf(weights.Order, early))
+		assert.Equal(t, rollout{loading: true, start: early}, rolloutOf(weights.ActionDrain, early))
+		assert.Equal(t, rollout{loading: true, start: early}, rolloutOf(weights.ActionLoad, early))
 	})
 	t.Run("where there is nothing to do no load is scheduled", func(t *testing.T) {
-		assert.Equal(t, rollout{}, rolloutOf(weights.Nothing, early))
+		assert.Equal(t, rollout{}, rolloutOf(weights.ActionNone, early))
 	})
 	t.Run("of two models the earlier load counts", func(t *testing.T) {
 		assert.Equal(t, early, rollout{start: late}.and(rollout{start: early}).start)
--- a/sidecar/turn_test.go
+++ b/sidecar/turn_test.go
@@ -18,7 +18,7 @@
 // its wait must not begin anew, since its weights were replaced by the version before.
 func TestNewNamesDoNotPutTheTurnOff(t *testing.T) {
 	const bound = 10 * time.Second
-	turn := weights.StartAfter(3, 4, bound)
+	turn := weights.StartDelay(3, 4, bound)
 	// look has the agent look at a runner with the weights, which may be busy, as long after the naming of a version as given.
 	type look func(named, loaded deployment.WeightVersion, since time.Duration, busy bool)
 	play := func(t *testing.T, do func(look)) []order {
--- a/weights/decide.go
+++ b/weights/decide.go
@@ -24,23 +24,23 @@
 	resend = 600 * time.Millisecond
 )
 
-// Situation is what is known when a decision is made.
-type Situation struct {
-	// Named is the newest version, Loaded the runner's.
-	Named  deployment.WeightVersion
+// Input is what is known when a decision is made.
+type Input struct {
+	// Newest is the newest version, Loaded the runner's.
+	Newest deployment.WeightVersion
 	Loaded deployment.WeightVersion
-	// Since is how long ago this process learned of the newest version, Bound how long old weights may be used.
-	Since time.Duration
-	Bound time.Duration
+	// KnownFor is how long ago this process learned of the newest version, Bound how long old weights may be used.
+	KnownFor time.Duration
+	Bound    time.Duration
 	// Rank is the runner's place among the Total of its service, those with the oldest weights first.
 	Rank  int
 	Total int
-	// Earlier is by how much the start that a Schedule keeps comes before the runner's start by its rank.
-	Earlier time.Duration
+	// EarlierBy is by how much the start that a Schedule keeps comes before the runner's start by its rank.
+	EarlierBy time.Duration
 	// Busy says that the runner carries out an order.
 	Busy bool
-	// Ordered is how long ago the last order for this version was given, zero where none was.
-	Ordered time.Duration
+	// SinceOrder is how long ago the last order for this version was given, zero where none was.
+	SinceOrder time.Duration
 	// Leaving says that the runner ends soon.
 	Leaving bool
 }
@@ -50,30 +50,30 @@
 
 // The actions.
 const (
-	// Nothing leaves the runner as it is.
-	Nothing Action = "nothing"
-	// Wait leaves the runner serving until its turn.
-	Wait Action = "wait"
-	// Empty has no more requests sent to the runner, since its turn is near or its order under way.
-	Empty Action = "empty"
-	// Order gives the order.
-	Order Action = "order"
+	// ActionNone leaves the runner as it is.
+	ActionNone Action = "nothing"
+	// ActionWait leaves the runner serving until its turn.
+	ActionWait Action = "wait"
+	// ActionDrain has no more requests sent to the runner, since its turn is near or its order under way.
+	ActionDrain Action = "empty"
+	// ActionLoad gives the order.
+	ActionLoad Action = "order"
 )
 
 // Decide says what to do with the runner now.
-func Decide(s Situation) Action {
-	start := StartAfter(s.Rank, s.Total, s.Bound) - s.Earlier
+func Decide(s Input) Action {
+	start := StartDelay(s.Rank, s.Total, s.Bound) - s.EarlierBy
 	switch {
-	case s.Named == 0 || s.Loaded >= s.Named || s.Leaving:
-		return Nothing
-	case s.Busy, s.Ordered > 0 && s.Ordered < resend:
-		return Empty
-	case s.Since >= start:
-		return Order
-	case s.Since >= start-emptyBefore:
-		return Empty
+	case s.Newest == 0 || s.Loaded >= s.Newest || s.Leaving:
+		return ActionNone
+	case s.Busy, s.SinceOrder > 0 && s.SinceOrder < resend:
+		return ActionDrain
+	case s.KnownFor >= start:
+		return ActionLoad
+	case s.KnownFor >= start-emptyBefore:
+		return ActionDrain
 	default:
-		return Wait
+		return ActionWait
 	}
 }
 
@@ -84,8 +84,8 @@
 	at     time.Time
 }
 
-// Keep takes the start for the newest version over, and returns the start that counts.
-func (s *Schedule) Keep(loaded, named deployment.WeightVersion, start time.Time) time.Time {
+// Update takes the start for the newest version over, and returns the start that counts.
+func (s *Schedule) Update(loaded, named deployment.WeightVersion, start time.Time) time.Time {
 	if loaded >= named {
 		*s = Schedule{}
 		return start
@@ -101,9 +101,9 @@
 	return max(1, (total+Batches-1)/Batches)
 }
 
-// StartAfter is how long after the naming of a version the runner with the rank loads it: the first batch once it has been announced,
+// StartDelay is how long after the naming of a version the runner with the rank loads it: the first batch once it has been announced,
 // the others spread over what is left until the last start.
-func StartAfter(rank, total int, bound time.Duration) time.Duration {
+func StartDelay(rank, total int, bound time.Duration) time.Duration {
 	last := max(bound-lastMargin, (Batches-1)*leastPace)
 	pace := (last - emptyBefore) / (Batches - 1)
 	return emptyBefore + time.Duration(rank/BatchSize(total))*pace
--- a/weights/decide_test.go
+++ b/weights/decide_test.go
@@ -13,29 +13,29 @@
 const bound = 10 * time.Second
 
 func TestDecide(t *testing.T) {
-	at := func(change func(*Situation)) Action {
-		s := Situation{Named: 2, Loaded: 1, Bound: bound, Rank: 4, Total: 18, Since: time.Hour}
+	at := func(change func(*Input)) Action {
+		s := Input{Newest: 2, Loaded: 1, Bound: bound, Rank: 4, Total: 18, KnownFor: time.Hour}
 		change(&s)
 		return Decide(s)
 	}
 	cases := []struct {
 		name   string
-		change func(*Situation)
+		change func(*Input)
 		want   Action
 	}{
-		{"it is the runner's turn", func(*Situation) {}, Order},
-		{"nothing is named", func(s *Situation) { s.Named = 0 }, Nothing},
-		{"the runner has the version", func(s *Situation) { s.Loaded = 2 }, Nothing},
-		{"the runner has a newer one", func(s *Situation) { s.Loaded = 3 }, Nothing},
-		{"the runner ends soon", func(s *Situation) { s.Leaving = true }, Nothing},
-		{"an order is under way", func(s *Situation) { s.Busy = true }, Empty},
-		{"an order was given just now", func(s *Situation) { s.Ordered = resend - 1 }, Empty},
-		{"an order had no effect", func(s *Situation) { s.Ordered = resend }, Order},
-		{"it is the turn of a name before", func(s *Situation) { s.Since, s.Earlier = 0, StartAfter(4, 18, bound) }, Order},
-		{"the turn is far", func(s *Situation) { s.Since = 0 }, Wait},
-		{"the turn is near", func(s *Situation) { s.Since = StartAfter(4, 18, bound) - emptyBefore }, Empty},
-		{"the first batch's turn is announced at once", func(s *Situation) { s.Rank, s.Since = 0, 0 }, Empty},
-		{"the first batch's turn comes after the announcement", func(s *Situation) { s.Rank, s.Since = 0, emptyBefore }, Order},
+		{"it is the runner's turn", func(*Input) {}, ActionLoad},
+		{"nothing is named", func(s *Input) { s.Newest = 0 }, ActionNone},
+		{"the runner has the version", func(s *Input) { s.Loaded = 2 }, ActionNone},
+		{"the runner has a newer one", func(s *Input) { s.Loaded = 3 }, ActionNone},
+		{"the runner ends soon", func(s *Input) { s.Leaving = true }, ActionNone},
+		{"an order is under way", func(s *Input) { s.Busy = true }, ActionDrain},
+		{"an order was given just now", func(s *Input) { s.SinceOrder = resend - 1 }, ActionDrain},
+		{"an order had no effect", func(s *Input) { s.SinceOrder = resend }, ActionLoad},
+		{"it is the turn of a name before", func(s *Input) { s.KnownFor, s.EarlierBy = 0, StartDelay(4, 18, bound) }, ActionLoad},
+		{"the turn is far", func(s *Input) { s.KnownFor = 0 }, ActionWait},
+		{"the turn is near", func(s *Input) { s.KnownFor = StartDelay(4, 18, bound) - emptyBefore }, ActionDrain},
+		{"the first batch's turn is announced at once", func(s *Input) { s.Rank, s.KnownFor = 0, 0 }, ActionDrain},
+		{"the first batch's turn comes after the announcement", func(s *Input) { s.Rank, s.KnownFor = 0, emptyBefore }, ActionLoad},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.want, at(c.change)) })
@@ -54,18 +54,18 @@
 		for now := step; now < bound; now += step {
 			loading := 0
 			for rank := range total {
-				s := Situation{Named: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, Since: now}
+				s := Input{Newest: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, KnownFor: now}
 				if ordered[rank] > 0 {
-					s.Ordered = now - ordered[rank]
-					s.Busy = s.Ordered < load
-					if s.Ordered >= load {
+					s.SinceOrder = now - ordered[rank]
+					s.Busy = s.SinceOrder < load
+					if s.SinceOrder >= load {
 						s.Loaded = 2
 					}
 				}
-				if s.Loaded == 1 && (s.Busy || Decide(s) == Order) {
+				if s.Loaded == 1 && (s.Busy || Decide(s) == ActionLoad) {
 					loading++
 				}
-				if Decide(s) == Order {
+				if Decide(s) == ActionLoad {
 					ordered[rank] = now
 				}
 			}
@@ -89,11 +89,11 @@
 			announced := time.Duration(-1)
 			now := time.Duration(0)
 			for ; ; now += step {
-				action := Decide(Situation{Named: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, Since: now})
-				if action == Empty && announced < 0 {
+				action := Decide(Input{Newest: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, KnownFor: now})
+				if action == ActionDrain && announced < 0 {
 					announced = now
 				}
-				if action == Order {
+				if action == ActionLoad {
 					break
 				}
 			}
@@ -106,7 +106,7 @@
 // TestAnnouncementsPutNoLastStartOff: the last batch starts when it would without announcements.
 func TestAnnouncementsPutNoLastStartOff(t *testing.T) {
 	for _, bound := range []time.Duration{2 * time.Second, 5 * time.Second, bound, 14 * time.Second} {
-		assert.LessOrEqual(t, StartAfter(17, 18, bound), max(bound-lastMargin, (Batches-1)*leastPace), "bound %v", bound)
+		assert.LessOrEqual(t, StartDelay(17, 18, bound), max(bound-lastMargin, (Batches-1)*leastPace), "bound %v", bound)
 	}
 }
 
@@ -135,13 +135,13 @@
 				newest++
 			}
 			for rank := range total {
-				s := Situation{
-					Named: deployment.WeightVersion(newest), Loaded: deployment.WeightVersion(loaded[rank]), Bound: bound,
-					Rank: rank, Total: total, Since: now - named[newest-1], Busy: now < ordered[rank]+load,
+				s := Input{
+					Newest: deployment.WeightVersion(newest), Loaded: deployment.WeightVersion(loaded[rank]), Bound: bound,
+					Rank: rank, Total: total, KnownFor: now - named[newest-1], Busy: now < ordered[rank]+load,
 				}
-				turn := start.Add(named[newest-1] + StartAfter(rank, total, bound))
-				s.Earlier = turn.Sub(schedules[rank].Keep(s.Loaded, s.Named, turn))
-				if Decide(s) == Order {
+				turn := start.Add(named[newest-1] + StartDelay(rank, total, bound))
+				s.EarlierBy = turn.Sub(schedules[rank].Update(s.Loaded, s.Newest, turn))
+				if Decide(s) == ActionLoad {
 					ordered[rank], loaded[rank] = now, newest
 				}
 				if loaded[rank] < newest {
--- a/weights/window.go
+++ b/weights/window.go
@@ -12,25 +12,25 @@
 	leastWait = time.Second
 )
 
-// Window is the time in which requests may begin on weights that newer ones have replaced. Its zero value has no end.
-type Window struct {
-	// Replaced is when the first newer version was named, the zero time where there is none.
-	Replaced time.Time
+// StartWindow is the time in which requests may begin on weights that newer ones have replaced. Its zero value has no end.
+type StartWindow struct {
+	// ReplacedAt is when the first newer version was named, the zero time where there is none.
+	ReplacedAt time.Time
 	// Bound is how long after that a request may begin, zero for as long as it likes.
 	Bound time.Duration
 }
 
-// Close is when a request that has not begun is to be cancelled, since it might begin too late, the zero time where there is no end.
-func (w Window) Close() time.Time {
-	if w.Replaced.IsZero() || w.Bound <= 0 {
+// ClosesAt is when a request that has not begun is to be cancelled, since it might begin too late, the zero time where there is no end.
+func (w StartWindow) ClosesAt() time.Time {
+	if w.ReplacedAt.IsZero() || w.Bound <= 0 {
 		return time.Time{}
 	}
-	return w.Replaced.Add(w.Bound - closeMargin)
+	return w.ReplacedAt.Add(w.Bound - closeMargin)
 }
 
 // Admits reports whether a request that is sent now to a runner with the weights begins in time, where it is expected to wait there for
 // the given time.
-func (w Window) Admits(now time.Time, wait time.Duration) bool {
-	end := w.Close()
+func (w StartWindow) Admits(now time.Time, wait time.Duration) bool {
+	end := w.ClosesAt()
 	return end.IsZero() || now.Add(max(wait, leastWait)).Before(end)
 }
--- a/weights/window_test.go
+++ b/weights/window_test.go
@@ -11,13 +11,13 @@
 func TestWindow(t *testing.T) {
 	replaced := time.Unix(1000, 0)
 	at := replaced.Add
-	window := Window{Replaced: replaced, Bound: bound}
+	window := StartWindow{ReplacedAt: replaced, Bound: bound}
 	t.Run("weights that nothing has replaced have no end", func(t *testing.T) {
-		assert.True(t, Window{Bound: bound}.Close().IsZero())
-		assert.True(t, Window{Bound: bound}.Admits(at(time.Hour), time.Hour))
+		assert.True(t, StartWindow{Bound: bound}.ClosesAt().IsZero())
+		assert.True(t, StartWindow{Bound: bound}.Admits(at(time.Hour), time.Hour))
 	})
 	t.Run("without a bound there is no end", func(t *testing.T) {
-		assert.True(t, Window{Replaced: replaced}.Admits(at(time.Hour), time.Hour))
+		assert.True(t, StartWindow{ReplacedAt: replaced}.Admits(at(time.Hour), time.Hour))
 	})
 	t.Run("a request that begins soon is admitted until shortly before the bound", func(t *testing.T) {
 		assert.True(t, window.Admits(at(bound-closeMargin-leastWait-1), 0))
@@ -32,7 +32,7 @@
 			now := at(time.Duration(rapid.Int64Range(0, int64(2*bound)).Draw(t, "now")))
 			wait := time.Duration(rapid.Int64Range(0, int64(2*bound)).Draw(t, "wait"))
 			if window.Admits(now, wait) {
-				assert.True(t, now.Add(wait).Before(window.Close()))
+				assert.True(t, now.Add(wait).Before(window.ClosesAt()))
 			}
 		})
 	})
