--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -175,7 +175,7 @@
 		}
 		_, holds := holders[s.Address]
 		stores = append(stores, fetch.Store{
-			Address: s.Address, Capacity: s.CapacityTokens, UsedTokens: g.stores.index.Total(s.Address), BitsPerSecond: s.LinkBitsPerSecond,
+			Address: s.Address, Capacity: s.CapacityTokens, UsedTokens: g.stores.index.TotalTokens(s.Address), BitsPerSecond: s.LinkBitsPerSecond,
 			StartDelay: s.FirstDelay, LinkBusy: info.busy, OtherZone: s.Zone != v.Zone, Holds: holds || g.stores.isSaving(key, s.Address, now),
 		})
 	}
