--- a/gateway/options.go
+++ b/gateway/options.go
@@ -87,9 +87,9 @@
 
 // question is what the choice has to know of the request.
 func (g *Gateway) question(x *exchange) place.Request {
-	q := place.Request{Target: x.route.Target}
+	q := place.Request{Target: x.route.TargetLatency}
 	if x.needsEngine() {
-		q.Tokens = x.wire.Prompt.Tokens + x.wire.Prompt.MaxOut
+		q.Tokens = x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens
 		q.Latency = g.firsts.of(x.service.Name)
 	}
 	return q
@@ -112,8 +112,8 @@
 	c.Capacity = x.service.Engine.CapacityTokens
 	if v.Reported {
 		c.Running = max(c.Running, v.Load.Running+v.Load.Waiting)
-		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.Unread+v.Load.Waiting)*meanRead+v.SentReading)
-		c.UsedTokens = max(c.UsedTokens, v.Load.Used+v.SentHeld)
+		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.AwaitingFirstEvent+v.Load.Waiting)*meanRead+v.SentReading)
+		c.UsedTokens = max(c.UsedTokens, v.Load.UsedTokens+v.SentHeld)
 	}
 	c.Avoided = avoided(v) || x.began && g.loadsSoon(x, v)
 	c.HashDistance = distance(conversation, v.ID)
@@ -122,7 +122,7 @@
 
 // avoided reports that a runner of engines gets a request only where there is no other.
 func avoided(v *roster.View) bool {
-	return v.Avoid || v.Reported && (v.Load.Busy || v.Load.Silent)
+	return v.Avoid || v.Reported && (v.Load.LoadingWeights || v.Load.Unresponsive)
 }
 
 // distance is where a hash puts a runner for a conversation, between 0 and 1.
@@ -143,7 +143,7 @@
 
 // addPlan adds to a candidate what it would read and fetch by a plan.
 func addPlan(c *place.Candidate, p *deployment.Prompt, plan *fetch.Plan) {
-	c.PrefillTokens = p.Own() + plan.PrefillTokens
+	c.PrefillTokens = p.UnsharedTokens() + plan.PrefillTokens
 	c.RecomputedTokens = plan.RecomputedTokens
 	c.FetchTime = plan.TransferTime
 }
--- a/gateway/route_times.go
+++ b/gateway/route_times.go
@@ -52,7 +52,7 @@
 func (g *Gateway) takes(route *deployment.Route) drain.Request {
 	usual := g.usual.of(route.Name)
 	takes := drain.Request{TypicalDuration: usual.UpperBound(likelyDeviations), ConservativeDuration: usual.UpperBound(surelyDeviations)}
-	if route.Once() {
+	if route.AtMostOnce() {
 		takes.TypicalDuration = takes.ConservativeDuration
 	}
 	return takes
