--- a/gateway/room.go
+++ b/gateway/room.go
@@ -58,14 +58,14 @@
 // roomOf is the room at an engine, by its report where there is one, else by this entry's own requests.
 func (g *Gateway) roomOf(o *options, i, senders int) admission.EngineState {
 	v, c := o.views[i], &o.candidates[i]
-	if !v.Reported {
+	if !v.ReportFresh {
 		// A runner that has just started is empty for every entry, so that each takes the others to send as much as itself.
 		entries := g.budgets.Entries()
-		ahead := time.Duration(v.Reading*entries) * o.question.Latency.PerToken
-		return admission.EngineState{Capacity: c.Capacity, Used: v.Held * entries, PendingPrefill: ahead}
+		ahead := time.Duration(v.PrefillTokens*entries) * o.question.Latency.PerToken
+		return admission.EngineState{Capacity: c.Capacity, Used: v.KVTokens * entries, PendingPrefill: ahead}
 	}
 	return admission.EngineState{
-		Capacity: c.Capacity, Used: max(v.Load.UsedTokens, 0), Queued: v.Load.Waiting * g.sizes.mean(), SentSinceReport: v.SentHeld, Senders: senders,
+		Capacity: c.Capacity, Used: max(v.Load.UsedTokens, 0), Queued: v.Load.Waiting * g.sizes.mean(), SentSinceReport: v.UnreportedKVTokens, Senders: senders,
 		PendingPrefill: time.Duration(c.QueuedPrefillTokens) * o.question.Latency.PerToken,
 	}
 }
--- a/gateway/start_deadline.go
+++ b/gateway/start_deadline.go
@@ -22,7 +22,7 @@
 	if x.wire.Prompt == nil || x.service.Engine == nil {
 		return weights.StartWindow{}
 	}
-	return weights.StartWindow{ReplacedAt: g.state.Replaced(x.wire.Prompt.Model, version), Bound: g.Settings.Bounds.WeightsRollout}
+	return weights.StartWindow{ReplacedAt: g.state.ReplacedAt(x.wire.Prompt.Model, version), Bound: g.Settings.Bounds.WeightsRollout}
 }
 
 // startDeadline cancels a request at its runner where it has not begun when the window on the runner's weights closes.
