--- a/roster/slow_start.go
+++ b/roster/slow_start.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// MarkCold takes the runner for cold until the given moment at the least.
+// MarkCold treats the runner as cold at least until the given time.
 func (r *Runner) MarkCold(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -11,22 +11,23 @@
 	}
 }
 
-// AddColdPermits takes over permits to send to the runner while it is cold, which end at the given moment.
+// AddColdPermits adds permits, expiring at the given time, for requests to the runner while it is cold.
 func (r *Runner) AddColdPermits(n int, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.permits.Add(n, until)
+	r.coldPermits.Add(n, until)
 }
 
-// PaceColdPermits gives a permit now and then, with so much time between two, for runners without an agent. The phase is that of permit.Spacer.
-func (r *Runner) PaceColdPermits(now time.Time, space time.Duration, phase float64) {
+// PaceColdPermits adds a slow-start permit at most once per interval, for runners without an agent. The phase is
+// that of permit.Spacer.
+func (r *Runner) PaceColdPermits(now time.Time, interval time.Duration, phase float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !now.Before(r.coldUntil) {
-		r.spacer.Reset()
+		r.coldSpacer.Reset()
 		return
 	}
-	if !r.permits.Any(now) && r.spacer.Due(now, space, phase) {
-		r.permits.Add(1, now.Add(space))
+	if !r.coldPermits.Any(now) && r.coldSpacer.Due(now, interval, phase) {
+		r.coldPermits.Add(1, now.Add(interval))
 	}
 }
--- a/roster/wait_estimate.go
+++ b/roster/wait_estimate.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// waitDecay is the part of the greatest wait that each shorter one after it takes away: half. A runner gets a request a second from each
-// of five entries before eighteen runners, so that of a queue of 4 s that has gone half a second is left after three seconds.
-const waitDecay = 2
+// waitDecayDivisor sets how fast the greatest recent wait decays: each shorter wait reduces it by this fraction, a
+// half. With five gateways and eighteen runners, a runner gets one request a second from each gateway, so three
+// seconds after a queue of 4 s has gone the estimate is down to 0.5 s.
+const waitDecayDivisor = 2
 
-// waitEstimate is how long this process's requests take at one runner from their send to their first token.
+// waitEstimate estimates the time to the first token of this process's requests to one runner.
 type waitEstimate struct {
-	// pending are when those that have not begun were sent, oldest first.
+	// pending holds the send times of the requests without a first token, oldest first.
 	pending []time.Time
-	// recent is the greatest wait of late.
-	recent time.Duration
+	// recentMax is the greatest recent wait.
+	recentMax time.Duration
 }
 
-// sent records that a request goes to the runner.
-func (w *waitEstimate) sent(at time.Time) { w.pending = append(w.pending, at) }
+// addSent records that a request is sent.
+func (w *waitEstimate) addSent(at time.Time) { w.pending = append(w.pending, at) }
 
-// begun records the first token of a request.
-func (w *waitEstimate) begun(now, sent time.Time) {
-	w.dropped(sent)
-	w.recent = max(now.Sub(sent), w.recent-w.recent/waitDecay)
+// addFirstToken records the first token of a request and its wait.
+func (w *waitEstimate) addFirstToken(now, sent time.Time) {
+	w.removePending(sent)
+	w.recentMax = max(now.Sub(sent), w.recentMax-w.recentMax/waitDecayDivisor)
 }
 
-// dropped records that a request will not begin.
-func (w *waitEstimate) dropped(sent time.Time) {
+// removePending records that a request will get no first token.
+func (w *waitEstimate) removePending(sent time.Time) {
 	if i := slices.IndexFunc(w.pending, sent.Equal); i >= 0 {
 		w.pending = slices.Delete(w.pending, i, i+1)
 	}
 }
 
-// expected is how long a request that is sent now is taken to wait: as long as those before it did, or do.
+// expected returns the expected wait of a request that is sent now: at least as long as recent requests waited, or
+// the oldest pending one has waited so far.
 func (w *waitEstimate) expected(now time.Time) time.Duration {
 	if len(w.pending) == 0 {
-		return w.recent
+		return w.recentMax
 	}
-	return max(w.recent, now.Sub(w.pending[0]))
+	return max(w.recentMax, now.Sub(w.pending[0]))
 }
--- a/roster/wait_estimate_test.go
+++ b/roster/wait_estimate_test.go
@@ -10,7 +10,7 @@
 func TestExpectedWait(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := start.Add
-	t.Run("nothing is expected of a runner that nothing was sent to", func(t *testing.T) {
+	t.Run("no wait is expected at a runner without requests", func(t *testing.T) {
 		r := &Runner{}
 		assert.Zero(t, r.View(start).ExpectedWait)
 	})
@@ -20,7 +20,7 @@
 		r.RecordFirstToken(at(2*time.Second), start, 0)
 		assert.Equal(t, 2*time.Second, r.View(at(3*time.Second)).ExpectedWait)
 	})
-	t.Run("or as long as the one does that waits", func(t *testing.T) {
+	t.Run("a request is expected to wait at least as long as the oldest pending one has waited", func(t *testing.T) {
 		r := &Runner{}
 		r.BeginRequest(start, 0, 0)
 		r.BeginRequest(at(time.Second), 0, 0)
@@ -28,7 +28,7 @@
 		r.AbandonWait(start, 0)
 		assert.Equal(t, 2*time.Second, r.View(at(3*time.Second)).ExpectedWait)
 	})
-	t.Run("a long wait is forgotten when shorter ones follow", func(t *testing.T) {
+	t.Run("a long wait is forgotten after shorter ones", func(t *testing.T) {
 		r := &Runner{}
 		r.BeginRequest(start, 0, 0)
 		r.RecordFirstToken(at(4*time.Second), start, 0)
