--- a/holdings/doc.go
+++ b/holdings/doc.go
@@ -1,3 +1,3 @@
-// Package holdings keeps track of which parts of prompts the runners and the cache stores hold: a Tracker beside the agent
-// that hears a holder's events, and an Index of all holders at an entry. It does no I/O.
+// Package holdings tracks which prompt parts runners and cache stores hold in their KV cache. An agent keeps a
+// Tracker for each holder whose events it follows; an entry keeps an Index over all holders. The package does no I/O.
 package holdings
--- a/holdings/encode.go
+++ b/holdings/encode.go
@@ -5,32 +5,33 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Changes are changes of one holder; on their way they stand by salts, of which there are few.
+// Changes is a list of changes at one holder. It is encoded grouped by salt: there are few salts, so each is sent once.
 type Changes []Change
 
-// underSalt are changes of parts under one salt.
-type underSalt struct {
+// saltGroup holds the changes to parts under one salt.
+type saltGroup struct {
 	_     struct{} `cbor:",toarray"`
 	Salt  string
 	Parts []partTokens
 }
 
+// partTokens is a part and the number of its tokens that are held.
 type partTokens struct {
 	_      struct{} `cbor:",toarray"`
 	Part   string
 	Tokens int
 }
 
-// MarshalCBOR encodes the changes; their order is kept under each salt.
+// MarshalCBOR encodes the changes. Their order is preserved within each salt, not between salts.
 func (c Changes) MarshalCBOR() ([]byte, error) {
-	var groups []underSalt
-	at := map[string]int{}
+	var groups []saltGroup
+	groupOf := map[string]int{}
 	for _, change := range c {
-		i, ok := at[change.Key.Salt]
+		i, ok := groupOf[change.Key.Salt]
 		if !ok {
 			i = len(groups)
-			at[change.Key.Salt] = i
-			groups = append(groups, underSalt{Salt: change.Key.Salt})
+			groupOf[change.Key.Salt] = i
+			groups = append(groups, saltGroup{Salt: change.Key.Salt})
 		}
 		groups[i].Parts = append(groups[i].Parts, partTokens{Part: change.Key.Part, Tokens: change.Tokens})
 	}
@@ -38,9 +39,9 @@
 	return data, errors.Wrap(err, "encode changes")
 }
 
-// UnmarshalCBOR decodes the changes.
+// UnmarshalCBOR decodes changes that MarshalCBOR encoded.
 func (c *Changes) UnmarshalCBOR(data []byte) error {
-	var groups []underSalt
+	var groups []saltGroup
 	if err := cbor.Unmarshal(data, &groups); err != nil {
 		return errors.Wrap(err, "decode changes")
 	}
--- a/holdings/expired.go
+++ b/holdings/expired.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// ExpiredSalts are the salts whose parts are about to be freed, and since when those who fetch are told so; its zero value is empty.
+// ExpiredSalts records the salts whose parts are about to be freed and when each was first announced as expired. Its
+// zero value is empty and ready to use.
 type ExpiredSalts struct {
-	mu   sync.Mutex
-	told map[string]time.Time
+	mu          sync.Mutex
+	announcedAt map[string]time.Time
 }
 
-// MayFree reports whether the parts under a salt may be freed: those who fetch have been told for as long as it takes until no
-// fetch that began before can still run. The first question is what begins the telling.
-func (e *ExpiredSalts) MayFree(salt string, now time.Time, after time.Duration) bool {
+// MayFree reports whether the parts under a salt may be freed: the salt was announced as expired at least notice ago,
+// so that every fetch that began before the announcement has ended. The first call for a salt starts its
+// announcement.
+func (e *ExpiredSalts) MayFree(salt string, now time.Time, notice time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	since, ok := e.told[salt]
+	since, ok := e.announcedAt[salt]
 	if !ok {
-		if e.told == nil {
-			e.told = map[string]time.Time{}
+		if e.announcedAt == nil {
+			e.announcedAt = map[string]time.Time{}
 		}
-		e.told[salt] = now
+		e.announcedAt[salt] = now
 		return false
 	}
-	return now.Sub(since) >= after
+	return now.Sub(since) >= notice
 }
 
-// Salts are those that are told of.
+// Salts returns the salts to announce as expired.
 func (e *ExpiredSalts) Salts() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	salts := make([]string, 0, len(e.told))
-	for salt := range e.told {
+	salts := make([]string, 0, len(e.announcedAt))
+	for salt := range e.announcedAt {
 		salts = append(salts, salt)
 	}
 	return salts
--- a/holdings/index.go
+++ b/holdings/index.go
@@ -7,52 +7,53 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Index is what an entry knows of all holders; its zero value is empty.
+// Index records which parts each holder has, by part and by holder. A holder is identified by its address. The zero
+// value is empty and ready to use.
 type Index struct {
-	mu      sync.RWMutex
-	byKey   map[Key]map[netip.AddrPort]int
-	byPlace map[netip.AddrPort]map[Key]int
-	total   map[netip.AddrPort]int
-	// runs are the latest runs of runners that are known by address.
+	mu       sync.RWMutex
+	byKey    map[Key]map[netip.AddrPort]int
+	byHolder map[netip.AddrPort]map[Key]int
+	totals   map[netip.AddrPort]int
+	// runs holds the latest known run of the runner at each address.
 	runs map[netip.AddrPort]rillreach.InstanceRun
 }
 
-// Replace sets everything that the holder at the address holds.
-func (x *Index) Replace(place netip.AddrPort, all []Change) {
+// Replace sets all parts that a holder has.
+func (x *Index) Replace(holder netip.AddrPort, all []Change) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.forget(place)
-	x.apply(place, all)
+	x.forget(holder)
+	x.apply(holder, all)
 }
 
-// Apply takes changes of one holder over.
-func (x *Index) Apply(place netip.AddrPort, changes []Change) {
+// Apply applies changes at one holder.
+func (x *Index) Apply(holder netip.AddrPort, changes []Change) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.apply(place, changes)
+	x.apply(holder, changes)
 }
 
-// Forget drops all that is known of a holder.
-func (x *Index) Forget(place netip.AddrPort) {
+// Forget removes a holder with all its parts.
+func (x *Index) Forget(holder netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.forget(place)
+	x.forget(holder)
 }
 
-// Update is what one run of a runner tells that it holds.
+// Update reports what one run of a runner holds.
 type Update struct {
 	Address netip.AddrPort
 	Run     rillreach.InstanceRun
-	// Snapshot says that the changes are everything that is held.
+	// Snapshot means that Changes lists every part the run holds.
 	Snapshot bool
 	Changes  []Change
 }
 
-// Update takes over what a run holds. What an earlier run than the latest one tells is late and changes nothing.
+// Update applies a report of what a run holds. A report of an earlier run than the latest known one is ignored.
 func (x *Index) Update(u Update) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.renew(u.Address, u.Run) {
+	if !x.observeRun(u.Address, u.Run) {
 		return
 	}
 	if u.Snapshot {
@@ -61,83 +62,86 @@
 	x.apply(u.Address, u.Changes)
 }
 
-// ObserveRun drops what runs before this one held at the address.
-func (x *Index) ObserveRun(place netip.AddrPort, run rillreach.InstanceRun) {
+// ObserveRun records the run that is at an address and removes the parts that another run held there, unless a later
+// run is already known. A run of the same instance without a generation counts as the known run.
+func (x *Index) ObserveRun(holder netip.AddrPort, run rillreach.InstanceRun) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.renew(place, run)
+	x.observeRun(holder, run)
 }
 
-// renew notes which run is at the address, and forgets what another one held there; it reports whether the run is the latest.
-func (x *Index) renew(place netip.AddrPort, run rillreach.InstanceRun) bool {
-	known, ok := x.runs[place]
+// observeRun records which run is at the address and removes the parts of any other run there. It returns false if a
+// later run is already known.
+func (x *Index) observeRun(holder netip.AddrPort, run rillreach.InstanceRun) bool {
+	known, ok := x.runs[holder]
 	if known.Supersedes(run) {
 		return false
 	}
 	if run.Supersedes(known) || ok && run.ID != known.ID {
-		x.forget(place)
+		x.forget(holder)
 	}
 	if x.runs == nil {
 		x.runs = map[netip.AddrPort]rillreach.InstanceRun{}
 	}
 	if run.ID != known.ID || run.Generation != 0 {
-		x.runs[place] = run
+		x.runs[holder] = run
 	}
 	return true
 }
 
-// Holders returns how many tokens of a part each holder has.
+// Holders returns the number of tokens of a part that each holder has.
 func (x *Index) Holders(key Key) map[netip.AddrPort]int {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	holders := make(map[netip.AddrPort]int, len(x.byKey[key]))
-	for place, tokens := range x.byKey[key] {
-		holders[place] = tokens
+	for holder, tokens := range x.byKey[key] {
+		holders[holder] = tokens
 	}
 	return holders
 }
 
-// TotalTokens is how many tokens a holder has altogether.
-func (x *Index) TotalTokens(place netip.AddrPort) int {
+// TotalTokens returns the number of tokens that a holder has across all parts.
+func (x *Index) TotalTokens(holder netip.AddrPort) int {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
-	return x.total[place]
+	return x.totals[holder]
 }
 
-func (x *Index) apply(place netip.AddrPort, changes []Change) {
+func (x *Index) apply(holder netip.AddrPort, changes []Change) {
 	if x.byKey == nil {
-		x.byKey, x.byPlace, x.total = map[Key]map[netip.AddrPort]int{}, map[netip.AddrPort]map[Key]int{}, map[netip.AddrPort]int{}
+		x.byKey, x.byHolder, x.totals = map[Key]map[netip.AddrPort]int{}, map[netip.AddrPort]map[Key]int{}, map[netip.AddrPort]int{}
 	}
-	held := x.byPlace[place]
+	held := x.byHolder[holder]
 	if held == nil {
 		held = map[Key]int{}
-		x.byPlace[place] = held
+		x.byHolder[holder] = held
 	}
 	for _, c := range changes {
-		x.total[place] += c.Tokens - held[c.Key]
+		x.totals[holder] += c.Tokens - held[c.Key]
 		if c.Tokens == 0 {
 			delete(held, c.Key)
-			x.drop(place, c.Key)
+			x.removeHolder(holder, c.Key)
 			continue
 		}
 		held[c.Key] = c.Tokens
 		if x.byKey[c.Key] == nil {
 			x.byKey[c.Key] = map[netip.AddrPort]int{}
 		}
-		x.byKey[c.Key][place] = c.Tokens
+		x.byKey[c.Key][holder] = c.Tokens
 	}
 }
 
-func (x *Index) forget(place netip.AddrPort) {
-	for key := range x.byPlace[place] {
-		x.drop(place, key)
+func (x *Index) forget(holder netip.AddrPort) {
+	for key := range x.byHolder[holder] {
+		x.removeHolder(holder, key)
 	}
-	delete(x.byPlace, place)
-	delete(x.total, place)
+	delete(x.byHolder, holder)
+	delete(x.totals, holder)
 }
 
-func (x *Index) drop(place netip.AddrPort, key Key) {
-	delete(x.byKey[key], place)
+// removeHolder removes a holder of one part.
+func (x *Index) removeHolder(holder netip.AddrPort, key Key) {
+	delete(x.byKey[key], holder)
 	if len(x.byKey[key]) == 0 {
 		delete(x.byKey, key)
 	}
--- a/holdings/tracker.go
+++ b/holdings/tracker.go
@@ -7,19 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key names a part of a prompt under the salt that keeps it apart.
+// Key identifies a prompt part. Equal parts under different cache salts are distinct.
 type Key struct {
 	Salt string
 	Part string
 }
 
-// Change says how many tokens of a part a holder now holds; none means that the part is gone.
+// Change is the number of tokens of a part that a holder now has; zero means that the part is gone.
 type Change struct {
 	Key    Key
 	Tokens int
 }
 
-// Check reports a change that cannot be.
+// Check returns an error if the number of tokens is negative.
 func (c Change) Check() error {
 	if c.Tokens < 0 {
 		return errors.Newf("part %q has %d tokens", c.Key.Part, c.Tokens)
@@ -27,19 +27,19 @@
 	return nil
 }
 
-// maxLog is how many changes are kept for readers; one that has fallen behind further gets everything anew.
-const maxLog = 4096
+// maxLogChanges is the number of changes kept for readers. A reader that is further behind gets a snapshot.
+const maxLogChanges = 4096
 
-// Tracker is what one holder holds, with the changes that led there; its zero value is empty.
+// Tracker records the parts that one holder has and a log of recent changes. Its zero value is empty and ready to use.
 type Tracker struct {
 	mu   sync.Mutex
 	held map[Key]int
 	log  []Change
-	// base is the position of the first change in the log.
-	base uint64
+	// logStart is the position of the first change in the log.
+	logStart uint64
 }
 
-// Replace sets everything that is held.
+// Replace sets all parts that the holder has. Every reader gets a snapshot next.
 func (t *Tracker) Replace(all []Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,11 +47,11 @@
 	for _, c := range all {
 		t.held[c.Key] = c.Tokens
 	}
-	t.base += uint64(len(t.log)) + 1 // a position that no reader has reached
+	t.logStart += uint64(len(t.log)) + 1 // past the position of every reader
 	t.log = nil
 }
 
-// Apply takes changes over.
+// Apply applies changes and appends them to the log.
 func (t *Tracker) Apply(changes []Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,28 +66,28 @@
 		}
 	}
 	t.log = append(t.log, changes...)
-	if over := len(t.log) - maxLog; over > 0 {
+	if over := len(t.log) - maxLogChanges; over > 0 {
 		t.log = slices.Clone(t.log[over:])
-		t.base += uint64(over)
+		t.logStart += uint64(over)
 	}
 }
 
-// Since returns the changes after a position, and the position to go on from; whole says that they are everything that is
-// held, since the position is unknown.
-func (t *Tracker) Since(position uint64) (changes []Change, next uint64, whole bool) {
+// Since returns the changes after a position and the position to continue from. If the position is not in the log, it
+// returns every part that is held and sets snapshot.
+func (t *Tracker) Since(position uint64) (changes []Change, next uint64, snapshot bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next = t.base + uint64(len(t.log))
-	if position < t.base || position > next {
+	next = t.logStart + uint64(len(t.log))
+	if position < t.logStart || position > next {
 		for key, tokens := range t.held {
 			changes = append(changes, Change{Key: key, Tokens: tokens})
 		}
 		return changes, next, true
 	}
-	return slices.Clone(t.log[position-t.base:]), next, false
+	return slices.Clone(t.log[position-t.logStart:]), next, false
 }
 
-// TotalTokens is how many tokens are held.
+// TotalTokens returns the number of tokens that are held.
 func (t *Tracker) TotalTokens() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +98,7 @@
 	return total
 }
 
-// TokensBySalt returns how many tokens are held under each salt.
+// TokensBySalt returns the number of tokens held under each salt.
 func (t *Tracker) TokensBySalt() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +109,7 @@
 	return salts
 }
 
-// KeysUnder returns the parts that are held under a salt.
+// KeysUnder returns the keys of the parts held under a salt.
 func (t *Tracker) KeysUnder(salt string) []Key {
 	t.mu.Lock()
 	defer t.mu.Unlock()
