--- a/weights/decide.go
+++ b/weights/decide.go
@@ -1,6 +1,8 @@
-// Package weights decides when a runner is told to load newer weights, so that the runners of a service come to the newest
-// version in time, never too many at once, and no faster than they need: a runner that has just loaded holds nothing of any
-// prompt, and those that have not carry the others meanwhile. It is without I/O and without a clock.
+// Package weights decides when a runner is ordered to load newer weights. It rolls a version out in batches: every
+// runner has to have it before its old weights expire, only a limited number load at the same time, and the rollout
+// is as slow as the bound allows, because a runner that has just loaded has an empty KV cache and leaves more work to
+// the others. A version is named when an object in the object store makes it the one to serve. The package does no I/O
+// and reads no clock.
 package weights
 
 import (
@@ -10,101 +12,106 @@
 )
 
 const (
-	// Batches is in how many batches the runners of a service load: runners load at full speed while a sixth of them does so.
+	// Batches is the number of batches in which the runners of a service load. Loads don't slow each other
+	// down while a sixth of the runners load.
 	Batches = 6
-	// lastMargin is how long before the bound on old weights the last group begins: its requests end, it loads for 0.76 s,
-	// and requests that came before the bound may have waited.
-	lastMargin = 2900 * time.Millisecond
-	// leastPace is the shortest time from one group to the next, but for the announcement of the first, however short the bound.
-	leastPace = 900 * time.Millisecond
-	// emptyBefore is how long before its load, the first batch's too, a runner is announced as loading and is sent nothing more: entries
-	// hear of it first, and fewer requests have to end.
-	emptyBefore = 300 * time.Millisecond
-	// resend is how long an order may stay without effect before it is given again.
-	resend = 600 * time.Millisecond
+	// lastBatchMargin is the time between the start of the last batch and the bound on replaced weights. It covers
+	// the requests that have to end before the load, the load itself (0.76 s), and the wait of requests that were
+	// sent before.
+	lastBatchMargin = 2900 * time.Millisecond
+	// minBatchInterval is the minimum time between the starts of two batches, however short the bound. The first batch
+	// starts after drainLead, and the intervals are shortened to make up for it.
+	minBatchInterval = 900 * time.Millisecond
+	// drainLead is how long before its load a runner is announced as loading and gets no more requests, in the first
+	// batch as in the others. Entries learn of the load in time, and fewer requests have to end before it.
+	drainLead = 300 * time.Millisecond
+	// orderRetryInterval is how long an order may have no effect before it is sent again.
+	orderRetryInterval = 600 * time.Millisecond
 )
 
-// Input is what is known when a decision is made.
+// Input is the state that a decision is based on.
 type Input struct {
-	// Newest is the newest version, Loaded the runner's.
+	// Newest is the newest version that is named for the model, zero if there is none. Loaded is the runner's version.
 	Newest deployment.WeightVersion
 	Loaded deployment.WeightVersion
-	// KnownFor is how long ago this process learned of the newest version, Bound how long old weights may be used.
+	// KnownFor is the time since this process learned of the newest version. Bound is how long replaced weights may be
+	// used.
 	KnownFor time.Duration
 	Bound    time.Duration
-	// Rank is the runner's place among the Total of its service, those with the oldest weights first.
+	// Rank is the runner's index among all Total runners of its service, ordered by age of weights, oldest first.
 	Rank  int
 	Total int
-	// EarlierBy is by how much the start that a Schedule keeps comes before the runner's start by its rank.
+	// EarlierBy is how much earlier the start in the runner's Schedule is than the start that follows from Rank.
 	EarlierBy time.Duration
-	// Busy says that the runner carries out an order.
+	// Busy means that the runner is carrying out an order.
 	Busy bool
-	// SinceOrder is how long ago the last order for this version was given, zero where none was.
+	// SinceOrder is the time since the last order for this version, zero if there was none.
 	SinceOrder time.Duration
-	// Leaving says that the runner ends soon.
+	// Leaving means that the runner is shutting down.
 	Leaving bool
 }
 
-// Action is what to do.
+// Action is what to do with a runner.
 type Action string
 
 // The actions.
 const (
-	// ActionNone leaves the runner as it is.
+	// ActionNone does nothing: the runner needs no load.
 	ActionNone Action = "nothing"
-	// ActionWait leaves the runner serving until its turn.
+	// ActionWait lets the runner serve requests until its load is due.
 	ActionWait Action = "wait"
-	// ActionDrain has no more requests sent to the runner, since its turn is near or its order under way.
+	// ActionDrain sends the runner no more requests, because its load is about to start or in progress.
 	ActionDrain Action = "empty"
-	// ActionLoad gives the order.
+	// ActionLoad orders the runner to load the newest version.
 	ActionLoad Action = "order"
 )
 
-// Decide says what to do with the runner now.
-func Decide(s Input) Action {
-	start := StartDelay(s.Rank, s.Total, s.Bound) - s.EarlierBy
+// Decide returns what to do with the runner now.
+func Decide(in Input) Action {
+	start := StartDelay(in.Rank, in.Total, in.Bound) - in.EarlierBy
 	switch {
-	case s.Newest == 0 || s.Loaded >= s.Newest || s.Leaving:
+	case in.Newest == 0 || in.Loaded >= in.Newest || in.Leaving:
 		return ActionNone
-	case s.Busy, s.SinceOrder > 0 && s.SinceOrder < resend:
+	case in.Busy, in.SinceOrder > 0 && in.SinceOrder < orderRetryInterval:
 		return ActionDrain
-	case s.KnownFor >= start:
+	case in.KnownFor >= start:
 		return ActionLoad
-	case s.KnownFor >= start-emptyBefore:
+	case in.KnownFor >= start-drainLead:
 		return ActionDrain
 	default:
 		return ActionWait
 	}
 }
 
-// Schedule is the start that a runner's load was given when its weights were replaced. A newer name brings it another one, and never a
-// later one: its weights expire from the first name on.
+// Schedule holds the start of a runner's load, computed when its weights were replaced. A newer version may move the
+// start earlier but never later, because the weights expire a fixed time after they were first replaced.
 type Schedule struct {
 	loaded deployment.WeightVersion
-	at     time.Time
+	start  time.Time
 }
 
-// Update takes the start for the newest version over, and returns the start that counts.
-func (s *Schedule) Update(loaded, named deployment.WeightVersion, start time.Time) time.Time {
-	if loaded >= named {
+// Update takes the start computed for the newest version and returns the start in effect, the earlier one. Once the
+// runner has the newest version, it clears the schedule.
+func (s *Schedule) Update(loaded, newest deployment.WeightVersion, start time.Time) time.Time {
+	if loaded >= newest {
 		*s = Schedule{}
 		return start
 	}
-	if s.at.IsZero() || s.loaded != loaded || start.Before(s.at) {
-		s.loaded, s.at = loaded, start
+	if s.start.IsZero() || s.loaded != loaded || start.Before(s.start) {
+		s.loaded, s.start = loaded, start
 	}
-	return s.at
+	return s.start
 }
 
-// BatchSize is how many runners of a service load at the same time.
+// BatchSize returns the number of runners of a service that may load at the same time.
 func BatchSize(total int) int {
 	return max(1, (total+Batches-1)/Batches)
 }
 
-// StartDelay is how long after the naming of a version the runner with the rank loads it: the first batch once it has been announced,
-// the others spread over what is left until the last start.
+// StartDelay returns how long after a version was named the runner with the given rank starts to load it. The first
+// batch starts after drainLead, the others are spread evenly until the start of the last batch.
 func StartDelay(rank, total int, bound time.Duration) time.Duration {
-	last := max(bound-lastMargin, (Batches-1)*leastPace)
-	pace := (last - emptyBefore) / (Batches - 1)
-	return emptyBefore + time.Duration(rank/BatchSize(total))*pace
+	lastStart := max(bound-lastBatchMargin, (Batches-1)*minBatchInterval)
+	interval := (lastStart - drainLead) / (Batches - 1)
+	return drainLead + time.Duration(rank/BatchSize(total))*interval
 }
--- a/weights/decide_test.go
+++ b/weights/decide_test.go
@@ -13,7 +13,7 @@
 const bound = 10 * time.Second
 
 func TestDecide(t *testing.T) {
-	at := func(change func(*Input)) Action {
+	decide := func(change func(*Input)) Action {
 		s := Input{Newest: 2, Loaded: 1, Bound: bound, Rank: 4, Total: 18, KnownFor: time.Hour}
 		change(&s)
 		return Decide(s)
@@ -23,28 +23,28 @@
 		change func(*Input)
 		want   Action
 	}{
-		{"it is the runner's turn", func(*Input) {}, ActionLoad},
-		{"nothing is named", func(s *Input) { s.Newest = 0 }, ActionNone},
+		{"the runner's load is due", func(*Input) {}, ActionLoad},
+		{"no version is named", func(s *Input) { s.Newest = 0 }, ActionNone},
 		{"the runner has the version", func(s *Input) { s.Loaded = 2 }, ActionNone},
-		{"the runner has a newer one", func(s *Input) { s.Loaded = 3 }, ActionNone},
-		{"the runner ends soon", func(s *Input) { s.Leaving = true }, ActionNone},
-		{"an order is under way", func(s *Input) { s.Busy = true }, ActionDrain},
-		{"an order was given just now", func(s *Input) { s.SinceOrder = resend - 1 }, ActionDrain},
-		{"an order had no effect", func(s *Input) { s.SinceOrder = resend }, ActionLoad},
-		{"it is the turn of a name before", func(s *Input) { s.KnownFor, s.EarlierBy = 0, StartDelay(4, 18, bound) }, ActionLoad},
-		{"the turn is far", func(s *Input) { s.KnownFor = 0 }, ActionWait},
-		{"the turn is near", func(s *Input) { s.KnownFor = StartDelay(4, 18, bound) - emptyBefore }, ActionDrain},
-		{"the first batch's turn is announced at once", func(s *Input) { s.Rank, s.KnownFor = 0, 0 }, ActionDrain},
-		{"the first batch's turn comes after the announcement", func(s *Input) { s.Rank, s.KnownFor = 0, emptyBefore }, ActionLoad},
+		{"the runner has a newer version", func(s *Input) { s.Loaded = 3 }, ActionNone},
+		{"the runner is leaving", func(s *Input) { s.Leaving = true }, ActionNone},
+		{"an order is in progress", func(s *Input) { s.Busy = true }, ActionDrain},
+		{"an order was sent just now", func(s *Input) { s.SinceOrder = orderRetryInterval - 1 }, ActionDrain},
+		{"an order had no effect", func(s *Input) { s.SinceOrder = orderRetryInterval }, ActionLoad},
+		{"the scheduled start of an earlier version is due", func(s *Input) { s.KnownFor, s.EarlierBy = 0, StartDelay(4, 18, bound) }, ActionLoad},
+		{"the load is not due yet", func(s *Input) { s.KnownFor = 0 }, ActionWait},
+		{"the load is due soon", func(s *Input) { s.KnownFor = StartDelay(4, 18, bound) - drainLead }, ActionDrain},
+		{"the first batch drains at once", func(s *Input) { s.Rank, s.KnownFor = 0, 0 }, ActionDrain},
+		{"the first batch loads after draining", func(s *Input) { s.Rank, s.KnownFor = 0, drainLead }, ActionLoad},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.want, at(c.change)) })
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, c.want, decide(c.change)) })
 	}
 }
 
-// TestAllLoadInTime plays a whole service in virtual time: every runner has the version before old weights expire, and no
-// more load at once than may.
-func TestAllLoadInTime(t *testing.T) {
+// TestAllRunnersLoadBeforeBound simulates a service in virtual time: every runner has the new version before its old
+// weights expire, and never more than one batch loads at the same time.
+func TestAllRunnersLoadBeforeBound(t *testing.T) {
 	const load = 760 * time.Millisecond
 	const step = 40 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,41 +78,43 @@
 	})
 }
 
-// TestEveryLoadIsAnnounced plays a whole service in virtual time: whatever its batch, a runner takes nothing new for some time before
-// its order is given, or entries that have not heard of the load yet go on sending to it and are refused.
-func TestEveryLoadIsAnnounced(t *testing.T) {
+// TestRunnerDrainsBeforeEveryLoad simulates a service in virtual time. A runner that is not announced as loading for
+// some time before its order gets requests from entries that don't know of the load yet, and refuses them. This
+// guards against it for every batch, the first one included.
+func TestRunnerDrainsBeforeEveryLoad(t *testing.T) {
 	const step = 40 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 200).Draw(t, "runners")
 		bound := time.Duration(rapid.IntRange(2000, 14000).Draw(t, "bound")) * time.Millisecond
 		for rank := range total {
-			announced := time.Duration(-1)
+			drainedAt := time.Duration(-1)
 			now := time.Duration(0)
 			for ; ; now += step {
 				action := Decide(Input{Newest: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, KnownFor: now})
-				if action == ActionDrain && announced < 0 {
-					announced = now
+				if action == ActionDrain && drainedAt < 0 {
+					drainedAt = now
 				}
 				if action == ActionLoad {
 					break
 				}
 			}
-			assert.GreaterOrEqual(t, announced, time.Duration(0), "rank %d", rank)
-			assert.GreaterOrEqual(t, now-announced, emptyBefore-step, "rank %d", rank)
+			assert.GreaterOrEqual(t, drainedAt, time.Duration(0), "rank %d", rank)
+			assert.GreaterOrEqual(t, now-drainedAt, drainLead-step, "rank %d", rank)
 		}
 	})
 }
 
-// TestAnnouncementsPutNoLastStartOff: the last batch starts when it would without announcements.
-func TestAnnouncementsPutNoLastStartOff(t *testing.T) {
+// TestDrainLeadDoesNotDelayLastBatch checks that the last batch starts no later than it would without drainLead.
+func TestDrainLeadDoesNotDelayLastBatch(t *testing.T) {
 	for _, bound := range []time.Duration{2 * time.Second, 5 * time.Second, bound, 14 * time.Second} {
-		assert.LessOrEqual(t, StartDelay(17, 18, bound), max(bound-lastMargin, (Batches-1)*leastPace), "bound %v", bound)
+		assert.LessOrEqual(t, StartDelay(17, 18, bound), max(bound-lastBatchMargin, (Batches-1)*minBatchInterval), "bound %v", bound)
 	}
 }
 
-// TestNewNamesPutNoTurnOff names one version after another in virtual time, with an order of ranks that does not follow what
-// the runners have: whatever the names, each runner's weights are gone before they expire.
-func TestNewNamesPutNoTurnOff(t *testing.T) {
+// TestNewerVersionDoesNotDelayScheduledLoad guards against runners that keep expired weights because each newer
+// version pushes their load back. It names versions in quick succession in virtual time, with ranks that don't follow
+// the age of the runners' weights, and checks that every runner replaces its weights before they expire.
+func TestNewerVersionDoesNotDelayScheduledLoad(t *testing.T) {
 	const load = 760 * time.Millisecond
 	const step = 40 * time.Millisecond
 	start := time.Unix(1000, 0)
@@ -139,8 +141,8 @@
 					Newest: deployment.WeightVersion(newest), Loaded: deployment.WeightVersion(loaded[rank]), Bound: bound,
 					Rank: rank, Total: total, KnownFor: now - named[newest-1], Busy: now < ordered[rank]+load,
 				}
-				turn := start.Add(named[newest-1] + StartDelay(rank, total, bound))
-				s.EarlierBy = turn.Sub(schedules[rank].Update(s.Loaded, s.Newest, turn))
+				byRank := start.Add(named[newest-1] + StartDelay(rank, total, bound))
+				s.EarlierBy = byRank.Sub(schedules[rank].Update(s.Loaded, s.Newest, byRank))
 				if Decide(s) == ActionLoad {
 					ordered[rank], loaded[rank] = now, newest
 				}
--- a/weights/window.go
+++ b/weights/window.go
@@ -3,34 +3,37 @@
 import "time"
 
 const (
-	// closeMargin is kept from the bound on replaced weights for the cancellation of a request that has not begun: the timer fires late on
-	// a small share of a core, the close of the connection has to reach the runner (12 ms between regions), and the name of the newer
-	// weights may have reached this process late (0.4 s at the most from an agent that lives).
-	closeMargin = 500 * time.Millisecond
-	// leastWait is the least that a request is expected to wait at a runner that is not known to be faster or slower: on drawn days
-	// with slow runners and bursts, waits of 1.6 s to 2.3 s were seen shortly before the bound, and 0.3 s for nine in ten on calm ones.
-	leastWait = time.Second
+	// cancelMargin is how long before the bound on replaced weights a request that has not begun is cancelled. It
+	// covers a timer that fires late on a small share of a core, the time for the closed connection to reach the
+	// runner (12 ms between regions), and the delay of the newer version's name on its way to this process (at most
+	// 0.4 s from a live agent).
+	cancelMargin = 500 * time.Millisecond
+	// minExpectedWait is the least time that a request is assumed to wait at a runner. Without slow runners and
+	// bursts nine in ten requests wait at most 0.3 s; with them, waits shortly before the bound reach 1.6 s to 2.3 s.
+	minExpectedWait = time.Second
 )
 
-// StartWindow is the time in which requests may begin on weights that newer ones have replaced. Its zero value has no end.
+// StartWindow is the time during which requests may begin on weights that a newer version has replaced. The zero
+// value never closes.
 type StartWindow struct {
-	// ReplacedAt is when the first newer version was named, the zero time where there is none.
+	// ReplacedAt is when the first newer version was named, the zero time if there is none.
 	ReplacedAt time.Time
-	// Bound is how long after that a request may begin, zero for as long as it likes.
+	// Bound is how long after ReplacedAt a request may begin; zero means no limit.
 	Bound time.Duration
 }
 
-// ClosesAt is when a request that has not begun is to be cancelled, since it might begin too late, the zero time where there is no end.
+// ClosesAt returns when to cancel a request that has not begun, because it might begin too late. It is the zero time
+// if the window never closes.
 func (w StartWindow) ClosesAt() time.Time {
 	if w.ReplacedAt.IsZero() || w.Bound <= 0 {
 		return time.Time{}
 	}
-	return w.ReplacedAt.Add(w.Bound - closeMargin)
+	return w.ReplacedAt.Add(w.Bound - cancelMargin)
 }
 
-// Admits reports whether a request that is sent now to a runner with the weights begins in time, where it is expected to wait there for
-// the given time.
+// Admits reports whether a request that is sent to the runner now and is expected to wait there for the given time
+// begins before the window closes.
 func (w StartWindow) Admits(now time.Time, wait time.Duration) bool {
 	end := w.ClosesAt()
-	return end.IsZero() || now.Add(max(wait, leastWait)).Before(end)
+	return end.IsZero() || now.Add(max(wait, minExpectedWait)).Before(end)
 }
