--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,3 +1,3 @@
-// Package membership decides which instances are there to be used, from the platform's lagging list,
-// from what instances announce of themselves, and from what requests meet.
+// Package membership decides which instances can be used. It combines the platform's instance list, which lags, with
+// what instances announce about themselves and with failures that requests run into.
 package membership
--- a/membership/members.go
+++ b/membership/members.go
@@ -11,99 +11,108 @@
 	"github.com/rillreach/rillreach/internal/hash"
 )
 
-// Member is what a process knows of one incarnation of an instance.
+// Member is the state of one incarnation of an instance, as this process knows it.
 type Member struct {
 	rillreach.Instance
 
-	// PlacementHash is the instance's hash for placement.
+	// PlacementHash is the hash of the instance's identifier, which ranks instances in placement.
 	PlacementHash uint64
 
-	hint      atomic.Pointer[LoadHint]
-	suspected atomic.Int64
-	failures  atomic.Int32
-	leaving   atomic.Bool
-	changes   *atomic.Uint64
+	loadHint atomic.Pointer[LoadHint]
+	// suspectedUntil is in Unix nanoseconds, zero if the member is not suspected.
+	suspectedUntil atomic.Int64
+	// failures is the number of consecutive failures.
+	failures atomic.Int32
+	leaving  atomic.Bool
+	// changeCount is the counter of the set that the member belongs to.
+	changeCount *atomic.Uint64
 }
 
-// LoadHint is what an agent last said of its own load; it lags.
+// LoadHint is an agent's last report of its own load. It lags behind the actual load.
 type LoadHint struct {
-	QueueWait   time.Duration `cbor:"1,keyasint,omitempty"`
-	PrefillRate float64       `cbor:"2,keyasint,omitempty"`
-	Backlog     float64       `cbor:"3,keyasint,omitempty"`
-	// HitRate is how often the engine's memory has lately held the state of a prompt that returned.
+	// QueueWait is the estimated time that a new request waits in the agent's queue.
+	QueueWait time.Duration `cbor:"1,keyasint,omitempty"`
+	// PrefillRate is the number of prompt tokens a second that the engine processes.
+	PrefillRate float64 `cbor:"2,keyasint,omitempty"`
+	// Backlog is the queued work, in tokens.
+	Backlog float64 `cbor:"3,keyasint,omitempty"`
+	// HitRate is a moving average of how often the state of a returning prompt was still in the engine's memory.
 	HitRate float64 `cbor:"4,keyasint,omitempty"`
-	// LinkRate is what the link to the stores carries, in bytes a second.
+	// LinkRate is the throughput of the slowest link to a store, in bytes a second.
 	LinkRate float64 `cbor:"5,keyasint,omitempty"`
-	// BytesPerToken is the size of a token's state as it was last seen.
+	// BytesPerToken is the size of one token's state in the last export.
 	BytesPerToken float64 `cbor:"6,keyasint,omitempty"`
-	// ReceivedAt is when the hint came.
+	// ReceivedAt is when this process received the hint.
 	ReceivedAt time.Time `cbor:"-"`
 }
 
-// LoadHint returns the last hint, or the zero hint.
+// LoadHint returns the latest hint, or the zero value if there is none.
 func (m *Member) LoadHint() LoadHint {
-	if h := m.hint.Load(); h != nil {
+	if h := m.loadHint.Load(); h != nil {
 		return *h
 	}
 	return LoadHint{}
 }
 
-// SetLoadHint keeps a hint unless a later one is known.
+// SetLoadHint stores a hint unless a later one is already known.
 func (m *Member) SetLoadHint(h LoadHint) {
 	for {
-		old := m.hint.Load()
+		old := m.loadHint.Load()
 		if old != nil && old.ReceivedAt.After(h.ReceivedAt) {
 			return
 		}
-		if m.hint.CompareAndSwap(old, &h) {
+		if m.loadHint.CompareAndSwap(old, &h) {
 			return
 		}
 	}
 }
 
 const (
-	firstSuspicion = time.Second
-	maxSuspicion   = 30 * time.Second
+	// initialSuspicion is how long a member is suspected after its first failure.
+	initialSuspicion = time.Second
+	// maxSuspicion is the longest time that a member is suspected after any number of failures.
+	maxSuspicion = 30 * time.Second
 )
 
-// Suspect keeps the member out of use for a time that doubles with each failure in a row.
+// Suspect marks the member as suspected and returns for how long. The time doubles with each consecutive failure, up to
+// maxSuspicion.
 func (m *Member) Suspect(now time.Time) time.Duration {
-	wait := firstSuspicion << min(m.failures.Add(1)-1, 5)
-	wait = min(wait, maxSuspicion)
-	m.changes.Add(1)
-	m.suspected.Store(now.Add(wait).UnixNano())
-	return wait
+	duration := initialSuspicion << min(m.failures.Add(1)-1, 5) // five doublings exceed maxSuspicion
+	duration = min(duration, maxSuspicion)
+	m.changeCount.Add(1)
+	m.suspectedUntil.Store(now.Add(duration).UnixNano())
+	return duration
 }
 
-// ClearSuspicion ends the suspicion.
+// ClearSuspicion ends the suspicion and resets the count of consecutive failures.
 func (m *Member) ClearSuspicion() {
 	m.failures.Store(0)
-	m.suspected.Store(0)
-	m.changes.Add(1)
+	m.suspectedUntil.Store(0)
+	m.changeCount.Add(1)
 }
 
-// Suspected reports whether the member is to be kept out of use.
+// Suspected reports whether the member must not be used at the given time.
 func (m *Member) Suspected(now time.Time) bool {
-	return now.UnixNano() < m.suspected.Load()
+	return now.UnixNano() < m.suspectedUntil.Load()
 }
 
-// Failing reports whether the member's last use failed, whether or not it is still kept out of use.
+// Failing reports whether the last use of the member failed, even if the suspicion has expired since.
 func (m *Member) Failing() bool {
 	return m.failures.Load() > 0
 }
 
-func (m *Member) leave() {
+func (m *Member) markLeaving() {
 	if !m.leaving.Swap(true) {
-		m.changes.Add(1)
+		m.changeCount.Add(1)
 	}
 }
 
-// IsLeaving reports whether the platform or the instance itself has said that it leaves.
+// IsLeaving reports whether the platform or the instance itself has announced that it shuts down.
 func (m *Member) IsLeaving() bool {
 	return m.leaving.Load()
 }
 
-// Group names a set of members that can stand in for each other.
+// Group identifies a set of interchangeable members.
 type Group struct {
 	Role    rillreach.Role
 	Side    rillreach.Side
@@ -112,26 +121,28 @@
 	Service rillreach.ServiceID
 }
 
-// Members is the set of known instances. A change makes new slices, so that a reader never holds the lock for long.
+// Members is the set of known instances. Changes copy the slices of groups, so that readers can use them without the
+// lock.
 type Members struct {
-	changes atomic.Uint64
+	changeCount atomic.Uint64
 
-	mu     sync.RWMutex
-	byID   map[rillreach.InstanceID]*Member
-	gone   map[rillreach.InstanceID]rillreach.Incarnation
-	groups map[Group][]*Member
+	mu   sync.RWMutex
+	byID map[rillreach.InstanceID]*Member
+	// removed holds the last incarnation of each removed instance, so that late announcements don't add it again.
+	removed map[rillreach.InstanceID]rillreach.Incarnation
+	groups  map[Group][]*Member
 }
 
-// New returns an empty set.
+// New returns an empty set of members.
 func New() *Members {
 	return &Members{
-		byID:   map[rillreach.InstanceID]*Member{},
-		gone:   map[rillreach.InstanceID]rillreach.Incarnation{},
-		groups: map[Group][]*Member{},
+		byID:    map[rillreach.InstanceID]*Member{},
+		removed: map[rillreach.InstanceID]rillreach.Incarnation{},
+		groups:  map[Group][]*Member{},
 	}
 }
 
-// Apply takes one object of the platform's list into the set.
+// Apply applies a change of one object in the platform's instance list.
 func (s *Members) Apply(object rillreach.Object) error {
 	if object.Deleted {
 		s.remove(rillreach.InstanceID(object.Name), object.Value)
@@ -145,12 +156,13 @@
 	return nil
 }
 
-// Upsert takes in what an instance, or the platform, says of it; word of an older incarnation changes nothing.
-// Incarnations are time-ordered identifiers, so that a greater one started later.
+// Upsert adds or updates an instance from its own announcement or from the platform's list. Data about an older
+// incarnation than the known one is ignored. Incarnations are time-ordered identifiers, so the greater one started
+// later.
 func (s *Members) Upsert(instance rillreach.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if instance.Incarnation <= s.gone[instance.ID] {
+	if instance.Incarnation <= s.removed[instance.ID] {
 		return
 	}
 	old := s.byID[instance.ID]
@@ -165,50 +177,50 @@
 }
 
 func (s *Members) newMember(instance rillreach.Instance) *Member {
-	m := &Member{Instance: instance, PlacementHash: hash.String(string(instance.ID)), changes: &s.changes}
+	m := &Member{Instance: instance, PlacementHash: hash.String(string(instance.ID)), changeCount: &s.changeCount}
 	m.leaving.Store(instance.Leaving)
 	return m
 }
 
-// update takes newer word of the same incarnation; leaving is never taken back within one.
+// update applies new data about the same incarnation. An incarnation that is leaving stays so.
 func (s *Members) update(old *Member, instance rillreach.Instance) {
 	if instance.Leaving {
-		old.leave()
+		old.markLeaving()
 	}
 	if slices.Equal(old.Versions, instance.Versions) && old.Address == instance.Address {
 		return
 	}
 	m := s.newMember(instance)
 	m.leaving.Store(instance.Leaving || old.leaving.Load())
-	m.hint.Store(old.hint.Load())
+	m.loadHint.Store(old.loadHint.Load())
 	s.replace(old, m)
 }
 
-// MarkLeaving marks one incarnation as leaving.
+// MarkLeaving marks an instance as leaving if it still runs the given incarnation.
 func (s *Members) MarkLeaving(id rillreach.InstanceID, incarnation rillreach.Incarnation) {
 	if m := s.Find(id); m != nil && m.Incarnation == incarnation {
-		m.leave()
+		m.markLeaving()
 	}
 }
 
-// ChangeCount counts the changes of the set, of its members' leaving and of their suspicion.
-func (s *Members) ChangeCount() uint64 { return s.changes.Load() }
+// ChangeCount returns a counter that grows whenever the set changes or a member becomes leaving, suspected or cleared.
+func (s *Members) ChangeCount() uint64 { return s.changeCount.Load() }
 
-// Find returns the member with the identifier, or nil.
+// Find returns the member with the identifier, or nil if there is none.
 func (s *Members) Find(id rillreach.InstanceID) *Member {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.byID[id]
 }
 
-// Group returns the members of a group in the order of their identifiers; the slice must not be changed.
+// Group returns the members of a group, sorted by identifier. The caller must not modify the slice.
 func (s *Members) Group(g Group) []*Member {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.groups[g]
 }
 
-// All returns every member.
+// All returns all members in no particular order.
 func (s *Members) All() []*Member {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -219,27 +231,29 @@
 	return all
 }
 
-func (s *Members) remove(id rillreach.InstanceID, last []byte) {
+// remove removes an instance that the platform has deleted, unless lastValue, its last object, is of an older
+// incarnation.
+func (s *Members) remove(id rillreach.InstanceID, lastValue []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.byID[id]
 	if old == nil {
 		return
 	}
-	if instance, err := rillreach.DecodeInstance(last); err == nil && instance.Incarnation < old.Incarnation {
+	if instance, err := rillreach.DecodeInstance(lastValue); err == nil && instance.Incarnation < old.Incarnation {
 		return
 	}
-	s.gone[id] = old.Incarnation
+	s.removed[id] = old.Incarnation
 	s.replace(old, nil)
 }
 
-// replace swaps one member for another in the set and in its groups.
+// replace replaces a member in the set and in its groups. Either side may be nil, to add or to remove a member.
 func (s *Members) replace(old, m *Member) {
-	s.changes.Add(1)
+	s.changeCount.Add(1)
 	if old != nil {
 		delete(s.byID, old.ID)
 		for _, g := range groupsOf(old.Instance) {
-			s.groups[g] = without(s.groups[g], old)
+			s.groups[g] = removeMember(s.groups[g], old)
 		}
 	}
 	if m == nil {
@@ -247,11 +261,11 @@
 	}
 	s.byID[m.ID] = m
 	for _, g := range groupsOf(m.Instance) {
-		s.groups[g] = with(s.groups[g], m)
+		s.groups[g] = insertMember(s.groups[g], m)
 	}
 }
 
-// groupsOf are the groups that an instance stands in.
+// groupsOf returns the groups that an instance belongs to.
 func groupsOf(i rillreach.Instance) []Group {
 	if i.Role == rillreach.RoleEntry {
 		return []Group{{Role: i.Role}}
@@ -269,17 +283,19 @@
 	return groups
 }
 
-func without(members []*Member, m *Member) []*Member {
-	kept := make([]*Member, 0, len(members))
+// removeMember returns a copy of the slice without the member.
+func removeMember(members []*Member, m *Member) []*Member {
+	remaining := make([]*Member, 0, len(members))
 	for _, other := range members {
 		if other != m {
-			kept = append(kept, other)
+			remaining = append(remaining, other)
 		}
 	}
-	return kept
+	return remaining
 }
 
-func with(members []*Member, m *Member) []*Member {
+// insertMember returns a copy of the sorted slice with the member inserted.
+func insertMember(members []*Member, m *Member) []*Member {
 	at, _ := slices.BinarySearchFunc(members, m, func(a, b *Member) int {
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
