--- a/replicate/copy.go
+++ b/replicate/copy.go
@@ -9,27 +9,27 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Watermark says how far a copy of one kind goes: it holds everything up to Version, which was all there was at Time of the
-// platform's clock.
+// Watermark is the state that a replica of one kind has reached: it has every change up to Version, and Version was the
+// platform's latest at Time by the platform's clock.
 type Watermark struct {
 	Kind    rillreach.Kind `cbor:"1,keyasint"`
 	Version uint64         `cbor:"2,keyasint"`
 	Time    time.Time      `cbor:"3,keyasint"`
 }
 
-// Delta carries a copy from one mark to another.
+// Delta moves a replica from one watermark to another.
 type Delta struct {
-	// From is the version that a receiver must hold already; a snapshot needs none.
+	// From is the version that the receiver must already have reached. A snapshot can be merged at any version.
 	From uint64 `cbor:"1,keyasint"`
-	// To is the mark that the receiver then has.
+	// To is the receiver's watermark after the merge.
 	To Watermark `cbor:"2,keyasint"`
-	// Snapshot says that Objects are all there are.
+	// Snapshot means that Objects lists all existing objects.
 	Snapshot bool `cbor:"3,keyasint,omitempty"`
-	// Objects are those that changed.
+	// Objects are the objects that changed, or all existing ones in a snapshot.
 	Objects []rillreach.Object `cbor:"4,keyasint,omitempty"`
 }
 
-// Check reports the first fault of the delta.
+// Check returns an error if the delta is inconsistent.
 func (d Delta) Check() error {
 	if d.To.Kind == "" {
 		return errors.New("delta has no kind")
@@ -45,88 +45,89 @@
 	return nil
 }
 
-// MergeResult says what became of a delta.
+// MergeResult is the outcome of merging a delta.
 type MergeResult string
 
-// The verdicts on a delta.
+// The results of merging a delta.
 const (
-	// MergeApplied says that objects were new.
+	// MergeApplied means that the delta changed objects.
 	MergeApplied MergeResult = "applied"
-	// MergeConfirmed says that nothing was new but the time.
+	// MergeConfirmed means that no object changed, only the watermark advanced.
 	MergeConfirmed MergeResult = "confirmed"
-	// MergeStale says that the copy was at least as far.
+	// MergeStale means that the replica had already reached the delta's watermark.
 	MergeStale MergeResult = "stale"
-	// MergeGap says that something is missing before the delta.
+	// MergeGap means that the replica lacks changes before the delta.
 	MergeGap MergeResult = "gap"
 )
 
-// tombstones is how many removals a copy remembers for others.
-const tombstones = 4096
+// maxTombstones is the number of removals that a replica keeps in order to send them to other replicas.
+const maxTombstones = 4096
 
-// Replica is a process's copy of some kinds of objects.
+// Replica is a process's replica of the platform's objects of some kinds.
 type Replica struct {
-	kinds map[rillreach.Kind]*kindCopy
+	kinds map[rillreach.Kind]*kindReplica
 }
 
-type kindCopy struct {
-	mu      sync.RWMutex
-	mark    Watermark
-	objects map[string]rillreach.Object
-	removed []rillreach.Object
-	// floor is the version below which removals have been forgotten.
-	floor uint64
-	apply func(rillreach.Object)
-	moved func(Watermark)
+// kindReplica is the replica of one kind.
+type kindReplica struct {
+	mu         sync.RWMutex
+	watermark  Watermark
+	objects    map[string]rillreach.Object
+	tombstones []rillreach.Object
+	// tombstoneFloor is the version below which tombstones may be missing.
+	tombstoneFloor uint64
+	onChange       func(rillreach.Object)
+	onAdvance      func(Watermark)
 }
 
-// NewReplica returns an empty copy.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
-	return &Replica{kinds: map[rillreach.Kind]*kindCopy{}}
+	return &Replica{kinds: map[rillreach.Kind]*kindReplica{}}
 }
 
-// AddKind adds a kind. The function apply gets each object as it changes, in order; moved, which may be nil, gets each
-// new mark after that. It must be called before the copy is used.
-func (c *Replica) AddKind(kind rillreach.Kind, apply func(rillreach.Object), moved func(Watermark)) {
-	c.kinds[kind] = &kindCopy{
-		mark:    Watermark{Kind: kind},
-		objects: map[string]rillreach.Object{},
-		apply:   apply,
-		moved:   moved,
+// AddKind adds a kind to replicate. onChange is called with each changed object, in order; onAdvance, which may be
+// nil, is called with the new watermark after them. Add all kinds before using the replica.
+func (r *Replica) AddKind(kind rillreach.Kind, onChange func(rillreach.Object), onAdvance func(Watermark)) {
+	r.kinds[kind] = &kindReplica{
+		watermark: Watermark{Kind: kind},
+		objects:   map[string]rillreach.Object{},
+		onChange:  onChange,
+		onAdvance: onAdvance,
 	}
 }
 
-// Kinds returns the kinds that are followed.
-func (c *Replica) Kinds() []rillreach.Kind {
-	kinds := make([]rillreach.Kind, 0, len(c.kinds))
-	for kind := range c.kinds {
+// Kinds returns the replicated kinds.
+func (r *Replica) Kinds() []rillreach.Kind {
+	kinds := make([]rillreach.Kind, 0, len(r.kinds))
+	for kind := range r.kinds {
 		kinds = append(kinds, kind)
 	}
 	return kinds
 }
 
-// Watermark returns how far the copy of a kind goes.
-func (c *Replica) Watermark(kind rillreach.Kind) Watermark {
-	k := c.kinds[kind]
+// Watermark returns the watermark of a kind.
+func (r *Replica) Watermark(kind rillreach.Kind) Watermark {
+	k := r.kinds[kind]
 	if k == nil {
 		return Watermark{Kind: kind}
 	}
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	return k.mark
+	return k.watermark
 }
 
-// Watermarks returns how far the copy goes, for every kind.
-func (c *Replica) Watermarks() []Watermark {
-	marks := make([]Watermark, 0, len(c.kinds))
-	for kind := range c.kinds {
-		marks = append(marks, c.Watermark(kind))
+// Watermarks returns the watermarks of all kinds.
+func (r *Replica) Watermarks() []Watermark {
+	watermarks := make([]Watermark, 0, len(r.kinds))
+	for kind := range r.kinds {
+		watermarks = append(watermarks, r.Watermark(kind))
 	}
-	return marks
+	return watermarks
 }
 
-// Objects returns the objects of a kind that exist.
-func (c *Replica) Objects(kind rillreach.Kind) []rillreach.Object {
-	k := c.kinds[kind]
+// Objects returns the existing objects of a kind.
+func (r *Replica) Objects(kind rillreach.Kind) []rillreach.Object {
+	k := r.kinds[kind]
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	objects := make([]rillreach.Object, 0, len(k.objects))
@@ -136,9 +137,9 @@
 	return objects
 }
 
-// Merge takes a delta in.
-func (c *Replica) Merge(d Delta) MergeResult {
-	k := c.kinds[d.To.Kind]
+// Merge applies a delta unless it is stale or changes before it are missing.
+func (r *Replica) Merge(d Delta) MergeResult {
+	k := r.kinds[d.To.Kind]
 	if k == nil {
 		return MergeStale
 	}
@@ -147,29 +148,31 @@
 	return k.merge(d)
 }
 
-// DeltaSince returns what a copy with the mark lacks, and whether that is anything.
-func (c *Replica) DeltaSince(mark Watermark) (Delta, bool) {
-	k := c.kinds[mark.Kind]
+// DeltaSince returns the delta that a replica with the given watermark lacks. It returns false if there is none.
+func (r *Replica) DeltaSince(watermark Watermark) (Delta, bool) {
+	k := r.kinds[watermark.Kind]
 	if k == nil {
 		return Delta{}, false
 	}
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	if !k.ahead(mark) {
+	if !k.isAheadOf(watermark) {
 		return Delta{}, false
 	}
-	return k.since(mark.Version), true
+	return k.deltaSince(watermark.Version), true
 }
 
-func (k *kindCopy) ahead(mark Watermark) bool {
-	if k.mark.Version != mark.Version {
-		return k.mark.Version > mark.Version
+// isAheadOf reports whether the replica is newer than the watermark, in version or time.
+func (k *kindReplica) isAheadOf(watermark Watermark) bool {
+	if k.watermark.Version != watermark.Version {
+		return k.watermark.Version > watermark.Version
 	}
-	return k.mark.Time.After(mark.Time)
+	return k.watermark.Time.After(watermark.Time)
 }
 
-func (k *kindCopy) since(version uint64) Delta {
-	d := Delta{From: version, To: k.mark, Snapshot: version < k.floor || version == 0}
+// deltaSince returns the changes after a version, or a snapshot if tombstones after it may be missing.
+func (k *kindReplica) deltaSince(version uint64) Delta {
+	d := Delta{From: version, To: k.watermark, Snapshot: version < k.tombstoneFloor || version == 0}
 	for _, o := range k.objects {
 		if d.Snapshot || o.Version > version {
 			d.Objects = append(d.Objects, o)
@@ -178,7 +181,7 @@
 	if d.Snapshot {
 		return d
 	}
-	for _, o := range k.removed {
+	for _, o := range k.tombstones {
 		if o.Version > version {
 			d.Objects = append(d.Objects, o)
 		}
@@ -186,21 +189,21 @@
 	return d
 }
 
-func (k *kindCopy) merge(d Delta) MergeResult {
+func (k *kindReplica) merge(d Delta) MergeResult {
 	switch {
-	case d.To.Version < k.mark.Version, !k.aheadOf(d):
+	case d.To.Version < k.watermark.Version, !k.isBehind(d):
 		return MergeStale
-	case !d.Snapshot && d.From > k.mark.Version:
+	case !d.Snapshot && d.From > k.watermark.Version:
 		return MergeGap
 	}
-	changed := k.takeAll(d.Objects)
+	changed := k.applyObjects(d.Objects)
 	if d.Snapshot {
 		changed = k.removeMissing(d) || changed
-		k.floor = max(k.floor, d.To.Version)
+		k.tombstoneFloor = max(k.tombstoneFloor, d.To.Version)
 	}
-	k.mark = Watermark{Kind: k.mark.Kind, Version: d.To.Version, Time: later(k.mark.Time, d.To.Time)}
-	if k.moved != nil {
-		k.moved(k.mark)
+	k.watermark = Watermark{Kind: k.watermark.Kind, Version: d.To.Version, Time: latest(k.watermark.Time, d.To.Time)}
+	if k.onAdvance != nil {
+		k.onAdvance(k.watermark)
 	}
 	if changed {
 		return MergeApplied
@@ -208,61 +211,62 @@
 	return MergeConfirmed
 }
 
-// aheadOf reports whether the delta goes further than the copy.
-func (k *kindCopy) aheadOf(d Delta) bool {
-	return d.To.Version > k.mark.Version || d.To.Time.After(k.mark.Time)
+// isBehind reports whether the delta is newer than the replica, in version or time.
+func (k *kindReplica) isBehind(d Delta) bool {
+	return d.To.Version > k.watermark.Version || d.To.Time.After(k.watermark.Time)
 }
 
-func (k *kindCopy) takeAll(objects []rillreach.Object) bool {
+// applyObjects applies the objects that are newer than the replica and reports whether there were any.
+func (k *kindReplica) applyObjects(objects []rillreach.Object) bool {
 	changed := false
 	for _, o := range objects {
-		if o.Version > k.mark.Version && o.Version > k.objects[o.Name].Version {
-			k.take(o)
+		if o.Version > k.watermark.Version && o.Version > k.objects[o.Name].Version {
+			k.applyObject(o)
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (k *kindCopy) take(o rillreach.Object) {
+func (k *kindReplica) applyObject(o rillreach.Object) {
 	if o.Deleted {
 		delete(k.objects, o.Name)
-		k.remember(o)
+		k.addTombstone(o)
 	} else {
 		k.objects[o.Name] = o
 	}
-	k.apply(o)
+	k.onChange(o)
 }
 
-// remember keeps a removal for others, and forgets the oldest one when there are too many.
-func (k *kindCopy) remember(o rillreach.Object) {
-	k.removed = append(k.removed, o)
-	if len(k.removed) > tombstones {
-		k.floor = max(k.floor, k.removed[0].Version+1)
-		k.removed = append(k.removed[:0:0], k.removed[1:]...)
+// addTombstone keeps a removal for other replicas and discards the oldest one beyond maxTombstones.
+func (k *kindReplica) addTombstone(o rillreach.Object) {
+	k.tombstones = append(k.tombstones, o)
+	if len(k.tombstones) > maxTombstones {
+		k.tombstoneFloor = max(k.tombstoneFloor, k.tombstones[0].Version+1)
+		k.tombstones = append(k.tombstones[:0:0], k.tombstones[1:]...)
 	}
 }
 
-// removeMissing removes the objects that a snapshot no longer holds.
-func (k *kindCopy) removeMissing(d Delta) bool {
-	there := make(map[string]struct{}, len(d.Objects))
+// removeMissing removes the objects that a snapshot doesn't list.
+func (k *kindReplica) removeMissing(d Delta) bool {
+	present := make(map[string]struct{}, len(d.Objects))
 	for _, o := range d.Objects {
-		there[o.Name] = struct{}{}
+		present[o.Name] = struct{}{}
 	}
 	changed := false
 	for name, o := range k.objects {
-		if _, ok := there[name]; ok {
+		if _, ok := present[name]; ok {
 			continue
 		}
 		o.Deleted = true
 		o.Version = d.To.Version
-		k.take(o)
+		k.applyObject(o)
 		changed = true
 	}
 	return changed
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
--- a/replicate/tree.go
+++ b/replicate/tree.go
@@ -9,136 +9,141 @@
 )
 
 const (
-	// WatchersPerZone is how many processes of an availability zone watch the platform.
+	// WatchersPerZone is the number of processes in an availability zone that watch the platform.
 	WatchersPerZone = 2
-	// Fanout is how many processes one process sends a change to.
+	// Fanout is the number of processes that a process sends a change to in one tree.
 	Fanout = 8
-	// PartnersInZone is how many processes of its own zone a process compares marks with.
+	// PartnersInZone is the number of processes in its own zone that a process compares watermarks with.
 	PartnersInZone = 3
-	// PartnersInOtherZones is how many processes of other zones a process compares marks with.
+	// PartnersInOtherZones is the number of processes in other zones that a process compares watermarks with.
 	PartnersInOtherZones = 1
 )
 
-// Node is a process as the spreading of objects sees it.
+// Node is a process that takes part in replication.
 type Node struct {
 	ID   rillreach.InstanceID
 	Zone rillreach.ZoneID
-	// Entry says that the process may be a watcher before others.
+	// Entry means that the process is an entry. Entries are preferred as watchers.
 	Entry bool
-	// Usable says that the process is neither leaving nor suspected.
+	// Usable means that the process is neither leaving nor failing.
 	Usable bool
 }
 
-// Plan is one process's part in the spreading.
+// Plan is the role of one process in replication.
 type Plan struct {
-	// IsWatcher says that the process watches the platform, Watchers are all that do so in its zone.
+	// IsWatcher means that the process watches the platform. Watchers are all processes in its zone that do.
 	IsWatcher bool
 	Watchers  []rillreach.InstanceID
-	// Children are the processes to which it sends changes.
+	// Children are the processes that it sends changes to.
 	Children []rillreach.InstanceID
-	// Partners are the processes with which it compares marks.
+	// Partners are the processes that it compares watermarks with.
 	Partners []rillreach.InstanceID
 }
 
-// MakePlan computes the part of the process self among the nodes, itself included. A turn redraws the partners.
-func MakePlan(self rillreach.InstanceID, nodes []Node, turn uint64) Plan {
-	at := slices.IndexFunc(nodes, func(n Node) bool { return n.ID == self })
-	if at < 0 {
+// MakePlan computes the plan of the process self, which has to be one of the nodes. A process that is not watches the
+// platform and has no children or partners. Each round selects other partners.
+func MakePlan(self rillreach.InstanceID, nodes []Node, round uint64) Plan {
+	index := slices.IndexFunc(nodes, func(n Node) bool { return n.ID == self })
+	if index < 0 {
 		return Plan{IsWatcher: true}
 	}
-	zone := nodes[at].Zone
-	near := inZone(nodes, zone)
-	return makePlan(self, nodes, zone, near, chooseWatchers(zone, near), turn)
+	zone := nodes[index].Zone
+	zoneNodes := usableInZone(nodes, zone)
+	return makePlan(self, nodes, zone, zoneNodes, chooseWatchers(zone, zoneNodes), round)
 }
 
-// MakePlans computes the parts of all nodes.
-func MakePlans(nodes []Node, turn uint64) []Plan {
-	near, watchers := map[rillreach.ZoneID][]Node{}, map[rillreach.ZoneID][]rillreach.InstanceID{}
+// MakePlans computes the plans of all nodes.
+func MakePlans(nodes []Node, round uint64) []Plan {
+	zoneNodes, watchers := map[rillreach.ZoneID][]Node{}, map[rillreach.ZoneID][]rillreach.InstanceID{}
 	plans := make([]Plan, len(nodes))
 	for i, n := range nodes {
-		if near[n.Zone] == nil {
-			near[n.Zone] = inZone(nodes, n.Zone)
-			watchers[n.Zone] = chooseWatchers(n.Zone, near[n.Zone])
+		if zoneNodes[n.Zone] == nil {
+			zoneNodes[n.Zone] = usableInZone(nodes, n.Zone)
+			watchers[n.Zone] = chooseWatchers(n.Zone, zoneNodes[n.Zone])
 		}
-		plans[i] = makePlan(n.ID, nodes, n.Zone, near[n.Zone], watchers[n.Zone], turn)
+		plans[i] = makePlan(n.ID, nodes, n.Zone, zoneNodes[n.Zone], watchers[n.Zone], round)
 	}
 	return plans
 }
 
-func makePlan(self rillreach.InstanceID, nodes []Node, zone rillreach.ZoneID, near []Node, watchers []rillreach.InstanceID, turn uint64) Plan {
+func makePlan(self rillreach.InstanceID, nodes []Node, zone rillreach.ZoneID, zoneNodes []Node, watchers []rillreach.InstanceID, round uint64) Plan {
 	return Plan{
 		IsWatcher: slices.Contains(watchers, self),
 		Watchers:  watchers,
-		Children:  children(self, near, watchers),
-		Partners:  partners(self, nodes, zone, turn),
+		Children:  children(self, zoneNodes, watchers),
+		Partners:  choosePartners(self, nodes, zone, round),
 	}
 }
 
-func inZone(nodes []Node, zone rillreach.ZoneID) []Node {
-	var near []Node
+// usableInZone returns the usable nodes of a zone, sorted by identifier.
+func usableInZone(nodes []Node, zone rillreach.ZoneID) []Node {
+	var usable []Node
 	for _, n := range nodes {
 		if n.Zone == zone && n.Usable {
-			near = append(near, n)
+			usable = append(usable, n)
 		}
 	}
-	slices.SortFunc(near, func(a, b Node) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	return near
+	slices.SortFunc(usable, func(a, b Node) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	return usable
 }
 
-// chooseWatchers takes the first by rank for the zone, entries before agents.
-func chooseWatchers(zone rillreach.ZoneID, near []Node) []rillreach.InstanceID {
-	ranked := byRank(near, hash.String(string(zone)))
-	slices.SortStableFunc(ranked, func(a, b Node) int { return boolOrder(b.Entry) - boolOrder(a.Entry) })
-	return idsOf(ranked, WatchersPerZone)
+// chooseWatchers returns the highest-ranked nodes of a zone, entries before agents.
+func chooseWatchers(zone rillreach.ZoneID, zoneNodes []Node) []rillreach.InstanceID {
+	ranked := rankByHash(zoneNodes, hash.String(string(zone)))
+	slices.SortStableFunc(ranked, func(a, b Node) int { return boolToInt(b.Entry) - boolToInt(a.Entry) })
+	return firstIDs(ranked, WatchersPerZone)
 }
 
-// children are the processes below self in the trees of the zone's watchers; each tree is a heap over the zone's
-// processes in one order, with its watcher moved to the front.
-func children(self rillreach.InstanceID, near []Node, watchers []rillreach.InstanceID) []rillreach.InstanceID {
-	var below []rillreach.InstanceID
+// children returns the children of self in the trees of all watchers of its zone.
+func children(self rillreach.InstanceID, zoneNodes []Node, watchers []rillreach.InstanceID) []rillreach.InstanceID {
+	var ids []rillreach.InstanceID
 	for _, root := range watchers {
-		for _, id := range childrenUnder(self, root, near) {
-			if !slices.Contains(below, id) {
-				below = append(below, id)
+		for _, id := range childrenInTree(self, root, zoneNodes) {
+			if !slices.Contains(ids, id) {
+				ids = append(ids, id)
 			}
 		}
 	}
-	return below
+	return ids
 }
 
-func childrenUnder(self, root rillreach.InstanceID, near []Node) []rillreach.InstanceID {
-	start := indexOf(near, root)
-	at := indexOf(near, self)
-	if start < 0 || at < 0 {
+// childrenInTree returns the children of self in one watcher's tree: a heap with Fanout children per node, laid out
+// over the zone's nodes in order of identifier, rotated so that the root comes first.
+func childrenInTree(self, root rillreach.InstanceID, zoneNodes []Node) []rillreach.InstanceID {
+	rootIndex := indexOf(zoneNodes, root)
+	index := indexOf(zoneNodes, self)
+	if rootIndex < 0 || index < 0 {
 		return nil
 	}
-	count := len(near)
-	position := (at - start + count) % count
-	var below []rillreach.InstanceID
+	count := len(zoneNodes)
+	position := (index - rootIndex + count) % count
+	var ids []rillreach.InstanceID
 	for child := position*Fanout + 1; child <= position*Fanout+Fanout && child < count; child++ {
-		below = append(below, near[(start+child)%count].ID)
+		ids = append(ids, zoneNodes[(rootIndex+child)%count].ID)
 	}
-	return below
+	return ids
 }
 
-func partners(self rillreach.InstanceID, nodes []Node, zone rillreach.ZoneID, turn uint64) []rillreach.InstanceID {
-	var near, far []Node
+// choosePartners selects partners pseudo-randomly, seeded by self and the round.
+func choosePartners(self rillreach.InstanceID, nodes []Node, zone rillreach.ZoneID, round uint64) []rillreach.InstanceID {
+	var sameZone, otherZones []Node
 	for _, n := range nodes {
 		switch {
 		case n.ID == self:
 		case n.Zone == zone:
-			near = append(near, n)
+			sameZone = append(sameZone, n)
 		default:
-			far = append(far, n)
+			otherZones = append(otherZones, n)
 		}
 	}
-	salt := hash.Mix(hash.String(string(self)), turn)
-	return append(idsOf(byRank(near, salt), PartnersInZone), idsOf(byRank(far, salt), PartnersInOtherZones)...)
+	seed := hash.Mix(hash.String(string(self)), round)
+	return append(firstIDs(rankByHash(sameZone, seed), PartnersInZone), firstIDs(rankByHash(otherZones, seed), PartnersInOtherZones)...)
 }
 
-func byRank(nodes []Node, salt uint64) []Node {
+// rankByHash sorts nodes by their rendezvous hash with the seed, highest first.
+func rankByHash(nodes []Node, seed uint64) []Node {
 	ranked := slices.Clone(nodes)
-	weight := func(n Node) uint64 { return hash.Mix(salt, hash.String(string(n.ID))) }
+	weight := func(n Node) uint64 { return hash.Mix(seed, hash.String(string(n.ID))) }
 	slices.SortFunc(ranked, func(a, b Node) int {
 		if wa, wb := weight(a), weight(b); wa != wb {
 			if wa > wb {
@@ -151,9 +156,9 @@
 	return ranked
 }
 
-func idsOf(nodes []Node, most int) []rillreach.InstanceID {
-	ids := make([]rillreach.InstanceID, 0, min(len(nodes), most))
-	for _, n := range nodes[:min(len(nodes), most)] {
+func firstIDs(nodes []Node, limit int) []rillreach.InstanceID {
+	ids := make([]rillreach.InstanceID, 0, min(len(nodes), limit))
+	for _, n := range nodes[:min(len(nodes), limit)] {
 		ids = append(ids, n.ID)
 	}
 	return ids
@@ -163,18 +168,18 @@
 	return slices.IndexFunc(nodes, func(n Node) bool { return n.ID == id })
 }
 
-func boolOrder(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// ChildrenInTree are the processes below self in its zone's tree with the given root.
+// ChildrenInTree returns the children of self in the tree of its zone that has the given root.
 func ChildrenInTree(self, root rillreach.InstanceID, nodes []Node) []rillreach.InstanceID {
-	at := indexOf(nodes, self)
-	if at < 0 {
+	index := indexOf(nodes, self)
+	if index < 0 {
 		return nil
 	}
-	return childrenUnder(self, root, inZone(nodes, nodes[at].Zone))
+	return childrenInTree(self, root, usableInZone(nodes, nodes[index].Zone))
 }
--- a/replicate/tree_test.go
+++ b/replicate/tree_test.go
@@ -24,8 +24,8 @@
 	return list
 }
 
-// reached follows the children from a process's plan, and returns how often each process is sent a change.
-func reached(list []Node, root rillreach.InstanceID) map[rillreach.InstanceID]int {
+// deliveries follows the plans from the root down and returns how often each process receives a change.
+func deliveries(list []Node, root rillreach.InstanceID) map[rillreach.InstanceID]int {
 	times := map[rillreach.InstanceID]int{}
 	next := []rillreach.InstanceID{root}
 	for len(next) > 0 {
@@ -50,7 +50,7 @@
 }
 
 func TestPlan(t *testing.T) {
-	t.Run("a zone has its watchers, and they are entries", func(t *testing.T) {
+	t.Run("a zone has WatchersPerZone watchers, all of them entries", func(t *testing.T) {
 		list := nodes(60, 3, 9)
 		for _, zone := range []rillreach.ZoneID{"z0", "z1", "z2"} {
 			watchers := watchersOf(list, zone)
@@ -60,26 +60,26 @@
 			}
 		}
 	})
-	t.Run("a zone without entries is watched by agents", func(t *testing.T) {
+	t.Run("agents watch a zone without entries", func(t *testing.T) {
 		assert.Len(t, watchersOf(nodes(9, 3, 0), "z2"), WatchersPerZone)
 	})
-	t.Run("a process that nobody lists watches for itself", func(t *testing.T) {
+	t.Run("a process that is not listed watches the platform", func(t *testing.T) {
 		assert.True(t, MakePlan("alone", nodes(4, 1, 1), 1).IsWatcher)
 	})
-	t.Run("no more processes are sent to than the trees allow", func(t *testing.T) {
+	t.Run("a process has at most Fanout children per tree", func(t *testing.T) {
 		list := nodes(300, 1, 50)
 		for _, n := range list {
 			assert.LessOrEqual(t, len(MakePlan(n.ID, list, 1).Children), Fanout*WatchersPerZone)
 		}
 	})
-	t.Run("a turn draws other partners", func(t *testing.T) {
+	t.Run("another round selects other partners", func(t *testing.T) {
 		list := nodes(300, 3, 50)
 		assert.NotEqual(t, MakePlan("n0007", list, 1).Partners, MakePlan("n0007", list, 2).Partners)
 	})
 }
 
-// TestTreeReachesAll checks that a change gets from either watcher to every usable process of its zone.
-func TestTreeReachesAll(t *testing.T) {
+// TestChangeReachesEveryUsableProcess checks that a change gets from each watcher to every usable process of the zone.
+func TestChangeReachesEveryUsableProcess(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		list := nodes(rapid.IntRange(1, 120).Draw(rt, "count"), rapid.IntRange(1, 4).Draw(rt, "zones"), rapid.IntRange(0, 20).Draw(rt, "entries"))
 		for i := range list {
@@ -89,7 +89,7 @@
 		watchers := watchersOf(list, "z0")
 		require.NotEmpty(rt, watchers)
 		for _, w := range watchers {
-			times := reached(list, w)
+			times := deliveries(list, w)
 			for _, n := range list {
 				if n.Zone == "z0" && n.Usable {
 					require.Positive(rt, times[n.ID], "%s is not reached from %s", n.ID, w)
