--- a/keep/doc.go
+++ b/keep/doc.go
@@ -1,3 +1,4 @@
-// Package keep decides what becomes of the state that prompts leave behind: how its blocks are named, where they are
-// kept, when they are worth reading, and when a link or a store is not to be used.
+// Package keep makes the decisions about storing the KV cache state of prompts: how its blocks are named and sealed,
+// when state is worth writing to a store or reading back, and when the link to a store should not be used. It does no
+// I/O.
 package keep
--- a/keep/envelope.go
+++ b/keep/envelope.go
@@ -10,24 +10,25 @@
 	"github.com/rillreach/rillreach/internal/hash"
 )
 
-// Block is a part of the state of a prompt: what an engine computed for the tokens from one part's end to another's.
+// Block is a part of a prompt's state: the KV cache that an engine computed for the tokens between two part boundaries.
 type Block struct {
-	// Key names the prefix that the block ends, Parent the prefix that it goes on from; the first has none.
+	// Key identifies the prefix that the block completes, Parent the prefix that it extends. The first block has no
+	// parent.
 	Key    rillreach.BlockKey `cbor:"1,keyasint"`
 	Parent rillreach.BlockKey `cbor:"2,keyasint"`
-	// Generation names one writing of the block.
+	// Generation identifies one write of the block; its stripes share it.
 	Generation string `cbor:"3,keyasint"`
-	// From and To are the tokens that the block covers.
+	// From and To delimit the tokens that the block covers; To is exclusive.
 	From int `cbor:"4,keyasint"`
 	To   int `cbor:"5,keyasint"`
-	// Payload is the engine's, or the part of it that a stripe holds.
+	// Payload is the engine's data, or in a stripe a part of it.
 	Payload []byte `cbor:"6,keyasint"`
-	// Stripe and Stripes say which part of how many this is; a block that is in one piece is part 0 of 1.
+	// Stripe is the index of this stripe, Stripes their number. An undivided block is stripe 0 of 1.
 	Stripe  int `cbor:"7,keyasint"`
 	Stripes int `cbor:"8,keyasint"`
 }
 
-// Split divides a block into stripes, which are kept in as many stores and read at once.
+// Split divides a block into stripes, which are kept in different stores and read in parallel.
 func (b Block) Split(count int) []Block {
 	stripes := make([]Block, count)
 	size := (len(b.Payload) + count - 1) / count
@@ -39,40 +40,43 @@
 	return stripes
 }
 
-// Join puts the stripes of one writing of a block together again.
+// Join reassembles a block from all stripes of one write, in order.
 func Join(stripes []Block) (Block, error) {
 	if len(stripes) == 0 {
 		return Block{}, errors.Wrap(ErrInvalidBlock, "no stripes")
 	}
-	whole := stripes[0]
-	whole.Payload = nil
+	joined := stripes[0]
+	joined.Payload = nil
 	for i, s := range stripes {
-		if s.Stripe != i || s.Stripes != len(stripes) || !s.sameWriting(whole) {
-			return Block{}, errors.Wrap(ErrInvalidBlock, "stripes are not of one writing")
+		if s.Stripe != i || s.Stripes != len(stripes) || !s.sameHeader(joined) {
+			return Block{}, errors.Wrap(ErrInvalidBlock, "stripes are missing, out of order or of different writes")
 		}
-		whole.Payload = append(whole.Payload, s.Payload...)
+		joined.Payload = append(joined.Payload, s.Payload...)
 	}
-	return whole, nil
+	return joined, nil
 }
 
-func (b Block) sameWriting(other Block) bool {
+// sameHeader reports whether two stripes belong to the same write of the same block.
+func (b Block) sameHeader(other Block) bool {
 	return b.Key == other.Key && b.Parent == other.Parent && b.Generation == other.Generation && b.From == other.From && b.To == other.To
 }
 
-// ErrInvalidBlock says that what was read is not a block as it was sealed: cut short, overwritten, freed or another's.
-var ErrInvalidBlock = errors.New("block is not as it was sealed")
+// ErrInvalidBlock means that the data read is not the sealed block: it was truncated, overwritten, freed, or belongs to
+// another block.
+var ErrInvalidBlock = errors.New("invalid sealed block")
 
-// Sealer seals blocks so that a reader can tell a whole one; only processes with the fleet's secret can make one.
+// Sealer adds a keyed checksum to blocks, so that readers can verify them. Only processes with the fleet's secret can
+// seal a block.
 type Sealer struct {
 	key hash.Key
 }
 
-// NewSealer makes a sealer from the fleet's secret.
+// NewSealer returns a sealer with a key derived from the fleet's secret.
 func NewSealer(secret []byte) Sealer {
 	return Sealer{key: hash.Derive("seals", secret)}
 }
 
-// Seal makes the bytes in which a block is kept.
+// Seal encodes a block with its checksum, in the form in which stores keep it.
 func (s Sealer) Seal(b Block) ([]byte, error) {
 	body, err := cbor.Marshal(b)
 	if err != nil {
@@ -82,27 +86,27 @@
 	return append(sum[:], body...), nil
 }
 
-// Open reads a block back and checks that it is whole and the one that was asked for.
+// Open decodes a sealed block and verifies its checksum and its key.
 func (s Sealer) Open(data []byte, key rillreach.BlockKey) (Block, error) {
 	if len(data) <= hash.Size {
-		return Block{}, errors.Wrap(ErrInvalidBlock, "too short")
+		return Block{}, errors.Wrap(ErrInvalidBlock, "data is too short")
 	}
 	sum, body := data[:hash.Size], data[hash.Size:]
 	want := hash.Keyed(s.key, body)
 	if subtle.ConstantTimeCompare(sum, want[:]) != 1 {
-		return Block{}, errors.Wrap(ErrInvalidBlock, "checksum differs")
+		return Block{}, errors.Wrap(ErrInvalidBlock, "checksum mismatch")
 	}
 	var b Block
 	if err := cbor.Unmarshal(body, &b); err != nil {
 		return Block{}, errors.Wrap(ErrInvalidBlock, err.Error())
 	}
 	if b.Key != key {
-		return Block{}, errors.Wrap(ErrInvalidBlock, "another block was read")
+		return Block{}, errors.Wrap(ErrInvalidBlock, "block has another key")
 	}
 	return b, nil
 }
 
-// Follows reports whether the block goes on just where the one before it ends; before the first there is the zero block.
-func (b Block) Follows(before Block) bool {
-	return b.Parent == before.Key && b.From == before.To && b.To > b.From
+// Follows reports whether the block starts exactly where the previous one ends. The first block follows the zero Block.
+func (b Block) Follows(previous Block) bool {
+	return b.Parent == previous.Key && b.From == previous.To && b.To > b.From
 }
--- a/keep/keep_test.go
+++ b/keep/keep_test.go
@@ -16,8 +16,8 @@
 	scope = Scope{Account: "a", Model: "m", Version: "v"}
 )
 
-func TestNamer(t *testing.T) {
-	n := NewKeyDeriver([]byte("secret"))
+func TestKeyDeriver(t *testing.T) {
+	deriver := NewKeyDeriver([]byte("secret"))
 	parts := [][]byte{[]byte("one"), []byte("two")}
 	for name, other := range map[string]Scope{
 		"account": {Account: "b", Model: "m", Version: "v"},
@@ -25,25 +25,26 @@
 		"version": {Account: "a", Model: "m", Version: "w"},
 		"shift":   {Account: "am", Model: "", Version: "v"},
 	} {
-		t.Run("another "+name+" shares no name", func(t *testing.T) {
-			ours, theirs := n.BlockKeys(scope, parts), n.BlockKeys(other, parts)
+		t.Run("another "+name+" shares no key", func(t *testing.T) {
+			ours, theirs := deriver.BlockKeys(scope, parts), deriver.BlockKeys(other, parts)
 			for i := range ours {
 				assert.NotEqual(t, ours[i], theirs[i])
 			}
-			assert.NotEqual(t, n.CacheSalt(scope, ""), n.CacheSalt(other, ""))
+			assert.NotEqual(t, deriver.CacheSalt(scope, ""), deriver.CacheSalt(other, ""))
 		})
 	}
-	t.Run("a longer prompt keeps the names of its beginning", func(t *testing.T) {
-		assert.Equal(t, n.BlockKeys(scope, parts)[0], n.BlockKeys(scope, parts[:1])[0])
+	t.Run("a longer prompt has the same keys for its prefix", func(t *testing.T) {
+		assert.Equal(t, deriver.BlockKeys(scope, parts)[0], deriver.BlockKeys(scope, parts[:1])[0])
 	})
-	t.Run("a caller's own salt divides its scope and no other", func(t *testing.T) {
-		assert.NotEqual(t, n.CacheSalt(scope, "x"), n.CacheSalt(scope, "y"))
+	t.Run("a salt supplied by the caller divides the scope", func(t *testing.T) {
+		assert.NotEqual(t, deriver.CacheSalt(scope, "x"), deriver.CacheSalt(scope, "y"))
 	})
 }
 
-// TestChainsDiffer takes any two different scopes or prompts: the names of whole prompts differ.
-func TestChainsDiffer(t *testing.T) {
-	n := NewKeyDeriver([]byte("secret"))
+// TestBlockKeysDifferByScopeAndPrompt checks that the keys of two whole prompts are equal only if both the scopes and
+// the prompts are.
+func TestBlockKeysDifferByScopeAndPrompt(t *testing.T) {
+	deriver := NewKeyDeriver([]byte("secret"))
 	draw := func(rt *rapid.T, name string) (Scope, [][]byte) {
 		text := rapid.StringMatching(`[ab/]{0,3}`)
 		s := Scope{
@@ -57,7 +58,7 @@
 		s1, p1 := draw(rt, "first")
 		s2, p2 := draw(rt, "second")
 		same := s1 == s2 && assert.ObjectsAreEqual(p1, p2)
-		k1, k2 := n.BlockKeys(s1, p1), n.BlockKeys(s2, p2)
+		k1, k2 := deriver.BlockKeys(s1, p1), deriver.BlockKeys(s2, p2)
 		require.Equal(rt, same, k1[len(k1)-1] == k2[len(k2)-1])
 	})
 }
@@ -68,17 +69,17 @@
 	return data
 }
 
-// TestSealerFindsEveryChange cuts a sealed block anywhere or changes any byte of it.
-func TestSealerFindsEveryChange(t *testing.T) {
+// TestSealerRejectsModifiedBlock truncates a sealed block at any length or changes any byte of it.
+func TestSealerRejectsModifiedBlock(t *testing.T) {
 	s := NewSealer([]byte("secret"))
 	b := Block{Key: rillreach.BlockKey{1}, From: 0, To: 10, Payload: []byte("some state of an engine")}
-	whole := sealed(t, b)
-	got, err := s.Open(whole, b.Key)
+	data := sealed(t, b)
+	got, err := s.Open(data, b.Key)
 	require.NoError(t, err)
 	require.Equal(t, b, got)
 	rapid.Check(t, func(rt *rapid.T) {
-		at := rapid.IntRange(0, len(whole)-1).Draw(rt, "at")
-		changed := append([]byte(nil), whole...)
+		at := rapid.IntRange(0, len(data)-1).Draw(rt, "at")
+		changed := append([]byte(nil), data...)
 		if rapid.Bool().Draw(rt, "cut") {
 			changed = changed[:at]
 		} else {
@@ -88,11 +89,11 @@
 		require.ErrorIs(rt, err, ErrInvalidBlock)
 	})
 	t.Run("another block is refused", func(t *testing.T) {
-		_, err := s.Open(whole, rillreach.BlockKey{2})
+		_, err := s.Open(data, rillreach.BlockKey{2})
 		assert.ErrorIs(t, err, ErrInvalidBlock)
 	})
 	t.Run("another fleet's block is refused", func(t *testing.T) {
-		_, err := NewSealer([]byte("another")).Open(whole, b.Key)
+		_, err := NewSealer([]byte("another")).Open(data, b.Key)
 		assert.ErrorIs(t, err, ErrInvalidBlock)
 	})
 }
@@ -109,9 +110,9 @@
 	})
 }
 
-func TestResident(t *testing.T) {
+func TestCacheEstimate(t *testing.T) {
 	keys := []rillreach.BlockKey{{1}, {2}, {3}}
-	held := func() *CacheEstimate {
+	filled := func() *CacheEstimate {
 		r := &CacheEstimate{}
 		r.ApplyEvents(EventPage{Incarnation: "one", Next: 5})
 		r.Add(keys[0], "salt", 10)
@@ -124,55 +125,55 @@
 		assert.Equal(t, parts, gotParts)
 		assert.Equal(t, tokens, gotTokens)
 	}
-	t.Run("the longest beginning is found", func(t *testing.T) { assertHeld(t, held(), 2, 20) })
-	t.Run("an event takes the oldest of its scope away", func(t *testing.T) {
-		r := held()
+	t.Run("the longest prefix is found", func(t *testing.T) { assertHeld(t, filled(), 2, 20) })
+	t.Run("an event evicts the oldest prompt of its salt", func(t *testing.T) {
+		r := filled()
 		r.ApplyEvents(EventPage{Incarnation: "one", Events: []EvictionEvent{{Sequence: 5, Salt: "salt"}, {Sequence: 6, Salt: "salt"}}, Next: 7})
 		assertHeld(t, r, 0, 0)
 	})
-	t.Run("an event of another scope takes nothing away", func(t *testing.T) {
-		r := held()
+	t.Run("an event of another salt evicts nothing", func(t *testing.T) {
+		r := filled()
 		r.ApplyEvents(EventPage{Incarnation: "one", Events: []EvictionEvent{{Sequence: 5, Salt: "other"}}, Next: 6})
 		assertHeld(t, r, 2, 20)
 	})
-	t.Run("an event that comes again changes nothing", func(t *testing.T) {
-		r := held()
+	t.Run("a repeated event changes nothing", func(t *testing.T) {
+		r := filled()
 		r.ApplyEvents(EventPage{Incarnation: "one", Events: []EvictionEvent{{Sequence: 4, Salt: "salt"}}, Next: 5})
 		assertHeld(t, r, 2, 20)
 	})
-	t.Run("a gap takes everything away", func(t *testing.T) {
-		r := held()
+	t.Run("a gap discards everything", func(t *testing.T) {
+		r := filled()
 		r.ApplyEvents(EventPage{Incarnation: "one", Events: []EvictionEvent{{Sequence: 9, Salt: "other"}}, Next: 10})
 		assertHeld(t, r, 0, 0)
 	})
-	t.Run("a gap at the end takes everything away", func(t *testing.T) {
-		r := held()
+	t.Run("a gap at the end discards everything", func(t *testing.T) {
+		r := filled()
 		r.ApplyEvents(EventPage{Incarnation: "one", Next: 9})
 		assertHeld(t, r, 0, 0)
 	})
-	t.Run("a new incarnation takes everything away", func(t *testing.T) {
-		r := held()
+	t.Run("a new incarnation discards everything", func(t *testing.T) {
+		r := filled()
 		r.ApplyEvents(EventPage{Incarnation: "two", Next: 0})
 		assertHeld(t, r, 0, 0)
 	})
 }
 
 func TestLink(t *testing.T) {
-	t.Run("a link that failed is left alone, longer each time", func(t *testing.T) {
+	t.Run("the backoff of a link grows with each failure", func(t *testing.T) {
 		l := &Link{}
 		l.EndImport(start, 0, 0, false)
 		assert.False(t, l.Usable(start))
-		assert.True(t, l.Usable(start.Add(avoidFirst)))
+		assert.True(t, l.Usable(start.Add(initialBackoff)))
 		l.EndImport(start, 0, 0, false)
-		assert.False(t, l.Usable(start.Add(avoidFirst)))
+		assert.False(t, l.Usable(start.Add(initialBackoff)))
 	})
-	t.Run("what a transfer took moves the estimate", func(t *testing.T) {
+	t.Run("a transfer updates the estimate", func(t *testing.T) {
 		l := &Link{}
 		l.BeginImport(1000)
 		l.EndImport(start, 1000, time.Second, true)
 		assert.InDelta(t, 2, l.EstimateImport(2000).Seconds(), 1e-9)
 	})
-	t.Run("nothing is written in the background while something is read", func(t *testing.T) {
+	t.Run("no background transfer starts during an import", func(t *testing.T) {
 		l := &Link{}
 		l.BeginImport(1)
 		assert.False(t, l.TryBeginBackground(1))
@@ -180,69 +181,69 @@
 }
 
 func TestImportDecide(t *testing.T) {
-	ask := ImportInput{Tokens: 1000, Stored: 1000, PrefillRate: 1000, TransferTime: 500 * time.Millisecond, Objective: rillreach.ObjectiveFirstToken}
+	faster := ImportInput{Tokens: 1000, Stored: 1000, PrefillRate: 1000, TransferTime: 500 * time.Millisecond, Objective: rillreach.ObjectiveFirstToken}
 	assertVerdict := func(t *testing.T, i ImportInput, v Verdict) {
 		t.Helper()
 		assert.Equal(t, v, i.Decide())
 	}
-	slow, cached, none, waits := ask, ask, ask, ask
-	slow.TransferTime = 2 * time.Second
+	slower, cached, notStored, queued := faster, faster, faster, faster
+	slower.TransferTime = 2 * time.Second
 	cached.Cached = 1000
-	none.Stored = 0
-	waits.TransferTime, waits.QueueWait = 2*time.Second, 2*time.Second
-	patient := slow
-	patient.Objective = rillreach.ObjectiveRecompute
-	endless := patient
-	endless.TransferTime = time.Minute
-	t.Run("reading that is faster is chosen", func(t *testing.T) { assertVerdict(t, ask, VerdictImport) })
-	t.Run("reading that is slower is not", func(t *testing.T) { assertVerdict(t, slow, VerdictRecomputeFaster) })
-	t.Run("reading during the wait costs nothing", func(t *testing.T) { assertVerdict(t, waits, VerdictImport) })
-	t.Run("little recomputation is worth some delay", func(t *testing.T) { assertVerdict(t, patient, VerdictImport) })
-	t.Run("but not any", func(t *testing.T) { assertVerdict(t, endless, VerdictRecomputeFaster) })
-	t.Run("what the engine holds is not read", func(t *testing.T) { assertVerdict(t, cached, VerdictCached) })
-	t.Run("nothing kept is nothing read", func(t *testing.T) { assertVerdict(t, none, VerdictNotStored) })
+	notStored.Stored = 0
+	queued.TransferTime, queued.QueueWait = 2*time.Second, 2*time.Second
+	recompute := slower
+	recompute.Objective = rillreach.ObjectiveRecompute
+	tooSlow := recompute
+	tooSlow.TransferTime = time.Minute
+	t.Run("import if reading is faster", func(t *testing.T) { assertVerdict(t, faster, VerdictImport) })
+	t.Run("recompute if reading is slower", func(t *testing.T) { assertVerdict(t, slower, VerdictRecomputeFaster) })
+	t.Run("a transfer within the queue wait costs nothing", func(t *testing.T) { assertVerdict(t, queued, VerdictImport) })
+	t.Run("the recompute objective accepts some delay", func(t *testing.T) { assertVerdict(t, recompute, VerdictImport) })
+	t.Run("the recompute objective does not accept an unlimited delay", func(t *testing.T) { assertVerdict(t, tooSlow, VerdictRecomputeFaster) })
+	t.Run("cached state is not imported", func(t *testing.T) { assertVerdict(t, cached, VerdictCached) })
+	t.Run("nothing stored, nothing imported", func(t *testing.T) { assertVerdict(t, notStored, VerdictNotStored) })
 }
 
-func TestGaps(t *testing.T) {
+func TestReturnHistogram(t *testing.T) {
 	t.Run("an account whose prompts return is expected to return", func(t *testing.T) {
-		g, never := &ReturnHistogram{}, &ReturnHistogram{}
+		returning, never := &ReturnHistogram{}, &ReturnHistogram{}
 		for range 100 {
-			g.RecordReturn(time.Hour)
+			returning.RecordReturn(time.Hour)
 			never.RecordLoss()
 		}
-		assert.Greater(t, g.ReturnProbability(0, 24*time.Hour), 0.9)
+		assert.Greater(t, returning.ReturnProbability(0, 24*time.Hour), 0.9)
 		assert.Less(t, never.ReturnProbability(0, 24*time.Hour), 0.1)
 	})
-	t.Run("a prompt away longer than ever before is not expected", func(t *testing.T) {
-		g := &ReturnHistogram{}
+	t.Run("a prompt that is away longer than any before is not expected to return", func(t *testing.T) {
+		histogram := &ReturnHistogram{}
 		for range 100 {
-			g.RecordReturn(time.Minute)
-			g.RecordLoss()
+			histogram.RecordReturn(time.Minute)
+			histogram.RecordLoss()
 		}
-		assert.Less(t, g.ReturnProbability(24*time.Hour, 48*time.Hour), 0.1)
+		assert.Less(t, histogram.ReturnProbability(24*time.Hour, 48*time.Hour), 0.1)
 	})
 }
 
 func TestExportDecide(t *testing.T) {
-	ask := ExportInput{Tokens: 10_000, Bytes: 10 << 20, ReturnProbability: 0.5, PrefillRate: 4000, LinkRate: 100 << 20}
-	small, unlikely := ask, ask
+	worth := ExportInput{Tokens: 10_000, Bytes: 10 << 20, ReturnProbability: 0.5, PrefillRate: 4000, LinkRate: 100 << 20}
+	small, unlikely := worth, worth
 	small.Tokens = 1
 	unlikely.ReturnProbability = 0
-	assert.Equal(t, VerdictExport, ask.Decide())
+	assert.Equal(t, VerdictExport, worth.Decide())
 	assert.Equal(t, VerdictTooSmall, small.Decide())
 	assert.Equal(t, VerdictReturnUnlikely, unlikely.Decide())
 }
 
-// TestStripesJoin splits a block and puts it together again; stripes that are missing, out of order or of another
-// writing are refused.
-func TestStripesJoin(t *testing.T) {
+// TestSplitAndJoin splits a block and joins it again. Join has to reject a set with a missing stripe or with a stripe
+// of another write.
+func TestSplitAndJoin(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := Block{Key: rillreach.BlockKey{1}, To: 5, Generation: "one", Payload: rapid.SliceOf(rapid.Byte()).Draw(rt, "payload")}
 		count := rapid.IntRange(1, 4).Draw(rt, "count")
 		stripes := b.Split(count)
-		whole, err := Join(stripes)
+		joined, err := Join(stripes)
 		require.NoError(rt, err)
-		require.Equal(rt, string(b.Payload), string(whole.Payload))
+		require.Equal(rt, string(b.Payload), string(joined.Payload))
 		if count == 1 {
 			return
 		}
--- a/keep/key.go
+++ b/keep/key.go
@@ -7,42 +7,43 @@
 	"github.com/rillreach/rillreach/internal/hash"
 )
 
-// Scope is what a block's name is bound to; blocks of different scopes never have the same name.
+// Scope is the account, model and version that a block key is bound to. Blocks of different scopes never share a key.
 type Scope struct {
 	Account rillreach.AccountID
 	Model   rillreach.ModelID
 	Version rillreach.VersionID
 }
 
-// KeyDeriver makes the names of blocks with a secret of the whole fleet.
+// KeyDeriver derives block keys and cache salts from the fleet's secret.
 type KeyDeriver struct {
-	blocks hash.Key
-	salts  hash.Key
+	blockKey hash.Key
+	saltKey  hash.Key
 }
 
-// NewKeyDeriver makes a namer from the fleet's secret.
+// NewKeyDeriver returns a deriver for the fleet's secret.
 func NewKeyDeriver(secret []byte) KeyDeriver {
-	return KeyDeriver{blocks: hash.Derive("blocks", secret), salts: hash.Derive("salts", secret)}
+	return KeyDeriver{blockKey: hash.Derive("blocks", secret), saltKey: hash.Derive("salts", secret)}
 }
 
-// BlockKeys names every prefix of a prompt that ends with one of its parts: each name covers the scope, the name before
-// it and the part itself.
-func (n KeyDeriver) BlockKeys(scope Scope, parts [][]byte) []rillreach.BlockKey {
+// BlockKeys returns a key for every prefix of a prompt that ends at a part boundary. Each key is a hash of the
+// previous key and the part; the first one starts from the scope.
+func (d KeyDeriver) BlockKeys(scope Scope, parts [][]byte) []rillreach.BlockKey {
 	keys := make([]rillreach.BlockKey, len(parts))
-	parent := n.root(scope)
+	parent := d.root(scope)
 	for i, part := range parts {
-		parent = hash.Keyed(n.blocks, parent[:], part)
+		parent = hash.Keyed(d.blockKey, parent[:], part)
 		keys[i] = parent
 	}
 	return keys
 }
 
-// CacheSalt is the cache salt that keeps the scope's state apart in an engine; a caller's own salt divides its scope further.
-func (n KeyDeriver) CacheSalt(scope Scope, callers string) string {
-	sum := hash.Keyed(n.salts, []byte(scope.Account), []byte(scope.Model), []byte(scope.Version), []byte(callers))
+// CacheSalt returns the cache salt that isolates a scope's state in an engine. A salt supplied by the caller divides
+// the scope further.
+func (d KeyDeriver) CacheSalt(scope Scope, callers string) string {
+	sum := hash.Keyed(d.saltKey, []byte(scope.Account), []byte(scope.Model), []byte(scope.Version), []byte(callers))
 	return hex.EncodeToString(sum[:16])
 }
 
-func (n KeyDeriver) root(scope Scope) rillreach.BlockKey {
-	return hash.Keyed(n.blocks, []byte(scope.Account), []byte(scope.Model), []byte(scope.Version))
+func (d KeyDeriver) root(scope Scope) rillreach.BlockKey {
+	return hash.Keyed(d.blockKey, []byte(scope.Account), []byte(scope.Model), []byte(scope.Version))
 }
--- a/keep/link.go
+++ b/keep/link.go
@@ -6,32 +6,35 @@
 )
 
 const (
-	// DefaultLinkRate is what a link is taken to carry before anything was measured, in bytes a second.
+	// DefaultLinkRate is the rate assumed for a link before any transfer was measured, in bytes a second.
 	DefaultLinkRate = 100 << 20
 
-	rateWeight = 0.25
-	// slowFactor is how much longer than estimated a transfer may take before it is given up.
-	slowFactor = 2
-	// minTransfer is the least time a transfer gets, so that small ones are not given up for a hiccup.
-	minTransfer = 50 * time.Millisecond
-	// avoidFirst and avoidMost bound how long a link that failed is left alone.
-	avoidFirst = time.Second
-	avoidMost  = time.Minute
-	// backgroundShare is the part of a link that exports and copies may fill while imports wait for none of it.
+	// rateSmoothing is the weight of a new measurement in the moving average of the rate.
+	rateSmoothing = 0.25
+	// timeoutFactor is how many times its estimated duration an import may take before it times out.
+	timeoutFactor = 2
+	// minImportTimeout keeps small imports from timing out on a short delay.
+	minImportTimeout = 50 * time.Millisecond
+	// initialBackoff and maxBackoff bound how long a link is not used after a failure; the time doubles with each
+	// consecutive failure.
+	initialBackoff = time.Second
+	maxBackoff     = time.Minute
+	// backgroundShare is the share of one second of a link's rate that background transfers in progress may take up.
 	backgroundShare = 0.5
 )
 
-// Link is what is known of the way to one store: what it carries, what is under way on it, and whether to use it.
+// Link tracks the connection to one store: its measured rate, the transfers in progress, and whether it should be used.
+// Imports have priority over background transfers, that is exports and copies.
 type Link struct {
-	mu       sync.Mutex
-	rate     float64
-	urgent   int64
-	later    int64
-	failures int
-	avoid    time.Time
+	mu              sync.Mutex
+	rate            float64
+	importBytes     int64
+	backgroundBytes int64
+	failures        int // consecutive
+	avoidUntil      time.Time
 }
 
-// Rate is the measured rate in bytes a second.
+// Rate returns the measured rate in bytes a second, or DefaultLinkRate before the first measurement.
 func (l *Link) Rate() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,66 +48,68 @@
 	return l.rate
 }
 
-// Usable reports whether the link is not being left alone after failures.
+// Usable reports whether the link is not backing off after a failure.
 func (l *Link) Usable(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !now.Before(l.avoid)
+	return !now.Before(l.avoidUntil)
 }
 
-// EstimateImport is how long an import of some bytes would take, those under way included.
+// EstimateImport returns how long an import of the given size would take, including the imports in progress.
 func (l *Link) EstimateImport(bytes int64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return secondsOf(float64(l.urgent+bytes) / l.currentRate())
+	return seconds(float64(l.importBytes+bytes) / l.currentRate())
 }
 
-// ImportTimeout is how long an import may take before it is given up.
+// ImportTimeout returns the time after which an import of the given size should be given up.
 func (l *Link) ImportTimeout(bytes int64) time.Duration {
-	return max(slowFactor*l.EstimateImport(bytes), minTransfer)
+	return max(timeoutFactor*l.EstimateImport(bytes), minImportTimeout)
 }
 
-// BeginImport counts an import that starts.
+// BeginImport records the start of an import.
 func (l *Link) BeginImport(bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.urgent += bytes
+	l.importBytes += bytes
 }
 
-// TryBeginBackground counts an export or copy if there is room for it beside the imports, else it is not to be started. Those
-// under way may take no more than their share of a second of the link.
+// TryBeginBackground records the start of an export or copy. It returns false if the transfer must not start now:
+// because an import is in progress, or because background transfers would exceed backgroundShare. Without imports, a
+// single background transfer may start whatever its size.
 func (l *Link) TryBeginBackground(bytes int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.urgent > 0 {
+	if l.importBytes > 0 {
 		return false
 	}
-	if l.later > 0 && float64(l.later+bytes) > backgroundShare*l.currentRate() {
+	if l.backgroundBytes > 0 && float64(l.backgroundBytes+bytes) > backgroundShare*l.currentRate() {
 		return false
 	}
-	l.later += bytes
+	l.backgroundBytes += bytes
 	return true
 }
 
-// EndImport records how an import went: it moves the measured rate, and has the link left alone after a failure.
+// EndImport records the end of an import. It updates the measured rate and, after a failure, starts the backoff.
 func (l *Link) EndImport(now time.Time, bytes int64, took time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.urgent -= bytes
-	l.learn(now, bytes, took, ok)
+	l.importBytes -= bytes
+	l.record(now, bytes, took, ok)
 }
 
-// EndBackground records how an export or copy went.
+// EndBackground records the end of an export or copy, as EndImport does.
 func (l *Link) EndBackground(now time.Time, bytes int64, took time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.later -= bytes
-	l.learn(now, bytes, took, ok)
+	l.backgroundBytes -= bytes
+	l.record(now, bytes, took, ok)
 }
 
-func (l *Link) learn(now time.Time, bytes int64, took time.Duration, ok bool) {
+// record updates the measured rate and the backoff after a transfer.
+func (l *Link) record(now time.Time, bytes int64, took time.Duration, ok bool) {
 	if !ok {
-		l.avoid = now.Add(min(avoidFirst<<min(l.failures, 6), avoidMost))
+		l.avoidUntil = now.Add(min(initialBackoff<<min(l.failures, 6), maxBackoff)) // six doublings exceed maxBackoff
 		l.failures++
 	} else {
 		l.failures = 0
@@ -112,14 +117,14 @@
 	if took <= 0 || bytes <= 0 {
 		return
 	}
-	seen := float64(bytes) / took.Seconds()
+	measured := float64(bytes) / took.Seconds()
 	if l.rate <= 0 {
-		l.rate = seen
+		l.rate = measured
 		return
 	}
-	l.rate += rateWeight * (seen - l.rate)
+	l.rate += rateSmoothing * (measured - l.rate)
 }
 
-func secondsOf(s float64) time.Duration {
+func seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
--- a/keep/resident.go
+++ b/keep/resident.go
@@ -8,144 +8,147 @@
 	"github.com/rillreach/rillreach"
 )
 
-// EvictionEvent is one change of an engine's cache as the engine publishes it, late and with gaps.
+// EvictionEvent reports that an engine dropped state from its cache. Engines publish these events late and with gaps.
 type EvictionEvent struct {
-	// Sequence grows by one from event to event of one incarnation of the engine.
+	// Sequence increases by one with each event of one incarnation of the engine.
 	Sequence uint64 `json:"sequence"`
-	// Salt names the scope whose state was dropped, in whole or in part.
+	// Salt is the cache salt of the scope whose state was dropped, in whole or in part.
 	Salt string `json:"salt"`
 }
 
-// EventPage is a page of events.
+// EventPage is a page of eviction events.
 type EventPage struct {
 	Incarnation string          `json:"incarnation"`
 	Events      []EvictionEvent `json:"events"`
-	// Next is the sequence that the next event will have.
+	// Next is the sequence of the event after this page.
 	Next uint64 `json:"next"`
 }
 
-// CacheEstimate is what an engine's memory is believed to hold: the prompts answered lately, less what its events have
-// taken away. Belief that is wrong costs time and never correctness, since the engine itself looks up what it has.
+// CacheEstimate estimates which prompts an engine has in its cache: those answered recently, minus those that eviction
+// events have removed. A wrong estimate costs time but not correctness, because the engine looks up its cache itself.
 type CacheEstimate struct {
-	// MaxPrompts bounds the prompts that are remembered; zero means a default.
+	// MaxPrompts limits the number of prompts; zero means a default.
 	MaxPrompts int
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// incarnation and next are the engine's incarnation and the sequence of the next event.
 	incarnation string
 	next        uint64
-	order       *list.List
+	lru         *list.List
 	byKey       map[rillreach.BlockKey]*list.Element
-	salts       map[string]uint32
+	saltIDs     map[string]uint32
 }
 
-// resident is one prompt; its salt is held as a number, since many prompts have the same.
-type resident struct {
+// cachedPrompt is a prompt in the estimate. It refers to its salt by number to save memory, as many prompts share one.
+type cachedPrompt struct {
 	key    rillreach.BlockKey
-	salt   uint32
+	saltID uint32
 	tokens int32
 }
 
-const defaultMostResident = 4096
+const defaultMaxPrompts = 4096
 
-// Add notes that the engine holds a prompt up to a block.
-func (r *CacheEstimate) Add(key rillreach.BlockKey, salt string, tokens int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.order == nil {
-		r.reset()
+// Add records that the engine has a prompt up to the block with the given key in its cache.
+func (c *CacheEstimate) Add(key rillreach.BlockKey, salt string, tokens int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lru == nil {
+		c.reset()
 	}
-	if e := r.byKey[key]; e != nil {
-		r.order.MoveToFront(e)
+	if e := c.byKey[key]; e != nil {
+		c.lru.MoveToFront(e)
 		return
 	}
-	r.byKey[key] = r.order.PushFront(resident{key: key, salt: r.numberOf(salt), tokens: int32(min(tokens, math.MaxInt32))})
-	most := r.MaxPrompts
-	if most == 0 {
-		most = defaultMostResident
+	c.byKey[key] = c.lru.PushFront(cachedPrompt{key: key, saltID: c.saltID(salt), tokens: int32(min(tokens, math.MaxInt32))})
+	limit := c.MaxPrompts
+	if limit == 0 {
+		limit = defaultMaxPrompts
 	}
-	for r.order.Len() > most {
-		r.remove(r.order.Back())
+	for c.lru.Len() > limit {
+		c.remove(c.lru.Back())
 	}
 }
 
-// LongestPrefix is how many leading parts of a prompt the engine is believed to hold, and their tokens.
-func (r *CacheEstimate) LongestPrefix(blocks []rillreach.BlockKey) (int, int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// LongestPrefix returns how many leading parts of a prompt are estimated to be in the cache, and their tokens.
+func (c *CacheEstimate) LongestPrefix(blocks []rillreach.BlockKey) (int, int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for i := len(blocks) - 1; i >= 0; i-- {
-		if e := r.byKey[blocks[i]]; e != nil {
-			return i + 1, int(e.Value.(resident).tokens)
+		if e := c.byKey[blocks[i]]; e != nil {
+			return i + 1, int(e.Value.(cachedPrompt).tokens)
 		}
 	}
 	return 0, 0
 }
 
-// ApplyEvents takes a page of events in. A gap in the sequence, or a new incarnation, takes away everything it may cover.
-func (r *CacheEstimate) ApplyEvents(page EventPage) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if page.Incarnation != r.incarnation {
-		r.reset()
-		r.incarnation = page.Incarnation
-		r.next = page.Next
+// ApplyEvents applies a page of events. It discards the whole estimate if events are missing or the engine has
+// restarted.
+func (c *CacheEstimate) ApplyEvents(page EventPage) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if page.Incarnation != c.incarnation {
+		c.reset()
+		c.incarnation = page.Incarnation
+		c.next = page.Next
 		return
 	}
 	for _, e := range page.Events {
-		if e.Sequence < r.next {
+		if e.Sequence < c.next {
 			continue
 		}
-		if e.Sequence > r.next {
-			r.reset()
+		if e.Sequence > c.next {
+			c.reset()
 		}
-		r.next = e.Sequence + 1
-		r.drop(e.Salt)
+		c.next = e.Sequence + 1
+		c.evictOldest(e.Salt)
 	}
-	if page.Next > r.next {
-		r.reset()
-		r.next = page.Next
+	if page.Next > c.next {
+		c.reset()
+		c.next = page.Next
 	}
 }
 
-// NextSequence is the sequence of the event that is awaited.
-func (r *CacheEstimate) NextSequence() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.next
+// NextSequence returns the sequence of the next event to request.
+func (c *CacheEstimate) NextSequence() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.next
 }
 
-// drop takes away the oldest prompt of a salt, which the engine drops first.
-func (r *CacheEstimate) drop(salt string) {
-	if r.order == nil {
+// evictOldest removes the least recently used prompt of a salt, which the engine drops first.
+func (c *CacheEstimate) evictOldest(salt string) {
+	if c.lru == nil {
 		return
 	}
-	number, known := r.salts[salt]
+	id, known := c.saltIDs[salt]
 	if !known {
 		return
 	}
-	for e := r.order.Back(); e != nil; e = e.Prev() {
-		if e.Value.(resident).salt == number {
-			r.remove(e)
+	for e := c.lru.Back(); e != nil; e = e.Prev() {
+		if e.Value.(cachedPrompt).saltID == id {
+			c.remove(e)
 			return
 		}
 	}
 }
 
-func (r *CacheEstimate) remove(e *list.Element) {
-	delete(r.byKey, e.Value.(resident).key)
-	r.order.Remove(e)
+func (c *CacheEstimate) remove(e *list.Element) {
+	delete(c.byKey, e.Value.(cachedPrompt).key)
+	c.lru.Remove(e)
 }
 
-func (r *CacheEstimate) reset() {
-	r.order = list.New()
-	r.byKey = map[rillreach.BlockKey]*list.Element{}
-	r.salts = map[string]uint32{}
+func (c *CacheEstimate) reset() {
+	c.lru = list.New()
+	c.byKey = map[rillreach.BlockKey]*list.Element{}
+	c.saltIDs = map[string]uint32{}
 }
 
-func (r *CacheEstimate) numberOf(salt string) uint32 {
-	number, ok := r.salts[salt]
+// saltID returns the number of a salt and assigns one if it has none.
+func (c *CacheEstimate) saltID(salt string) uint32 {
+	id, ok := c.saltIDs[salt]
 	if !ok {
-		number = uint32(len(r.salts))
-		r.salts[salt] = number
+		id = uint32(len(c.saltIDs))
+		c.saltIDs[salt] = id
 	}
-	return number
+	return id
 }
--- a/keep/worth.go
+++ b/keep/worth.go
@@ -7,27 +7,27 @@
 	"github.com/rillreach/rillreach"
 )
 
-// ImportInput is the question whether to read kept state or to compute it again.
+// ImportInput is the input to the decision whether to read a prompt's state from stores or to recompute it.
 type ImportInput struct {
-	// Tokens is the length of the prompt, Cached what the engine holds of it, Kept what could be read.
+	// Tokens is the length of the prompt, Cached the tokens in the engine's cache, Stored the tokens that stores have.
 	Tokens int
 	Cached int
 	Stored int
-	// Bytes is what reading it would carry over the link, Transfer how long that would take.
+	// Bytes is the amount of data to read, TransferTime the estimated time for it.
 	Bytes        int64
 	TransferTime time.Duration
-	// QueueWait is how long the request waits for its turn anyway.
+	// QueueWait is how long the request waits for the engine anyway; a transfer during that time delays nothing.
 	QueueWait time.Duration
-	// PrefillRate is the tokens a second that the engine computes.
+	// PrefillRate is the number of tokens that the engine computes per second.
 	PrefillRate float64
-	// Objective is the row's.
+	// Objective is the configured objective of the account and model.
 	Objective rillreach.Objective
 }
 
-// Verdict is a decision about kept state with its reason.
+// Verdict is a decision to import or export state, or the reason not to.
 type Verdict string
 
-// The verdicts on kept state.
+// The verdicts on importing and exporting state.
 const (
 	VerdictImport          Verdict = "import"
 	VerdictCached          Verdict = "cached"
@@ -40,138 +40,145 @@
 )
 
 const (
-	defaultPrefill = 4000
-	// patienceFirst and patienceRecompute are how many times the time of computing again reading may take.
-	patienceFirst     = 1.0
-	patienceRecompute = 6.0
+	// defaultPrefillRate is the rate assumed for an engine that has reported none, in tokens a second.
+	defaultPrefillRate = 4000
+	// firstTokenTransferFactor and recomputeTransferFactor limit the time to read state under each objective, as a
+	// multiple of the time to recompute it.
+	firstTokenTransferFactor = 1.0
+	recomputeTransferFactor  = 6.0
 )
 
-// Decide says whether to import. Under the objective of little recomputation reading may take longer than computing
-// again would, but not without bound.
-func (i ImportInput) Decide() Verdict {
+// Decide returns VerdictImport if the stored state should be read, otherwise the reason why not. Under
+// ObjectiveRecompute, reading may take longer than recomputing, but at most recomputeTransferFactor times as long.
+func (in ImportInput) Decide() Verdict {
 	switch {
-	case i.Stored <= i.Cached && i.Cached > 0:
+	case in.Stored <= in.Cached && in.Cached > 0:
 		return VerdictCached
-	case i.Stored <= i.Cached:
+	case in.Stored <= in.Cached:
 		return VerdictNotStored
 	}
-	rate := i.PrefillRate
+	rate := in.PrefillRate
 	if rate <= 0 {
-		rate = defaultPrefill
+		rate = defaultPrefillRate
 	}
-	compute := secondsOf(float64(i.Stored-i.Cached) / rate)
-	patience := patienceFirst
-	if i.Objective == rillreach.ObjectiveRecompute {
-		patience = patienceRecompute
+	compute := seconds(float64(in.Stored-in.Cached) / rate)
+	factor := firstTokenTransferFactor
+	if in.Objective == rillreach.ObjectiveRecompute {
+		factor = recomputeTransferFactor
 	}
-	if max(i.TransferTime-i.QueueWait, 0) > secondsOf(patience*compute.Seconds()) {
+	if max(in.TransferTime-in.QueueWait, 0) > seconds(factor*compute.Seconds()) {
 		return VerdictRecomputeFaster
 	}
 	return VerdictImport
 }
 
-// ReturnHistogram is a histogram of how long an account's prompts took to return, on a scale that doubles from step to step.
+// ReturnHistogram is a histogram of the time after which an account's prompts returned. Each bucket is twice as wide
+// as the one before. Prompts that did not return are counted as lost.
 type ReturnHistogram struct {
-	counts [gapSteps]float64
+	counts [gapBuckets]float64
 	lost   float64
 }
 
 const (
-	gapSteps = 24
-	gapFirst = time.Second
-	// gapPrior is how many returns are taken for granted before anything was seen, spread over all steps.
-	gapPrior = 2.0
-	// gapMemory is how many prompts the histogram remembers about.
-	gapMemory = 2000.0
+	gapBuckets = 24
+	// minBucketGap is the lower limit of the first bucket, which also counts shorter gaps.
+	minBucketGap = time.Second
+	// priorReturns is the number of returns assumed before any was recorded, spread evenly over all buckets.
+	priorReturns = 2.0
+	// maxGapWeight is the total count at which all counts are halved, so that recent prompts weigh more.
+	maxGapWeight = 2000.0
 )
 
-// RecordReturn notes that a prompt came back after a gap.
-func (g *ReturnHistogram) RecordReturn(gap time.Duration) {
-	g.fade()
-	g.counts[stepOf(gap)]++
+// RecordReturn records that a prompt returned after a gap.
+func (h *ReturnHistogram) RecordReturn(gap time.Duration) {
+	h.decay()
+	h.counts[bucketOf(gap)]++
 }
 
-// RecordLoss notes that a prompt was given up on.
-func (g *ReturnHistogram) RecordLoss() {
-	g.fade()
-	g.lost++
+// RecordLoss records that a prompt was dropped before it returned.
+func (h *ReturnHistogram) RecordLoss() {
+	h.decay()
+	h.lost++
 }
 
-// ReturnProbability is how likely a prompt comes back before some time from now, given how long it has been away.
-func (g *ReturnHistogram) ReturnProbability(away, within time.Duration) float64 {
-	var before, all float64
-	from, to := stepOf(away), stepOf(within)
-	for step := range gapSteps {
-		count := g.counts[step] + gapPrior/gapSteps
-		if step < from {
+// ReturnProbability estimates how likely a prompt returns within the given time since its last use, given that the
+// elapsed part of that time has already passed.
+func (h *ReturnHistogram) ReturnProbability(elapsed, within time.Duration) float64 {
+	var returned, all float64
+	from, to := bucketOf(elapsed), bucketOf(within)
+	for bucket := range gapBuckets {
+		count := h.counts[bucket] + priorReturns/gapBuckets
+		if bucket < from {
 			continue
 		}
 		all += count
-		if step <= to {
-			before += count
+		if bucket <= to {
+			returned += count
 		}
 	}
-	all += g.lost + gapPrior/2
-	return before / all
+	all += h.lost + priorReturns/2
+	return returned / all
 }
 
-func (g *ReturnHistogram) fade() {
-	total := g.lost
-	for _, c := range g.counts {
+// decay halves all counts once their total reaches maxGapWeight.
+func (h *ReturnHistogram) decay() {
+	total := h.lost
+	for _, c := range h.counts {
 		total += c
 	}
-	if total < gapMemory {
+	if total < maxGapWeight {
 		return
 	}
-	g.lost /= 2
-	for step := range g.counts {
-		g.counts[step] /= 2
+	h.lost /= 2
+	for bucket := range h.counts {
+		h.counts[bucket] /= 2
 	}
 }
 
-func stepOf(gap time.Duration) int {
-	if gap <= gapFirst {
+func bucketOf(gap time.Duration) int {
+	if gap <= minBucketGap {
 		return 0
 	}
-	return min(int(math.Log2(float64(gap)/float64(gapFirst))), gapSteps-1)
+	return min(int(math.Log2(float64(gap)/float64(minBucketGap))), gapBuckets-1)
 }
 
-// ExportInput is the question whether state is worth writing to a store.
+// ExportInput is the input to the decision whether state is worth writing to a store.
 type ExportInput struct {
-	// Tokens is how much of the prompt is not kept yet.
+	// Tokens is the number of the prompt's tokens that are not stored yet.
 	Tokens int
-	// Bytes is what writing it would carry.
+	// Bytes is the amount of data to write.
 	Bytes int64
-	// ReturnProbability is how likely the prompt comes back while a store still holds it.
+	// ReturnProbability is the probability that the prompt returns while a store still has it.
 	ReturnProbability float64
-	// PrefillRate is the tokens a second that the engine computes, LinkRate the bytes a second that the link carries.
+	// PrefillRate is the number of tokens that the engine computes per second, LinkRate the link's rate in bytes a
+	// second.
 	PrefillRate float64
 	LinkRate    float64
 }
 
-// minExport is the fewest tokens that are worth a block of their own.
-const minExport = 64
+// minExportTokens is the minimum number of tokens worth a block of their own.
+const minExportTokens = 64
 
-// Decide says whether to export: the time that reading it would save, by the chance of its return, has to be more than
-// the link is taken up by writing it.
-func (e ExportInput) Decide() Verdict {
-	if e.Tokens < minExport {
+// Decide returns VerdictExport if the state should be written, otherwise the reason why not. The time that the state is
+// expected to save when the prompt returns has to exceed the expected cost of a write that is never read.
+func (in ExportInput) Decide() Verdict {
+	if in.Tokens < minExportTokens {
 		return VerdictTooSmall
 	}
-	prefill, link := e.PrefillRate, e.LinkRate
+	prefill, link := in.PrefillRate, in.LinkRate
 	if prefill <= 0 {
-		prefill = defaultPrefill
+		prefill = defaultPrefillRate
 	}
 	if link <= 0 {
 		link = DefaultLinkRate
 	}
-	transfer := float64(e.Bytes) / link
-	saved := float64(e.Tokens)/prefill - transfer
-	if e.ReturnProbability*saved <= transfer*(1-e.ReturnProbability)*backgroundCost {
+	transfer := float64(in.Bytes) / link
+	saved := float64(in.Tokens)/prefill - transfer
+	if in.ReturnProbability*saved <= transfer*(1-in.ReturnProbability)*backgroundTimeCost {
 		return VerdictReturnUnlikely
 	}
 	return VerdictExport
 }
 
-// backgroundCost is what a second of the link in the background costs against a second of a caller's waiting.
-const backgroundCost = 0.1
+// backgroundTimeCost is the cost of a second of background transfer relative to a second of a caller's waiting time.
+const backgroundTimeCost = 0.1
