--- a/deployment/config.go
+++ b/deployment/config.go
@@ -10,20 +10,19 @@
 	"github.com/rillreach/rillreach"
 )
 
-// RouteKind says what may be done again with the requests of a route.
+// RouteKind determines whether requests of a route may be retried.
 type RouteKind int
 
-// The kinds of routes.
 const (
 	// Repeatable requests may run any number of times.
 	Repeatable RouteKind = iota + 1
 	// RunOnce requests run at most once.
 	RunOnce
-	// EventStream requests are answered by a series of events, and run at most once unless the route is resumable.
+	// EventStream requests are answered with a stream of events. They run at most once unless the route is resumable.
 	EventStream
 )
 
-// String names the kind for logs and metrics.
+// String returns the name of the kind in logs and metrics.
 func (k RouteKind) String() string {
 	switch k {
 	case Repeatable:
@@ -37,170 +36,175 @@
 	}
 }
 
-// WeightedService is a service and its share of a route's requests, in parts of the sum of all shares.
+// WeightedService is a service and its weight in the split of a route's requests. Its share is its weight divided by
+// the sum of the weights of the route.
 type WeightedService struct {
 	Service rillreach.ServiceID
 	Weight  float64
 }
 
-// Route says which requests it takes, by host and path, and how they are treated.
+// Route matches requests by host and path prefix and sets how they are handled.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       RouteKind
-	// Timeout is how long a request may be held, from its arrival to the end of its answer.
+	// Timeout limits a request from its arrival to the end of its response.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to the first event of a stream, that callers expect.
+	// TargetLatency is the time to the response, or to the first event of a stream, that callers expect.
 	TargetLatency time.Duration
-	// TargetEventGap is the longest pause between events that callers expect; zero where the route does not stream.
+	// TargetEventGap is the longest gap between events that callers expect. It is zero if the route does not stream.
 	TargetEventGap time.Duration
-	// MaxRunners is how many runners one request may be sent to.
+	// MaxRunners is the maximum number of runners that one request may be sent to.
 	MaxRunners int
-	// Priority ranks requests; zero is the most urgent.
+	// Priority orders requests; zero is the most urgent.
 	Priority int
-	// WeightedServices are the services that take the route's requests.
+	// WeightedServices are the services that the route's requests are split between.
 	WeightedServices []WeightedService
-	// Public says that requests need no key.
+	// Public routes need no API key.
 	Public bool
-	// Resumable says that a stream may go on at another runner.
+	// Resumable reports whether another runner may continue an interrupted stream.
 	Resumable bool
-	// Regions are those in which its requests may run and their KV cache may be kept, nil for all.
+	// Regions are the regions in which requests may run and their KV cache may be stored; nil allows all.
 	Regions []rillreach.RegionID
 }
 
-// AtMostOnce reports that a request of the route must not run twice.
+// AtMostOnce reports whether a request of the route must not run more than once.
 func (r *Route) AtMostOnce() bool {
 	return r.Kind == RunOnce || r.Kind == EventStream && !r.Resumable
 }
 
 const (
-	// quietLeast, quietTargets and quietPauses make up how long callers of streams wait for the next event: the longest of a time,
-	// of that expected for the first event, and of that between two (the users' page on requests).
-	quietLeast   = 2 * time.Second
-	quietTargets = 4
-	quietPauses  = 8
+	// Callers of streams wait for the next event for the longest of minCallerIdleTimeout, idleTargetLatencies times
+	// the target latency and idleEventGaps times the target event gap. The user documentation states these values.
+	minCallerIdleTimeout = 2 * time.Second
+	idleTargetLatencies  = 4
+	idleEventGaps        = 8
 )
 
-// CallerIdleTimeout is how long a caller stays while nothing of its answer comes; zero says that it does so until its patience ends.
+// CallerIdleTimeout returns how long a caller is expected to stay connected without receiving any part of its response.
+// Zero means that only the request's timeout applies.
 func (r *Route) CallerIdleTimeout() time.Duration {
 	if r.Kind != EventStream {
 		return 0
 	}
-	return max(quietLeast, quietTargets*r.TargetLatency, quietPauses*r.TargetEventGap)
+	return max(minCallerIdleTimeout, idleTargetLatencies*r.TargetLatency, idleEventGaps*r.TargetEventGap)
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots              int
+	// Slots is the number of requests that an engine runs at the same time.
+	Slots int
+	// CapacityTokens is the size of an engine's KV cache in tokens.
 	CapacityTokens     int
 	CacheBytesPerToken float64
-	// LinkBitsPerSecond is the rate at which a runner moves KV cache.
+	// LinkBitsPerSecond is the rate at which a runner transfers KV cache.
 	LinkBitsPerSecond float64
 	Models            []rillreach.ModelID
 }
 
-// CacheStore is a store of kept KV cache.
+// CacheStore describes an external KV cache store.
 type CacheStore struct {
 	Address           netip.AddrPort
 	Zone              rillreach.ZoneID
 	CapacityTokens    int
 	LinkBitsPerSecond float64
-	// TransferStartDelay passes before each move begins.
+	// TransferStartDelay is the fixed delay before each transfer begins.
 	TransferStartDelay time.Duration
-	// Managed says that the store drops nothing by itself.
+	// Managed stores evict nothing by themselves: an agent frees what is no longer needed.
 	Managed bool
 }
 
-// SlowStart is how long runners are cold after a start, and how many requests a second one bears then; zero where that is not bounded.
+// SlowStart limits the request rate of a runner for some time after its start, while it is cold. Its zero value sets no
+// limit.
 type SlowStart struct {
 	Duration          time.Duration
 	RequestsPerSecond float64
 }
 
-// Service is a group of runners, or a store.
+// Service is a group of runners or a KV cache store.
 type Service struct {
 	Name rillreach.ServiceID
-	// MaxConns is how many connections a runner takes from all callers together.
-	MaxConns int
-	// SlowStart says how little a runner bears after its start.
+	// MaxConns is the number of connections that a runner accepts from all clients together.
+	MaxConns  int
 	SlowStart SlowStart
-	// Engine is set where the runners are model engines.
+	// Engine is set if the runners are model engines.
 	Engine *Engine
-	// CacheStore is set where the service is a store of KV cache.
+	// CacheStore is set if the service is a KV cache store.
 	CacheStore *CacheStore
 }
 
-// Account is a client account and its keys.
+// Account is a client account and its API keys.
 type Account struct {
 	Name rillreach.AccountID
 	Keys []string
-	// Priority goes before the route's; nil leaves the route's.
+	// Priority overrides the route's priority unless it is nil.
 	Priority *int
-	// Isolated says that the account shares no KV cache with others.
+	// Isolated accounts share no KV cache with other accounts.
 	Isolated bool
-	// Regions are those in which its requests may run and their KV cache may be kept, nil for all.
+	// Regions are the regions in which requests may run and their KV cache may be stored; nil allows all.
 	Regions []rillreach.RegionID
 }
 
-// Limits bound what a caller may send.
+// Limits apply to connections and requests of callers. MaxHeader and MaxBody are in bytes.
 type Limits struct {
 	MaxHeader int
 	MaxBody   int64
-	// HeaderTimeout bounds the time that a caller takes for a request's head, IdleTimeout a connection's rest.
+	// HeaderTimeout limits how long a caller may take to send the header of a request.
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	// IdleTimeout limits how long a connection may stay idle between requests.
+	IdleTimeout time.Duration
 }
 
 // Config is one version of the operators' configuration.
 type Config struct {
 	Version int64
-	// Revision is that of the object which holds the configuration.
+	// Revision is the revision of the stored object that contains the configuration.
 	Revision rillreach.Revision
 	Routes   []Route
 	Services map[rillreach.ServiceID]*Service
 	Accounts []Account
 	Limits   Limits
 
-	byHost map[string][]*Route
-	byKey  map[string]*Account
+	routesByHost  map[string][]*Route
+	accountsByKey map[string]*Account
 }
 
-// ConfigVersion names one version of the configuration, and where the store had it.
+// ConfigVersion identifies a version of the configuration and the revision of the stored object that contains it.
 type ConfigVersion struct {
 	Version  int64              `cbor:"1,keyasint"`
 	Revision rillreach.Revision `cbor:"2,keyasint"`
 }
 
-// ConfigVersion is the version of the configuration.
+// ConfigVersion returns the version and the revision of the configuration.
 func (c *Config) ConfigVersion() ConfigVersion {
 	return ConfigVersion{Version: c.Version, Revision: c.Revision}
 }
 
-// Check reports what is wrong with the configuration, and prepares it for look-ups.
+// Check validates the configuration and builds the indexes for Match and AccountByKey.
 func (c *Config) Check() error {
-	c.byHost = map[string][]*Route{}
-	c.byKey = map[string]*Account{}
+	c.routesByHost = map[string][]*Route{}
+	c.accountsByKey = map[string]*Account{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if len(r.WeightedServices) == 0 || r.Timeout <= 0 || r.MaxRunners < 1 || r.Kind == 0 || !strings.HasPrefix(r.PathPrefix, "/") {
-			return errors.Newf("route %q has no service, time-out, number of runners, kind or path", r.Name)
+			return errors.Newf("route %q must have a service, a timeout, a maximum number of runners, a kind and an absolute path prefix", r.Name)
 		}
 		host := strings.ToLower(r.Host)
-		c.byHost[host] = append(c.byHost[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 	}
 	for i := range c.Accounts {
 		for _, key := range c.Accounts[i].Keys {
-			c.byKey[key] = &c.Accounts[i]
+			c.accountsByKey[key] = &c.Accounts[i]
 		}
 	}
 	return nil
 }
 
-// Match returns the route with the longest prefix of the path, or nil.
+// Match returns the route of the host with the longest matching path prefix, or nil.
 func (c *Config) Match(host, path string) *Route {
 	var best *Route
-	for _, r := range c.byHost[strings.ToLower(host)] {
+	for _, r := range c.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) && (best == nil || len(r.PathPrefix) > len(best.PathPrefix)) {
 			best = r
 		}
@@ -208,13 +212,13 @@
 	return best
 }
 
-// AccountByKey returns the account that holds the key, or nil.
-func (c *Config) AccountByKey(key string) *Account { return c.byKey[key] }
+// AccountByKey returns the account that the API key belongs to, or nil.
+func (c *Config) AccountByKey(key string) *Account { return c.accountsByKey[key] }
 
-// NeedsKeys reports whether the configuration knows accounts at all.
+// NeedsKeys reports whether requests need an API key, which they do once any account is configured.
 func (c *Config) NeedsKeys() bool { return len(c.Accounts) > 0 }
 
-// CacheStores returns the stores of kept KV cache.
+// CacheStores returns the KV cache stores of all services.
 func (c *Config) CacheStores() []*CacheStore {
 	var stores []*CacheStore
 	for _, s := range c.Services {
--- a/deployment/doc.go
+++ b/deployment/doc.go
@@ -1,3 +1,3 @@
-// Package deployment holds what a process knows of the site that it serves: the operators' configuration, the runners
-// that are listed, a prompt's parts, and the settings of the process itself. It does no I/O and knows no wire names.
+// Package deployment defines the data model of a deployment: the operators' configuration, the registered runners and
+// their load, the parts of a prompt, and the settings of the process itself. It does no I/O and has no wire format.
 package deployment
--- a/deployment/prompt.go
+++ b/deployment/prompt.go
@@ -2,22 +2,23 @@
 
 import "github.com/rillreach/rillreach"
 
-// Part is a piece of a prompt, shared with the other prompts that name it after the same parts.
+// Part is a segment of a prompt. Prompts that have the same IDs up to and including a part share its KV cache.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what a request says of its prompt without its text.
+// Prompt is the metadata that a request gives about its prompt. It does not include the text.
 type Prompt struct {
 	Model rillreach.ModelID
-	// Tokens is the prompt's length, MaxOut the longest answer.
-	Tokens          int
+	// Tokens is the length of the prompt.
+	Tokens int
+	// MaxOutputTokens is the maximum length of the response.
 	MaxOutputTokens int
 	Parts           []Part
 }
 
-// SharedParts are the parts that may come again: all but the last, which is the request's own.
+// SharedParts returns the parts that other prompts may share: all but the last, which is specific to the request.
 func (p *Prompt) SharedParts() []Part {
 	if len(p.Parts) < 2 {
 		return nil
@@ -25,11 +26,11 @@
 	return p.Parts[:len(p.Parts)-1]
 }
 
-// UnsharedTokens is how many of the prompt's tokens are of no shared part.
+// UnsharedTokens returns the number of tokens in the prompt that belong to no shared part.
 func (p *Prompt) UnsharedTokens() int {
-	own := p.Tokens
+	unshared := p.Tokens
 	for _, part := range p.SharedParts() {
-		own -= part.Tokens
+		unshared -= part.Tokens
 	}
-	return max(0, own)
+	return max(0, unshared)
 }
--- a/deployment/regions.go
+++ b/deployment/regions.go
@@ -6,9 +6,10 @@
 	"github.com/rillreach/rillreach"
 )
 
-// AllowedRegions are the regions that a route and an account both allow, sorted; limited says that not all are. Of an account that is nil only the
-// route counts.
-func AllowedRegions(r *Route, a *Account) (regions []rillreach.RegionID, limited bool) {
+// AllowedRegions returns the sorted regions that both the route and the account allow. If restricted is false, all
+// regions are allowed and the list is empty; if it is true, an empty list allows none. A nil account allows all
+// regions.
+func AllowedRegions(r *Route, a *Account) (regions []rillreach.RegionID, restricted bool) {
 	regions = r.Regions
 	switch {
 	case a == nil || a.Regions == nil:
--- a/deployment/regions_test.go
+++ b/deployment/regions_test.go
@@ -14,21 +14,21 @@
 		route, account, want list
 		limited              bool
 	}{
-		"neither limits":         {},
-		"the route does":         {route: list{"b", "a"}, want: list{"a", "b"}, limited: true},
-		"the account does":       {account: list{"a"}, want: list{"a"}, limited: true},
-		"both do":                {route: list{"a", "b"}, account: list{"b", "c"}, want: list{"b"}, limited: true},
-		"both, and nothing left": {route: list{"a"}, account: list{"b"}, limited: true},
+		"unrestricted":              {},
+		"restricted by route":       {route: list{"b", "a"}, want: list{"a", "b"}, limited: true},
+		"restricted by account":     {account: list{"a"}, want: list{"a"}, limited: true},
+		"restricted by both":        {route: list{"a", "b"}, account: list{"b", "c"}, want: list{"b"}, limited: true},
+		"no region allowed by both": {route: list{"a"}, account: list{"b"}, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			regions, limited := AllowedRegions(&Route{Regions: c.route}, &Account{Regions: c.account})
+			regions, restricted := AllowedRegions(&Route{Regions: c.route}, &Account{Regions: c.account})
 			assert.ElementsMatch(t, c.want, regions)
-			assert.Equal(t, c.limited, limited)
+			assert.Equal(t, c.limited, restricted)
 		})
 	}
 }
 
-func TestSaltOfRegions(t *testing.T) {
+func TestSaltRoundTrip(t *testing.T) {
 	for _, s := range []Salt{
 		{Model: "m", Weights: 1},
 		{Model: "m", Weights: 1, Account: "a"},
--- a/deployment/runner.go
+++ b/deployment/runner.go
@@ -9,105 +9,110 @@
 	"github.com/rillreach/rillreach"
 )
 
-// WeightVersion numbers the weights of a model; it begins at one and rises.
+// WeightVersion is a version number of a model's weights. It starts at one and increases; zero is unknown.
 type WeightVersion uint64
 
-// Runner is one run of a backend server, as the platform lists it.
+// Runner is the platform's record of one run of a backend server.
 type Runner struct {
-	// ID names the runner, Generation its run: a restart keeps the one and raises the other.
+	// ID identifies the runner and Generation its run. A restart keeps the ID and increases the generation.
 	ID         rillreach.InstanceID
 	Generation rillreach.Generation
 	Service    rillreach.ServiceID
 	Address    netip.AddrPort
 	Zone       rillreach.ZoneID
 	Slots      int
-	// Revision is that of the record's last change.
+	// Revision is the revision of the record's last change.
 	Revision rillreach.Revision
-	// Leaving says that the runner is about to end and takes nothing new.
+	// Leaving reports that the runner is about to stop and accepts no new requests.
 	Leaving bool
-	// ColdRemaining is for how much longer after its record was written the runner bears few requests, and ColdUntil when that ends at the latest, by the
-	// clock of the process that has read the record; zero where it doesn't.
+	// ColdRemaining is how long the runner stays cold (see SlowStart), counted from the time the record was written.
+	// ColdUntil is the latest end of that period by the clock of the process that has read the record. Both are zero
+	// for a runner that is not cold.
 	ColdRemaining time.Duration
 	ColdUntil     time.Time
-	// Weights are the versions of the models that it has loaded.
+	// Weights maps each loaded model to the version of its weights.
 	Weights map[rillreach.ModelID]WeightVersion
 }
 
-// Run is the run that the record is of.
+// Run returns the run that the record describes.
 func (r Runner) Run() rillreach.InstanceRun {
 	return rillreach.InstanceRun{ID: r.ID, Generation: r.Generation}
 }
 
-// mostSlots is more than any engine's batch holds; a record that names more was misread or made up.
-const mostSlots = 1 << 20
+// maxSlots exceeds the batch size of any engine. A record with more slots is corrupt or forged.
+const maxSlots = 1 << 20
 
-// Check reports why the runner can't be used.
+// Check reports why the runner can't be used, if it can't.
 func (r *Runner) Check() error {
 	switch {
 	case r.ID == "" || r.Service == "" || r.Zone == "":
-		return errors.New("runner has no identifier, service or zone")
+		return errors.New("runner lacks an ID, a service or a zone")
 	case !r.Address.IsValid() || r.Address.Port() == 0:
-		return errors.Newf("runner has address %q", r.Address)
+		return errors.Newf("runner has invalid address %q", r.Address)
 	case r.Address.Addr().IsUnspecified() || r.Address.Addr().IsMulticast():
-		return errors.Newf("runner has address %q, which is nobody's", r.Address)
-	case r.Slots < 1 || r.Slots > mostSlots:
-		return errors.Newf("runner has %d slots", r.Slots)
+		return errors.Newf("runner has address %q, which is unspecified or multicast", r.Address)
+	case r.Slots < 1 || r.Slots > maxSlots:
+		return errors.Newf("runner has an invalid number of slots: %d", r.Slots)
 	default:
 		return nil
 	}
 }
 
-// DesiredWeights is the newest version of a model's weights that the operators want.
+// DesiredWeights is the version of a model's weights that the operators last requested.
 type DesiredWeights struct {
 	Model   rillreach.ModelID `cbor:"1,keyasint"`
 	Version WeightVersion     `cbor:"2,keyasint"`
-	// Revision is that of the object which names the version.
+	// Revision is the revision of the stored object that contains the version.
 	Revision rillreach.Revision `cbor:"3,keyasint"`
 }
 
-// eraBits is where in a fencing token the era begins, above the store's counter of changes.
-const eraBits = 32
+// eraShift is the position of the era in a fencing token: the lower bits hold the object store's change counter.
+const eraShift = 32
 
-// FencingToken is the fencing token of orders for the version. It grows with each name that is written, also where the store gives revisions out again.
+// FencingToken returns the fencing token of orders to load this version. It increases with each change of the stored
+// object, even if the object store was restored from a backup and reuses revision numbers.
 func (w DesiredWeights) FencingToken() uint64 {
-	return (max(w.Revision.Era, 1)-1)<<eraBits + w.Revision.Number
+	return (max(w.Revision.Era, 1)-1)<<eraShift + w.Revision.Number
 }
 
-// Load is what a runner reports of itself.
+// Load is the state that a runner reports about itself.
 type Load struct {
-	// Generation is that of the run which reports.
+	// Generation identifies the run that reports.
 	Generation rillreach.Generation
-	// Waiting requests have not begun, Running ones have, Unread ones of these have no event yet.
-	Waiting            int
-	Running            int
+	// Waiting is the number of requests in the runner's queue.
+	Waiting int
+	// Running is the number of requests that have started.
+	Running int
+	// AwaitingFirstEvent is the number of running requests that have not produced an event yet.
 	AwaitingFirstEvent int
 	Weights            map[rillreach.ModelID]WeightVersion
-	// LoadingWeights says that the runner carries out an order, or is about to.
+	// LoadingWeights reports that the runner executes an order to load weights, or is about to.
 	LoadingWeights bool
-	// OrdersTaken is how many orders the runner has taken since its start.
+	// OrdersTaken is the number of orders that the runner has accepted since its start.
 	OrdersTaken uint64
-	// UsedTokens is how much of its memory, in tokens, cannot give way, of Capacity.
+	// UsedTokens is how much of the KV cache's CapacityTokens is in use and cannot be evicted.
 	UsedTokens     int
 	CapacityTokens int
 	Leaving        bool
-	// Unresponsive says that the runner does not answer its agent.
+	// Unresponsive reports that the runner does not answer its agent.
 	Unresponsive bool
-	// Clock is the runners' common clock at the time of the report.
+	// Clock is the time of the report by the clock that all runners share.
 	Clock time.Time
 }
 
-// mostReported is more requests, or tokens, than any runner can have; a report beyond it was misread or made up.
-const mostReported = 1 << 30
+// maxReportedCount exceeds the number of requests or tokens that any runner can have. A higher report is corrupt or
+// forged.
+const maxReportedCount = 1 << 30
 
-// Check reports why the load can't be true.
+// Check reports a value that no runner can have.
 func (l *Load) Check() error {
 	for _, n := range []int{l.Waiting, l.Running, l.AwaitingFirstEvent, l.UsedTokens, l.CapacityTokens} {
-		if n < 0 || n > mostReported {
-			return errors.Newf("runner reports a number of %d", n)
+		if n < 0 || n > maxReportedCount {
+			return errors.Newf("runner reports an invalid count: %d", n)
 		}
 	}
 	if l.AwaitingFirstEvent > l.Running {
-		return errors.Newf("runner reports %d unread requests of %d", l.AwaitingFirstEvent, l.Running)
+		return errors.Newf("runner reports %d requests that await their first event, but only %d running requests", l.AwaitingFirstEvent, l.Running)
 	}
 	return nil
 }
--- a/deployment/runner_test.go
+++ b/deployment/runner_test.go
@@ -8,13 +8,14 @@
 	"github.com/rillreach/rillreach"
 )
 
-// A lower fencing token after a higher one would be refused, or break the order of holders.
-func TestFenceGrowsOverEras(t *testing.T) {
-	fence := func(era, number uint64) uint64 {
+// Runners refuse a fencing token that is lower than an earlier one. A token that fell when the object store was
+// restored would therefore block orders, or let an outdated holder's orders win.
+func TestFencingTokenGrowsAcrossEras(t *testing.T) {
+	token := func(era, number uint64) uint64 {
 		return DesiredWeights{Revision: rillreach.Revision{Era: era, Number: number}}.FencingToken()
 	}
-	assert.Greater(t, fence(2, 10), fence(1, 90))
-	assert.Greater(t, fence(3, 1), fence(2, 1<<31))
-	assert.Equal(t, uint64(90), fence(0, 90), "a store that tells no era")
-	assert.Equal(t, fence(0, 90), fence(1, 90), "the first answer without the header, the next with it")
+	assert.Greater(t, token(2, 10), token(1, 90))
+	assert.Greater(t, token(3, 1), token(2, 1<<31))
+	assert.Equal(t, uint64(90), token(0, 90), "store without an era")
+	assert.Equal(t, token(0, 90), token(1, 90), "era header missing from the first response only")
 }
--- a/deployment/salt.go
+++ b/deployment/salt.go
@@ -7,18 +7,19 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Salt says whose KV cache a part belongs to: what was made for another model, by other weights, or behind an isolated
-// account's wall has another salt, and so cannot be found.
+// Salt separates KV cache entries that must not be shared. Entries of another model, of other weights, of an isolated
+// account or of other allowed regions have a different salt and are never found under this one.
 type Salt struct {
 	Model   rillreach.ModelID
 	Weights WeightVersion
-	// Account is set for an isolated account alone.
+	// Account is set only for isolated accounts.
 	Account rillreach.AccountID
-	// Regions are those that the parts may be in, sorted; none where they may be in any.
+	// Regions are the sorted regions in which the cache may be stored; empty if all are allowed.
 	Regions []rillreach.RegionID
 }
 
-// String is the form in which runners and stores get the salt; it is empty where the weights are not known.
+// String returns the form in which runners and cache stores receive the salt. It is empty if the version of the weights
+// is unknown.
 func (s Salt) String() string {
 	if s.Weights == 0 {
 		return ""
@@ -33,15 +34,15 @@
 	return text
 }
 
-// regionSeparator stands between regions; no region's name holds it.
+// regionSeparator separates regions. It does not occur in region names.
 const regionSeparator = ","
 
 func joinRegions(regions []rillreach.RegionID) string {
-	texts := make([]string, len(regions))
+	names := make([]string, len(regions))
 	for i, region := range regions {
-		texts[i] = string(region)
+		names[i] = string(region)
 	}
-	return strings.Join(texts, regionSeparator)
+	return strings.Join(names, regionSeparator)
 }
 
 func splitRegions(text string) []rillreach.RegionID {
@@ -55,7 +56,7 @@
 	return regions
 }
 
-// ParseSalt reads a salt in that form; it reports whether the text is one.
+// ParseSalt parses the result of Salt.String and reports whether the text is a valid salt.
 func ParseSalt(text string) (Salt, bool) {
 	version, rest, ok := strings.Cut(text, "/")
 	n, err := strconv.ParseUint(version, 10, 64)
--- a/deployment/settings.go
+++ b/deployment/settings.go
@@ -9,64 +9,68 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Bounds are the times and shares that the site promises its callers and its operators.
+// Bounds are the limits that the deployment guarantees to its callers and operators.
 type Bounds struct {
-	// Recovery is how long after the last trouble, of its own or of the object store, an instance has to keep the bounds again.
+	// Recovery is the time after the end of a failure, of an instance or of the object store, within which the instance
+	// must meet the other bounds again.
 	Recovery time.Duration
-	// RunnerDrainNotice is how long after the notice a leaving runner may still be sent requests.
+	// RunnerDrainNotice is how long requests may still be sent to a runner after it has announced that it is leaving.
 	RunnerDrainNotice time.Duration
-	// GracePeriod is how long a process has from the signal to its end.
+	// GracePeriod is the time from the termination signal until the process must have exited.
 	GracePeriod time.Duration
-	// RetryRatio, RetryWindow and RetrySlack bound the sends beyond a request's first: over the window, not more than the
-	// ratio of the requests plus the slack, over all entries together.
+	// RetryRatio, RetryWindow and RetrySlack limit retries, summed over all entries: within RetryWindow, there are at
+	// most RetryRatio times the number of requests, plus RetrySlack.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// ZoneEvacuation is how soon a zone that is evacuated gets nothing more; zero where none ever is.
+	// ZoneEvacuation is the time after which an evacuated zone receives no more requests. It is zero if the deployment
+	// does not support evacuations.
 	ZoneEvacuation time.Duration
-	// SlowStartFactor and SlowStartSlack bound the requests that a cold runner gets in any one second from all entries: what it bears a second
-	// times the one, plus the other.
+	// SlowStartFactor and SlowStartSlack limit the requests that a cold runner receives from all entries in any second
+	// to its SlowStart.RequestsPerSecond times SlowStartFactor, plus SlowStartSlack.
 	SlowStartFactor float64
 	SlowStartSlack  float64
-	// WeightsRollout is how soon new weights are in use.
+	// WeightsRollout is the time within which newly requested weights are in use.
 	WeightsRollout time.Duration
 }
 
-// Settings are what the platform tells a process at its start.
+// Settings are the settings that the platform gives a process at its start.
 type Settings struct {
 	Name string
 	Zone rillreach.ZoneID
 	Host netip.Addr
-	// Regions are the regions of the availability zones.
+	// Regions maps availability zones to their regions.
 	Regions map[rillreach.ZoneID]rillreach.RegionID
 	Bounds  Bounds
 	// ObjectStoreAddress is the address of the platform's object store.
 	ObjectStoreAddress netip.AddrPort
-	// CallerAddress and Readiness are the addresses of an entry for callers and for the balancer's question.
-	CallerAddress    netip.AddrPort
+	// CallerAddress is the address on which an entry accepts requests from callers.
+	CallerAddress netip.AddrPort
+	// ReadinessAddress is the address on which an entry answers the load balancer's readiness probes.
 	ReadinessAddress netip.AddrPort
-	// RunnerAddress is the address of the runner on the same instance, Service its service; they are set for an agent.
+	// RunnerAddress and Service are the address and the service of the runner on the same instance. They are set only
+	// for agents.
 	RunnerAddress netip.AddrPort
 	Service       rillreach.ServiceID
-	// FirstPort and LastPort bound the ports for traffic between the system's processes; they are alike everywhere.
+	// FirstPort and LastPort are the range of ports for internal traffic. It is the same for all processes.
 	FirstPort uint16
 	LastPort  uint16
-	// MemoryMB bounds the process's memory, in units of 2^20 bytes.
+	// MemoryMB is the memory limit of the process in MiB.
 	MemoryMB int
 }
 
-// Check reports all that is wrong with the settings.
+// Check reports all required settings that are missing or invalid.
 func (s *Settings) Check() error {
-	var faults error
-	add := func(bad bool, what string) {
-		if bad {
-			faults = errors.Join(faults, errors.New(what))
+	var errs error
+	check := func(invalid bool, message string) {
+		if invalid {
+			errs = errors.Join(errs, errors.New(message))
 		}
 	}
-	add(s.Name == "", "name of the instance is missing")
-	add(!s.Host.IsValid(), "address of the instance is missing")
-	add(!s.ObjectStoreAddress.IsValid(), "address of the object store is missing")
-	add(s.FirstPort == 0 || s.LastPort < s.FirstPort, "range of ports between processes is missing")
-	add(s.Bounds.GracePeriod <= 0, "grace period is missing")
-	return faults
+	check(s.Name == "", "name of the instance is missing")
+	check(!s.Host.IsValid(), "address of the instance is missing")
+	check(!s.ObjectStoreAddress.IsValid(), "address of the object store is missing")
+	check(s.FirstPort == 0 || s.LastPort < s.FirstPort, "range of ports for internal traffic is missing or invalid")
+	check(s.Bounds.GracePeriod <= 0, "grace period is missing")
+	return errs
 }
