--- a/notify/era_test.go
+++ b/notify/era_test.go
@@ -9,33 +9,34 @@
 	"github.com/rillreach/rillreach"
 )
 
-// A relay that stands in an earlier era of the store than its listener must not keep that from asking.
-func TestNoticesOfAnEarlierEra(t *testing.T) {
+// After the object store was restored, a relay may still send notices from the earlier era, whose revision numbers are
+// higher. They must not keep a process from polling for changes of the new era.
+func TestNoticesFromEarlierEra(t *testing.T) {
 	old := Notice{Kind: KindConfig, Revision: rillreach.Revision{Era: 1, Number: 90}}
 	restored := Notice{Kind: KindConfig, Revision: rillreach.Revision{Era: 2, Number: 10}}
-	due := func(tracker *Tracker, followed rillreach.Revision) bool {
-		return tracker.ShouldPoll(KindConfig, followed, start, trust)
+	shouldPoll := func(tracker *Tracker, known rillreach.Revision) bool {
+		return tracker.ShouldPoll(KindConfig, known, start, maxAge)
 	}
-	t.Run("one that has followed the later era asks by itself", func(t *testing.T) {
+	t.Run("a process that knows the later era polls", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(old, start)
-		assert.True(t, due(&tracker, restored.Revision))
-		assert.False(t, due(&tracker, old.Revision))
+		assert.True(t, shouldPoll(&tracker, restored.Revision))
+		assert.False(t, shouldPoll(&tracker, old.Revision))
 	})
-	t.Run("one that hears of the later era asks, whatever others say", func(t *testing.T) {
+	t.Run("a later notice from the earlier era does not hide the new era", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(restored, start)
 		tracker.Receive(old, start)
-		assert.True(t, due(&tracker, old.Revision))
-		assert.False(t, due(&tracker, restored.Revision))
+		assert.True(t, shouldPoll(&tracker, old.Revision))
+		assert.False(t, shouldPoll(&tracker, restored.Revision))
 	})
-	t.Run("the word of the earlier era confirms nothing of the later one", func(t *testing.T) {
+	t.Run("a notice from the earlier era does not confirm the later era", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(restored, start.Add(-time.Hour))
 		tracker.Receive(old, start)
-		assert.True(t, due(&tracker, restored.Revision))
+		assert.True(t, shouldPoll(&tracker, restored.Revision))
 	})
-	t.Run("a relay tells of the later era though its revision is lower", func(t *testing.T) {
+	t.Run("a relay reports the later era although its revision number is lower", func(t *testing.T) {
 		var p Progress
 		p.RecordResponse(start, old.Revision, true)
 		p.RecordResponse(start, restored.Revision, true)
--- a/notify/notice.go
+++ b/notify/notice.go
@@ -8,31 +8,32 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Kind is a kind of objects.
+// Kind is a kind of object that relays watch.
 type Kind uint8
 
-// The kinds of objects that relays watch.
 const (
+	// KindConfig is the operators' configuration.
 	KindConfig Kind = iota + 1
+	// KindRunners is the list of runners.
 	KindRunners
 )
 
-// Notice says how far a relay has followed the objects of a kind.
+// Notice reports how current a relay's view of the objects of a kind is.
 type Notice struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// Revision is the store's when the relay last saw a change of the kind.
+	// Revision is the store's revision at the last change that the relay has seen.
 	Revision rillreach.Revision `cbor:"2,keyasint"`
-	// Age is how long before this notice the store last answered the relay.
+	// Age is the time since the last response of the store to the relay.
 	Age time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Check reports what is wrong with the notice.
+// Check reports whether the notice is invalid.
 func (n Notice) Check() error {
 	if n.Kind < KindConfig || n.Kind > KindRunners {
-		return errors.Newf("notice of an unknown kind %d", n.Kind)
+		return errors.Newf("notice has unknown kind %d", n.Kind)
 	}
 	if n.Age < 0 {
-		return errors.Newf("notice has an age of %s", n.Age)
+		return errors.Newf("notice has negative age %s", n.Age)
 	}
 	return nil
 }
--- a/notify/notify_test.go
+++ b/notify/notify_test.go
@@ -10,44 +10,44 @@
 	"github.com/rillreach/rillreach"
 )
 
-const trust = 2 * time.Second
+const maxAge = 2 * time.Second
 
 var start = time.Unix(1000, 0)
 
-func TestDue(t *testing.T) {
-	due := func(tracker *Tracker, revision uint64, after time.Duration) bool {
-		return tracker.ShouldPoll(KindConfig, rillreach.Revision{Number: revision}, start.Add(after), trust)
+func TestShouldPoll(t *testing.T) {
+	shouldPoll := func(tracker *Tracker, revision uint64, after time.Duration) bool {
+		return tracker.ShouldPoll(KindConfig, rillreach.Revision{Number: revision}, start.Add(after), maxAge)
 	}
-	t.Run("a process that hears no relay asks by itself", func(t *testing.T) {
-		assert.True(t, due(&Tracker{}, 5, 0))
+	t.Run("polls without notices", func(t *testing.T) {
+		assert.True(t, shouldPoll(&Tracker{}, 5, 0))
 	})
-	t.Run("one that has all that a relay has seen does not", func(t *testing.T) {
+	t.Run("does not poll when up to date with a relay", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 5}}, start)
-		assert.False(t, due(&tracker, 5, trust))
+		assert.False(t, shouldPoll(&tracker, 5, maxAge))
 	})
-	t.Run("one that has not asks at once, whatever others say", func(t *testing.T) {
+	t.Run("polls when one relay has seen a later change, even if another has not", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 6}}, start)
 		tracker.Receive(Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 5}}, start)
-		assert.True(t, due(&tracker, 5, 0))
+		assert.True(t, shouldPoll(&tracker, 5, 0))
 	})
-	t.Run("a relay's word holds from the store's answer on, and its age counts", func(t *testing.T) {
+	t.Run("counts the maximum age from the store's response to the relay", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 5}, Age: time.Second}, start)
-		assert.False(t, due(&tracker, 5, trust-time.Second))
-		assert.True(t, due(&tracker, 5, trust-time.Second+1))
+		assert.False(t, shouldPoll(&tracker, 5, maxAge-time.Second))
+		assert.True(t, shouldPoll(&tracker, 5, maxAge-time.Second+1))
 	})
-	t.Run("an older word takes nothing from a newer one", func(t *testing.T) {
+	t.Run("an older confirmation does not replace a newer one", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 5}}, start)
 		tracker.Receive(Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 5}, Age: time.Hour}, start)
 		assert.Equal(t, start, tracker.ConfirmedAt(KindConfig))
 	})
-	t.Run("the word on one kind says nothing of another", func(t *testing.T) {
+	t.Run("a notice of one kind does not confirm another", func(t *testing.T) {
 		var tracker Tracker
 		tracker.Receive(Notice{Kind: KindRunners, Revision: rillreach.Revision{Number: 5}}, start)
-		assert.True(t, due(&tracker, 5, 0))
+		assert.True(t, shouldPoll(&tracker, 5, 0))
 	})
 }
 
@@ -75,12 +75,12 @@
 func TestProgress(t *testing.T) {
 	var p Progress
 	_, ok := p.Notice(KindConfig, start)
-	require.False(t, ok, "nothing is known before the first answer")
+	require.False(t, ok, "no notice before the first response")
 	p.RecordResponse(start, rillreach.Revision{Number: 7}, true)
 	p.RecordResponse(start.Add(time.Second), rillreach.Revision{Number: 9}, false)
 	n, ok := p.Notice(KindConfig, start.Add(3*time.Second))
 	require.True(t, ok)
-	assert.Equal(t, Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 7}, Age: 2 * time.Second}, n, "the revision is that of the last change, the age that of the last answer")
+	assert.Equal(t, Notice{Kind: KindConfig, Revision: rillreach.Revision{Number: 7}, Age: 2 * time.Second}, n, "revision of the last change, age of the last response")
 }
 
 func TestCheck(t *testing.T) {
--- a/notify/tracker.go
+++ b/notify/tracker.go
@@ -8,67 +8,73 @@
 	"github.com/rillreach/rillreach/internal/broadcast"
 )
 
-// Tracker is what relays have told a process; its zero value has heard nothing.
+// Tracker merges the notices that a process receives from relays. Its zero value is ready to use, and its methods may
+// be called concurrently.
 type Tracker struct {
-	newer broadcast.Signal
+	newRevision broadcast.Signal
 
 	mu    sync.Mutex
-	kinds map[Kind]heard
+	kinds map[Kind]kindState
 }
 
-// heard is what is known of one kind.
-type heard struct {
-	revision  rillreach.Revision
-	confirmed time.Time
+// kindState is the state of one kind.
+type kindState struct {
+	// revision is the newest revision in any notice.
+	revision rillreach.Revision
+	// confirmedAt is the last time at which the store had no newer revision, according to a relay.
+	confirmedAt time.Time
 }
 
-// Receive takes over a notice that has just come.
+// Receive processes a notice that arrived at the given time.
 func (t *Tracker) Receive(n Notice, now time.Time) {
-	if t.take(n, now) {
-		t.newer.Wake()
+	if t.apply(n, now) {
+		t.newRevision.Wake()
 	}
 }
 
-// take takes over a notice; it reports whether it tells of a newer revision. A relay that has not heard of the store's present era confirms nothing.
-func (t *Tracker) take(n Notice, now time.Time) bool {
+// apply merges a notice and reports whether its revision is the newest so far. It ignores notices from an earlier era:
+// such a relay has not noticed yet that the store was restored, so that its response times confirm nothing.
+func (t *Tracker) apply(n Notice, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.kinds == nil {
-		t.kinds = map[Kind]heard{}
+		t.kinds = map[Kind]kindState{}
 	}
-	h := t.kinds[n.Kind]
-	if n.Revision.Era < h.revision.Era {
+	state := t.kinds[n.Kind]
+	if n.Revision.Era < state.revision.Era {
 		return false
 	}
-	newer := n.Revision.After(h.revision)
-	if n.Revision.Era > h.revision.Era {
-		h.confirmed = time.Time{}
+	isNewer := n.Revision.After(state.revision)
+	if n.Revision.Era > state.revision.Era {
+		state.confirmedAt = time.Time{}
 	}
-	if newer {
-		h.revision = n.Revision
+	if isNewer {
+		state.revision = n.Revision
 	}
-	if at := now.Add(-n.Age); at.After(h.confirmed) {
-		h.confirmed = at
+	if confirmed := now.Add(-n.Age); confirmed.After(state.confirmedAt) {
+		state.confirmedAt = confirmed
 	}
-	t.kinds[n.Kind] = h
-	return newer
+	t.kinds[n.Kind] = state
+	return isNewer
 }
 
-// Changed gives a channel that is closed with the next newer revision of any kind.
-func (t *Tracker) Changed() <-chan struct{} { return t.newer.Wait() }
+// Changed returns a channel that is closed when a newer revision of any kind is received.
+func (t *Tracker) Changed() <-chan struct{} { return t.newRevision.Wait() }
 
-// ConfirmedAt is when a relay last knew the newest objects of the kind, the zero time where none has told.
+// ConfirmedAt returns the last time at which the store had no changes of the kind that were newer than those notified,
+// according to a relay. It is zero if no relay has confirmed that.
 func (t *Tracker) ConfirmedAt(kind Kind) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.kinds[kind].confirmed
+	return t.kinds[kind].confirmedAt
 }
 
-// ShouldPoll reports that a process that has followed a kind up to a revision should ask the store: a relay has seen a later change, or none has
-// told in the revision's era for longer than the given time that there is none.
-func (t *Tracker) ShouldPoll(kind Kind, revision rillreach.Revision, now time.Time, trust time.Duration) bool {
+// ShouldPoll reports whether a process that knows all changes of a kind up to a revision should query the store. It
+// should if a relay has reported a later change, if relays know only an earlier era, or if no relay has confirmed
+// within maxAge that there is no later change.
+func (t *Tracker) ShouldPoll(kind Kind, known rillreach.Revision, now time.Time, maxAge time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.kinds[kind]
-	return h.revision.After(revision) || h.revision.Era < revision.Era || now.Sub(h.confirmed) > trust
+	state := t.kinds[kind]
+	return state.revision.After(known) || state.revision.Era < known.Era || now.Sub(state.confirmedAt) > maxAge
 }
