--- a/poison/answered.go
+++ b/poison/answered.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// answeredLimit bounds how many answered requests are remembered, some 0.5 MB: an entry with 10 requests a second remembers half an hour.
-const answeredLimit = 8192
+// maxAnswered limits an answeredSet to about 0.5 MB. At 10 requests per second, an entry remembers each request for 7
+// to 14 minutes.
+const maxAnswered = 8192
 
-// answered remembers which requests runners have answered lately, in two generations, the older of which is dropped once the newer is full or
-// as old as Window; its zero value is ready.
-type answered struct {
-	newer, older map[Fingerprint]struct{}
-	begun        time.Time
+// answeredSet is a set of the requests that runners have recently answered. It has two generations: once the current
+// one is full or Window old, it replaces the previous one. The zero value is an empty set.
+type answeredSet struct {
+	current, previous map[Fingerprint]struct{}
+	currentSince      time.Time
 }
 
-// add records that a runner has answered such a request.
-func (a *answered) add(now time.Time, f Fingerprint) {
-	if a.newer == nil || len(a.newer) >= answeredLimit/2 || now.Sub(a.begun) >= Window {
-		a.older, a.newer, a.begun = a.newer, map[Fingerprint]struct{}{}, now
+// add records that a runner has answered a request with the fingerprint.
+func (a *answeredSet) add(now time.Time, f Fingerprint) {
+	if a.current == nil || len(a.current) >= maxAnswered/2 || now.Sub(a.currentSince) >= Window {
+		a.previous, a.current, a.currentSince = a.current, map[Fingerprint]struct{}{}, now
 	}
-	a.newer[f] = struct{}{}
+	a.current[f] = struct{}{}
 }
 
-// has reports that a runner has answered such a request lately.
-func (a *answered) has(f Fingerprint) bool {
-	if _, ok := a.newer[f]; ok {
+// contains reports whether a runner has recently answered a request with the fingerprint.
+func (a *answeredSet) contains(f Fingerprint) bool {
+	if _, ok := a.current[f]; ok {
 		return true
 	}
-	_, ok := a.older[f]
+	_, ok := a.previous[f]
 	return ok
 }
--- a/poison/crash.go
+++ b/poison/crash.go
@@ -8,27 +8,30 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Crash says that a request was under way at a run of a runner when that ended.
+// Crash records that a run of a runner ended while it was processing a request.
 type Crash struct {
 	Request Fingerprint `cbor:"1,keyasint"`
-	// Runner and Generation name the run; the generation is zero where nobody knows it.
+	// Runner and Generation identify the run. The generation is zero if unknown.
 	Runner     rillreach.InstanceID `cbor:"2,keyasint"`
 	Generation rillreach.Generation `cbor:"3,keyasint,omitempty"`
-	// Age is how long ago the run ended when the message was made.
+	// Age is the time from the end of the run to the creation of this message.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
-	// Cleared says that a runner has answered such a request since, so that this crash isn't held against it.
+	// Cleared crashes no longer count against the request, since a runner has processed a request with the same
+	// fingerprint successfully, or further than any runner that crashed.
 	Cleared bool `cbor:"5,keyasint,omitempty"`
-	// Received is how much of its answer the request had when the run ended, in bytes.
+	// Received is the number of response bytes that had been received when the run ended.
 	Received int64 `cbor:"6,keyasint,omitempty"`
-	// Trial says that the request was sent as a trial.
+	// Trial reports that the request was sent as a trial (see VerdictTrial).
 	Trial bool `cbor:"7,keyasint,omitempty"`
-	// Answered says that runners had answered such requests before, as far as whoever saw the crash knows.
+	// Answered reports that runners had answered requests with the same fingerprint before, as far as the reporting
+	// entry knows.
 	Answered bool `cbor:"8,keyasint,omitempty"`
-	// Outage says that most runs of the service ended at that moment, so that the request is one suspect among many.
+	// Outage reports that a large part of the service's runs ended at about the same time, so that this request is
+	// probably not the cause.
 	Outage bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Check reports what is wrong with the message.
+// Check reports whether the crash is invalid.
 func (c Crash) Check() error {
 	if c.Runner == "" {
 		return errors.New("crash names no runner")
@@ -42,7 +45,7 @@
 	return nil
 }
 
-// merge joins what two tell of the same crash, in whichever order.
+// merge combines two reports of the same crash. Their order does not affect the result.
 func (c Crash) merge(other Crash) Crash {
 	c.Received = max(c.Received, other.Received)
 	c.Cleared = c.Cleared || other.Cleared
@@ -52,12 +55,12 @@
 	return c
 }
 
-// Report tells an agent of crashes, which it tells all entries that follow it.
+// Report reports crashes to an agent, which forwards them to all entries that follow it.
 type Report struct {
 	Crashes []Crash `cbor:"1,keyasint"`
 }
 
-// Check reports what is wrong with the message.
+// Check reports whether the message is invalid.
 func (r Report) Check() error {
 	for _, c := range r.Crashes {
 		if err := c.Check(); err != nil {
@@ -67,16 +70,16 @@
 	return nil
 }
 
-// Receipt says that an agent has taken a report.
+// Receipt acknowledges a Report.
 type Receipt struct {
-	// New is how many of the crashes the agent hadn't known.
+	// New is the number of crashes that were new to the agent.
 	New int `cbor:"1,keyasint,omitempty"`
 }
 
-// Check reports what is wrong with the message.
+// Check reports whether the message is invalid.
 func (r Receipt) Check() error {
 	if r.New < 0 {
-		return errors.Newf("receipt of %d crashes", r.New)
+		return errors.Newf("crash receipt has a negative number of new crashes: %d", r.New)
 	}
 	return nil
 }
--- a/poison/doc.go
+++ b/poison/doc.go
@@ -1,3 +1,3 @@
-// Package poison keeps account of the requests under which runners have ended, so that one which ends each runner that begins it is
-// held back after a few. It does no input or output, and takes the time from whoever calls it.
+// Package poison detects requests that crash the runners that process them, and quarantines such a request after a few
+// crashes. It does no I/O, and its callers pass in the current time.
 package poison
--- a/poison/eviction.go
+++ b/poison/eviction.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// spareShare is the part of the limit that is dropped at once where it is reached, so that a flood sorts the records seldom.
-	spareShare = 4
-	// expireEvery is how often crashes are looked for that have grown too old.
-	expireEvery = 10 * time.Second
+	// evictionDivisor sets how much is evicted at once: at the limit, the records are reduced by 1/evictionDivisor of it.
+	// Evicting many at once keeps the sorting rare if crashes come in at a high rate.
+	evictionDivisor = 4
+	// expiryInterval is the interval between searches for expired crashes.
+	expiryInterval = 10 * time.Second
 )
 
-// expire forgets the crashes that no longer count for their age; the lock is held.
+// expire removes crashes older than Window. The caller must hold the lock.
 func (t *Tracker) expire(now time.Time) {
-	if now.Before(t.expires) {
+	if now.Before(t.nextExpiry) {
 		return
 	}
-	t.expires = now.Add(expireEvery)
-	maps.DeleteFunc(t.trials, func(_ Fingerprint, until time.Time) bool { return !now.Before(until) })
+	t.nextExpiry = now.Add(expiryInterval)
+	maps.DeleteFunc(t.trialDeadlines, func(_ Fingerprint, until time.Time) bool { return !now.Before(until) })
 	var next *list.Element
-	for e := t.changes.Front(); e != nil; e = next {
+	for e := t.records.Front(); e != nil; e = next {
 		next = e.Next()
 		if now.Sub(e.Value.(*record).at) >= Window {
 			t.remove(e)
@@ -31,39 +32,39 @@
 	}
 }
 
-// shrink drops the crashes that matter least; the lock is held.
-func (t *Tracker) shrink(now time.Time) {
-	type ranked struct {
+// evict removes the least important crashes (see Tracker.Limit). The caller must hold the lock.
+func (t *Tracker) evict(now time.Time) {
+	type candidate struct {
 		element *list.Element
 		crashes int
 	}
-	all := make([]ranked, 0, t.changes.Len())
-	for e := t.changes.Front(); e != nil; e = e.Next() {
+	candidates := make([]candidate, 0, t.records.Len())
+	for e := t.records.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*record)
-		n := 0
-		if r.counts(now) {
-			n = t.count(now, r.crash.Request)
+		runs := 0
+		if r.active(now) {
+			runs = t.activeRuns(now, r.crash.Request)
 		}
-		all = append(all, ranked{element: e, crashes: n})
+		candidates = append(candidates, candidate{element: e, crashes: runs})
 	}
-	slices.SortStableFunc(all, func(a, b ranked) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.crashes, b.crashes), a.element.Value.(*record).at.Compare(b.element.Value.(*record).at))
 	})
-	for _, r := range all[:len(all)-t.limit()*(spareShare-1)/spareShare] {
-		t.remove(r.element)
+	for _, c := range candidates[:len(candidates)-t.limit()*(evictionDivisor-1)/evictionDivisor] {
+		t.remove(c.element)
 	}
 }
 
-// remove forgets one crash; the lock is held.
+// remove removes one crash. The caller must hold the lock.
 func (t *Tracker) remove(e *list.Element) {
 	f := e.Value.(*record).crash.Request
-	t.changes.Remove(e)
-	rest := slices.DeleteFunc(t.requests[f], func(other *list.Element) bool { return other == e })
-	if len(rest) == 0 {
+	t.records.Remove(e)
+	remaining := slices.DeleteFunc(t.requests[f], func(other *list.Element) bool { return other == e })
+	if len(remaining) == 0 {
 		delete(t.requests, f)
 		return
 	}
-	t.requests[f] = rest
+	t.requests[f] = remaining
 }
 
 func (t *Tracker) limit() int { return cmp.Or(t.Limit, DefaultLimit) }
--- a/poison/fingerprint.go
+++ b/poison/fingerprint.go
@@ -6,31 +6,32 @@
 	"github.com/rillreach/rillreach/internal/hash"
 )
 
-// FingerprintSize is how many bytes of a request's hash are kept: nobody finds two requests that share 128 bits of it.
+// FingerprintSize is the length of a fingerprint in bytes. Finding two requests with the same 128 bits is infeasible.
 const FingerprintSize = 16
 
-// Fingerprint stands for all requests that are the same to a runner; nothing of a request can be read from it.
+// Fingerprint is a hash that identifies equal requests. It reveals nothing about the contents of a request.
 type Fingerprint [FingerprintSize]byte
 
-// String is the beginning of the fingerprint, which tells requests apart in a log.
-func (f Fingerprint) String() string { return hex.EncodeToString(f[:shown]) }
+// String returns the first bytes of the fingerprint in hexadecimal, as an identifier for logs.
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:loggedBytes]) }
 
-// shown is how many bytes of a fingerprint go to a log: one in 4 billion requests shares them with another.
-const shown = 4
+// loggedBytes is the number of bytes of a fingerprint that are logged. Two requests share them with a probability of 1
+// in 4 billion.
+const loggedBytes = 4
 
-// Request is what makes two requests the same.
+// Request contains the properties that make two requests equal.
 type Request struct {
-	// Caller is the client account, or what else tells the caller apart where it has none.
+	// Caller identifies the client account, or the caller by other means if it has no account.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path with its query, as the caller wrote it.
+	// Target is the unmodified path and query.
 	Target string
 	Body   []byte
 }
 
-// Fingerprint is the request's. It needs no secret: the hash resists collisions without one, and the caller is part of what is hashed, so that
-// nobody can make a request that counts as another caller's.
+// Fingerprint returns the fingerprint of the request. It needs no secret key: the hash is collision-resistant, and it
+// includes the caller, so that nobody can forge a request that counts against another caller.
 func (r *Request) Fingerprint() Fingerprint {
 	sum := hash.Digest([]byte(r.Caller), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body)
 	return Fingerprint(sum[:FingerprintSize])
--- a/poison/fingerprint_test.go
+++ b/poison/fingerprint_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func request() Request {
+func testRequest() Request {
 	return Request{Caller: "shop", Method: "POST", Host: "shop.example", Target: "/chat/x?y", Body: []byte("hello")}
 }
 
 func TestFingerprint(t *testing.T) {
-	one := request()
-	t.Run("the same request has the same one", func(t *testing.T) {
-		again := request()
+	one := testRequest()
+	t.Run("equal requests have the same fingerprint", func(t *testing.T) {
+		again := testRequest()
 		assert.Equal(t, one.Fingerprint(), again.Fingerprint())
 	})
 	for name, change := range map[string]func(*Request){
@@ -22,17 +22,17 @@
 		"host":   func(r *Request) { r.Host = "other.example" },
 		"target": func(r *Request) { r.Target = "/chat/x" },
 		"body":   func(r *Request) { r.Body = []byte("hellO") },
-		"place of a byte": func(r *Request) {
+		"boundary between target and body": func(r *Request) {
 			r.Target, r.Body = r.Target+"h", []byte("ello")
 		},
 	} {
-		t.Run("another "+name+" makes another one", func(t *testing.T) {
-			other := request()
+		t.Run("changing the "+name+" changes the fingerprint", func(t *testing.T) {
+			other := testRequest()
 			change(&other)
 			assert.NotEqual(t, one.Fingerprint(), other.Fingerprint())
 		})
 	}
-	t.Run("a log shows little of it", func(t *testing.T) {
-		assert.Len(t, one.Fingerprint().String(), 2*shown)
+	t.Run("only a prefix is logged", func(t *testing.T) {
+		assert.Len(t, one.Fingerprint().String(), 2*loggedBytes)
 	})
 }
--- a/poison/outage.go
+++ b/poison/outage.go
@@ -9,41 +9,44 @@
 )
 
 const (
-	// outageWithin is within which time runs end in an outage. Repeats of a request that ends them come after its answer, and take longer.
-	outageWithin = 200 * time.Millisecond
-	// outageShare is which part of a service's runs end in an outage, as its denominator, and outageLeast how many at the least.
-	outageShare = 2
-	outageLeast = 3
+	// outageWindow is the period within which the runs of an outage end. It is shorter than the interval between
+	// crashes that the retries of one request cause, since each retry follows the response to the attempt before.
+	outageWindow = 200 * time.Millisecond
+	// In an outage, at least 1/outageDivisor of a service's runs end, and at least minOutageRuns.
+	outageDivisor = 2
+	minOutageRuns = 3
 )
 
-// OutageDetector tells runs that end together, for a reason of their own, from those that a request ends one after the other. Its zero value is ready,
-// and it may be used by several goroutines.
+// OutageDetector detects when many runs of a service end at the same time. That points to an external cause, whereas a
+// request that crashes runners ends them one after the other. The zero value is ready to use, and it is safe for
+// concurrent use.
 type OutageDetector struct {
 	mu     sync.Mutex
-	latest map[rillreach.ServiceID][]ended
+	recent map[rillreach.ServiceID][]recentCrash
 }
 
-// ended is a crash that was seen a short time ago.
-type ended struct {
+// recentCrash is a crash and the time when it was observed.
+type recentCrash struct {
 	at    time.Time
 	crash Crash
 }
 
-// Observe takes a crash at a service with so many listed runs, and returns the crashes that turn out to be those of an outage.
-func (o *OutageDetector) Observe(now time.Time, service rillreach.ServiceID, listed int, crash Crash) []Crash {
+// Observe records a crash at a service that has listedRuns runs. If the recent crashes amount to an outage, it returns
+// all of them with Outage set.
+func (o *OutageDetector) Observe(now time.Time, service rillreach.ServiceID, listedRuns int, crash Crash) []Crash {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.latest == nil {
-		o.latest = map[rillreach.ServiceID][]ended{}
+	if o.recent == nil {
+		o.recent = map[rillreach.ServiceID][]recentCrash{}
 	}
-	latest := slices.DeleteFunc(o.latest[service], func(e ended) bool { return now.Sub(e.at) > outageWithin })
-	latest = append(latest, ended{at: now, crash: crash})
-	o.latest[service] = latest
-	if runs := countRuns(latest); runs < outageLeast || runs*outageShare < listed {
+	recent := slices.DeleteFunc(o.recent[service], func(e recentCrash) bool { return now.Sub(e.at) > outageWindow })
+	recent = append(recent, recentCrash{at: now, crash: crash})
+	o.recent[service] = recent
+	if runs := countRuns(recent); runs < minOutageRuns || runs*outageDivisor < listedRuns {
 		return nil
 	}
-	crashes := make([]Crash, 0, len(latest))
-	for _, e := range latest {
+	crashes := make([]Crash, 0, len(recent))
+	for _, e := range recent {
 		e.crash.Age = now.Sub(e.at)
 		e.crash.Outage = true
 		crashes = append(crashes, e.crash)
@@ -51,10 +54,10 @@
 	return crashes
 }
 
-// countRuns is how many runs have ended.
-func countRuns(latest []ended) int {
+// countRuns returns the number of distinct runs that have crashed.
+func countRuns(crashes []recentCrash) int {
 	runs := map[rillreach.InstanceRun]struct{}{}
-	for _, e := range latest {
+	for _, e := range crashes {
 		runs[rillreach.InstanceRun{ID: e.crash.Runner, Generation: e.crash.Generation}] = struct{}{}
 	}
 	return len(runs)
--- a/poison/tracker.go
+++ b/poison/tracker.go
@@ -9,45 +9,49 @@
 )
 
 const (
-	// MaxCrashes is how many runs may end under a request before it is held back. One is an accident, and an innocent request is at a second
-	// crash where the runner that it moves to ends as well; a third is allowed since holding back what is innocent costs an answer for certain.
+	// MaxCrashes is the number of crashes after which a request is quarantined. One crash is likely a coincidence, and a
+	// harmless request can meet a second one if the runner that it is retried on ends as well. A third is allowed since
+	// quarantining a harmless request denies it a response for certain.
 	MaxCrashes = 3
-	// Window is for how long a crash counts. A request that is held back may be sent again once the first of its crashes is older: weights or
-	// runners may have been mended meanwhile, and at the worst three runs end in each window.
+	// Window is how long a crash counts. A quarantined request may be sent again once its first crash is older: the
+	// weights or the runners may have been fixed since, and in the worst case it crashes three runs per Window.
 	Window = 10 * time.Minute
-	// DefaultLimit bounds the crashes that are remembered, some 1 MB. The end of a full runner brings 64 of them.
+	// DefaultLimit is the default maximum number of recorded crashes. They take about 1 MB. A fully loaded runner that
+	// ends adds 64 of them.
 	DefaultLimit = 4096
 )
 
-// Tracker remembers under which requests runs have ended. Taking over the same crashes in another order, twice or late gives the same. Its
-// zero value is ready, and it may be used by several goroutines.
+// Tracker records which requests were running when runs ended. Recording the same crashes in another order, repeatedly
+// or late gives the same state. The zero value is ready to use, and it is safe for concurrent use.
 type Tracker struct {
-	// Limit is how many crashes are remembered; zero means DefaultLimit. Past it those go first that were cleared, then those of the
-	// requests with the fewest crashes, the oldest before others.
+	// Limit is the maximum number of recorded crashes; zero means DefaultLimit. Above it, cleared crashes are evicted
+	// first, then those of the requests with the fewest crashes. Among equals, the oldest go first.
 	Limit int
-	// TrialOffset is added to the wait before a trial; it differs from entry to entry, so that not all try at once.
+	// TrialOffset is added to the delay before a trial. It differs between entries so that they do not all send a trial
+	// at the same time.
 	TrialOffset time.Duration
 
 	mu       sync.Mutex
 	requests map[Fingerprint][]*list.Element
-	// changes holds a *record each, in the order in which they last changed.
-	changes list.List
+	// records contains *record values, least recently changed first.
+	records list.List
 	version uint64
-	// answered are the requests that runners have answered, trials until when one is being tried.
-	answered answered
-	trials   map[Fingerprint]time.Time
-	// expires is when the old ones are looked for next.
-	expires time.Time
+	// answered contains the requests that runners have answered.
+	answered answeredSet
+	// trialDeadlines contains the time until which no further trial of a request may start.
+	trialDeadlines map[Fingerprint]time.Time
+	// nextExpiry is the time of the next search for expired crashes.
+	nextExpiry time.Time
 }
 
-// record is one crash that is remembered.
+// record is a recorded crash, its time and the tracker's version at its last change.
 type record struct {
 	crash   Crash
 	at      time.Time
 	version uint64
 }
 
-// Record takes over crashes, and returns how many of them were new.
+// Record records crashes and returns how many of them were new or changed what was known.
 func (t *Tracker) Record(now time.Time, crashes ...Crash) (added int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,58 +61,60 @@
 			added++
 		}
 	}
-	if added > 0 && t.changes.Len() > t.limit() {
-		t.shrink(now)
+	if added > 0 && t.records.Len() > t.limit() {
+		t.evict(now)
 	}
 	return added
 }
 
-// record takes over one crash, and reports whether it was new; the lock is held.
+// record records one crash and reports whether it was new or changed what was known. The caller must hold the lock.
 func (t *Tracker) record(c Crash, at time.Time) bool {
 	if t.requests == nil {
 		t.requests = map[Fingerprint][]*list.Element{}
 	}
 	for _, e := range t.requests[c.Request] {
-		known := e.Value.(*record)
-		if known.crash.Runner != c.Runner || known.crash.Generation != c.Generation {
+		existing := e.Value.(*record)
+		if existing.crash.Runner != c.Runner || existing.crash.Generation != c.Generation {
 			continue
 		}
-		if at.Before(known.at) {
-			known.at = at // told twice, one of them later on its way
+		if at.Before(existing.at) {
+			existing.at = at // the report with the earlier time was delayed less
 		}
-		merged := known.crash.merge(c)
-		if merged == known.crash {
+		merged := existing.crash.merge(c)
+		if merged == existing.crash {
 			return false
 		}
-		known.crash = merged
-		t.touch(e)
+		existing.crash = merged
+		t.markChanged(e)
 		return true
 	}
 	c.Age = 0
-	e := t.changes.PushBack(&record{crash: c, at: at})
-	t.touch(e)
+	e := t.records.PushBack(&record{crash: c, at: at})
+	t.markChanged(e)
 	t.requests[c.Request] = append(t.requests[c.Request], e)
 	return true
 }
 
-// touch makes a record the latest change; the lock is held.
-func (t *Tracker) touch(e *list.Element) {
+// markChanged assigns the next version to a record. The caller must hold the lock.
+func (t *Tracker) markChanged(e *list.Element) {
 	t.version++
 	e.Value.(*record).version = t.version
-	t.changes.MoveToBack(e)
+	t.records.MoveToBack(e)
 }
 
-// RecordAnswer records that a runner has answered such a request, and returns the crashes that no longer count.
+// RecordAnswer records that a runner has answered a request with the fingerprint. It clears the request's crashes and
+// returns those that counted until now.
 func (t *Tracker) RecordAnswer(now time.Time, f Fingerprint) []Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answered.add(now, f)
-	delete(t.trials, f)
+	delete(t.trialDeadlines, f)
 	return t.clear(now, f)
 }
 
-// RecordProgress records that such a request has so much of its answer, in bytes, and returns the crashes that no longer count: one that was
-// answered before, and now gets further than any that ended with its runner, has not ended them.
+// RecordProgress records how many bytes of its response a request has received. A request that was answered before, and
+// now gets further than at any of its crashes, did not cause them: RecordProgress then clears the crashes and returns
+// those that counted until now.
 func (t *Tracker) RecordProgress(now time.Time, f Fingerprint, bytes int64) []Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,11 +126,11 @@
 			return nil
 		}
 	}
-	delete(t.trials, f)
+	delete(t.trialDeadlines, f)
 	return t.clear(now, f)
 }
 
-// clear lifts the crashes of a request, and returns those that counted; the lock is held.
+// clear clears the crashes of a request and returns those that counted until now. The caller must hold the lock.
 func (t *Tracker) clear(now time.Time, f Fingerprint) []Crash {
 	var cleared []Crash
 	for _, e := range t.requests[f] {
@@ -133,34 +139,36 @@
 			continue
 		}
 		r.crash.Cleared = true
-		t.touch(e)
+		t.markChanged(e)
 		cleared = append(cleared, r.message(now))
 	}
 	return cleared
 }
 
-// Crashes is how many runs have ended under the request.
+// Crashes returns the number of runs that have ended while they processed the request, without cleared and expired
+// ones.
 func (t *Tracker) Crashes(now time.Time, f Fingerprint) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
-	return t.count(now, f)
+	return t.activeRuns(now, f)
 }
 
-// Quarantined reports that the request must not be sent to a runner, unless as a trial.
+// Quarantined reports whether the request must not be sent to a runner except as a trial.
 func (t *Tracker) Quarantined(now time.Time, f Fingerprint) bool {
 	return t.Crashes(now, f) >= MaxCrashes
 }
 
-// count is how many runs have ended under the request; the lock is held. A run whose generation only some know counts once.
-func (t *Tracker) count(now time.Time, f Fingerprint) int {
-	known := t.requests[f]
-	if len(known) == 0 {
+// activeRuns returns the number of runs with active crashes of the request. A crash without a generation counts only if
+// no crash of the same runner has one, since the reports may be about the same run. The caller must hold the lock.
+func (t *Tracker) activeRuns(now time.Time, f Fingerprint) int {
+	elements := t.requests[f]
+	if len(elements) == 0 {
 		return 0
 	}
 	runs := map[rillreach.InstanceRun]bool{}
-	for _, e := range known {
-		if r := e.Value.(*record); r.counts(now) {
+	for _, e := range elements {
+		if r := e.Value.(*record); r.active(now) {
 			runs[rillreach.InstanceRun{ID: r.crash.Runner, Generation: r.crash.Generation}] = true
 		}
 	}
@@ -173,7 +181,7 @@
 	return n
 }
 
-// hasGeneration reports that a run of the runner is there whose generation is known.
+// hasGeneration reports whether any of the runner's runs has a known generation.
 func hasGeneration(runs map[rillreach.InstanceRun]bool, id rillreach.InstanceID) bool {
 	for run := range runs {
 		if run.ID == id && run.Generation != 0 {
@@ -183,28 +191,29 @@
 	return false
 }
 
-// counts reports that the crash is held against its request.
-func (r *record) counts(now time.Time) bool { return !r.crash.Cleared && now.Sub(r.at) < Window }
+// active reports whether the crash counts against its request.
+func (r *record) active(now time.Time) bool { return !r.crash.Cleared && now.Sub(r.at) < Window }
 
-// message is the crash as others are told of it now.
+// message returns the crash with its current age, for sending to other processes.
 func (r *record) message(now time.Time) Crash {
 	c := r.crash
 	c.Age = max(0, now.Sub(r.at))
 	return c
 }
 
-// Version is that of the last change; zero says that there was none.
+// Version returns the version of the last change, or zero if there was none.
 func (t *Tracker) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// Since returns the crashes that changed after a version, so many at the most and the first of them first, and the version to ask from next.
-func (t *Tracker) Since(now time.Time, version uint64, most int) ([]Crash, uint64) {
+// Since returns up to limit crashes that changed after a version, least recently changed first, and the version for the
+// next call.
+func (t *Tracker) Since(now time.Time, version uint64, limit int) ([]Crash, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.changes.Back()
+	e := t.records.Back()
 	if e == nil || e.Value.(*record).version <= version {
 		return nil, max(version, t.version)
 	}
@@ -212,7 +221,7 @@
 		e = e.Prev()
 	}
 	var crashes []Crash
-	for ; e != nil && len(crashes) < most; e = e.Next() {
+	for ; e != nil && len(crashes) < limit; e = e.Next() {
 		r := e.Value.(*record)
 		version = r.version
 		if now.Sub(r.at) < Window {
@@ -222,19 +231,19 @@
 	return crashes, version
 }
 
-// Empty reports that no crash is remembered, so that no request needs to be looked up.
+// Empty reports whether no crashes are recorded. Callers can then skip computing fingerprints.
 func (t *Tracker) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.changes.Len() == 0
+	return t.records.Len() == 0
 }
 
-// Counts are how many requests are under suspicion, and how many of these are held back.
+// Counts returns the number of requests with active crashes, and how many of these are quarantined.
 func (t *Tracker) Counts(now time.Time) (suspects, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for f := range t.requests {
-		n := t.count(now, f)
+		n := t.activeRuns(now, f)
 		if n > 0 {
 			suspects++
 		}
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -6,87 +6,89 @@
 	"time"
 )
 
-// Verdict says whether a request may be sent to a runner.
+// Verdict determines whether a request may be sent to a runner.
 type Verdict int
 
-// The verdicts.
 const (
-	// VerdictSend says that nothing speaks against it.
+	// VerdictSend means that the request may be sent.
 	VerdictSend Verdict = iota
-	// VerdictTrial says that the request would be held back, but is sent once, since runners have answered it before or its crashes are those of
-	// an outage.
+	// VerdictTrial means that the request is quarantined but may be sent this once, since runners have answered it before
+	// or its crashes belong to an outage.
 	VerdictTrial
-	// VerdictQuarantine says that it must not be sent.
+	// VerdictQuarantine means that the request must not be sent.
 	VerdictQuarantine
 )
 
 const (
-	// firstTrial is how long after its last crash a request that runners have answered before is tried again: a popular one is under way at all
-	// runners of a service that end together. trialGrowth is by how much each trial that ends its runner multiplies the wait, and trialTimeout how
-	// long a trial may take before the next.
-	firstTrial   = time.Second
-	trialGrowth  = 2
+	// initialTrialDelay is the delay between the last crash of a quarantined request and its first trial. Harmless
+	// requests can be quarantined: a popular one is running on every runner of a service when these end together.
+	initialTrialDelay = time.Second
+	// trialBackoffFactor multiplies the delay after each trial that crashes its runner.
+	trialBackoffFactor = 2
+	// trialTimeout is the time after which a trial without a result is followed by another.
 	trialTimeout = 5 * time.Second
 )
 
-// Decide says whether a request that has come may be sent to a runner.
+// Decide returns whether a newly arrived request may be sent to a runner.
 func (t *Tracker) Decide(now time.Time, f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
-	n := t.count(now, f)
+	n := t.activeRuns(now, f)
 	switch {
 	case n < MaxCrashes:
 		return VerdictSend
-	case !t.mayBeTried(now, f) || now.Before(t.trials[f]) || now.Before(t.nextTrial(now, f)):
+	case !t.trialAllowed(now, f) || now.Before(t.trialDeadlines[f]) || now.Before(t.nextTrial(now, f)):
 		return VerdictQuarantine
 	}
-	if t.trials == nil {
-		t.trials = map[Fingerprint]time.Time{}
+	if t.trialDeadlines == nil {
+		t.trialDeadlines = map[Fingerprint]time.Time{}
 	}
-	t.trials[f] = now.Add(trialTimeout)
+	t.trialDeadlines[f] = now.Add(trialTimeout)
 	return VerdictTrial
 }
 
-// mayBeTried reports that something speaks for a request that would be held back: runners have answered it before, or without those of an
-// outage its crashes would not be enough; the lock is held.
-func (t *Tracker) mayBeTried(now time.Time, f Fingerprint) bool {
+// trialAllowed reports whether a quarantined request may be sent as a trial: runners have answered it before, or it
+// would not be quarantined without the crashes that belong to an outage. The caller must hold the lock.
+func (t *Tracker) trialAllowed(now time.Time, f Fingerprint) bool {
 	if t.wasAnswered(f) {
 		return true
 	}
-	alone := 0
+	outsideOutage := 0
 	for _, e := range t.requests[f] {
-		if r := e.Value.(*record); r.counts(now) && !r.crash.Outage {
-			alone++
+		if r := e.Value.(*record); r.active(now) && !r.crash.Outage {
+			outsideOutage++
 		}
 	}
-	return alone < MaxCrashes
+	return outsideOutage < MaxCrashes
 }
 
-// WasAnswered reports that runners have answered such requests.
+// WasAnswered reports whether runners have answered requests with the fingerprint, as far as this process or one that
+// reported a crash of the request knows.
 func (t *Tracker) WasAnswered(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.wasAnswered(f)
 }
 
-// wasAnswered reports that runners have answered such requests, as far as this process or one that told of a crash knows; the lock is held.
+// wasAnswered implements WasAnswered. The caller must hold the lock.
 func (t *Tracker) wasAnswered(f Fingerprint) bool {
-	return t.answered.has(f) || slices.ContainsFunc(t.requests[f], func(e *list.Element) bool { return e.Value.(*record).crash.Answered })
+	return t.answered.contains(f) || slices.ContainsFunc(t.requests[f], func(e *list.Element) bool { return e.Value.(*record).crash.Answered })
 }
 
-// nextTrial is when a request may be tried: some time after its last crash, and longer after each trial that ended its runner; the lock is held.
+// nextTrial returns the time of the next trial of a request. The delay after the last crash grows with each trial that
+// crashed its runner. The caller must hold the lock.
 func (t *Tracker) nextTrial(now time.Time, f Fingerprint) time.Time {
 	var last time.Time
-	wait := firstTrial
+	delay := initialTrialDelay
 	for _, e := range t.requests[f] {
 		r := e.Value.(*record)
 		if r.at.After(last) {
 			last = r.at
 		}
-		if r.crash.Trial && r.counts(now) {
-			wait = min(wait*trialGrowth, Window)
+		if r.crash.Trial && r.active(now) {
+			delay = min(delay*trialBackoffFactor, Window)
 		}
 	}
-	return last.Add(wait + t.TrialOffset)
+	return last.Add(delay + t.TrialOffset)
 }
