--- a/once/doc.go
+++ b/once/doc.go
@@ -1,7 +1,10 @@
-// Package once decides which agent may run a request that must not run twice, and whether that agent may run it now.
+// Package once implements at-most-once execution: it decides which agent may run a request, and whether that agent may
+// run it now.
 //
-// A ticket names the one incarnation that may run it. A caller's own key is a time-ordered UUID, and is owned for good
-// by the owner in force at the time it carries; an epoch of owners is in force only from a time well after the platform
-// has recorded it, so that whoever knows the platform's state up to some time knows every owner up to that time plus
-// the lead. Neither needs a clock, a lease or a call to the platform to be safe.
+// A request is identified by a ticket or by an idempotency key of the caller. A ticket names the incarnation of an
+// agent that may run the request. A key is a time-ordered UUID, and its owner is permanent: it is chosen from the
+// epoch, a set of owners, that was in effect at the time in the key. An epoch takes effect no earlier than a fixed lead
+// time after the platform has recorded it. A process that knows the platform's state up to some time therefore knows
+// the owners of all keys up to that time plus the lead time. Neither mechanism depends on a local clock, a lease or a
+// call to the platform for its safety.
 package once
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -8,91 +8,97 @@
 	"github.com/rillreach/rillreach"
 )
 
-// DefaultLedgerBytes bounds what a ledger remembers, in bytes.
+// DefaultLedgerBytes is the default memory limit of a ledger.
 const DefaultLedgerBytes = 64 << 20
 
-const entryOverhead = 256
+// entryOverheadBytes is the estimated memory of an entry without its response body.
+const entryOverheadBytes = 256
 
-// Outcome is what became of a request that was let run.
+// Outcome is the result of a request that was run: either a refusal or a response.
 type Outcome struct {
-	// Refusal is set when there is no answer.
+	// Refusal is set if there is no response.
 	Refusal *rillreach.Refusal
-	// Status, Header and Body are the answer.
+	// Status, Header and Body are the response.
 	Status int
 	Header map[string][]string
 	Body   []byte
 }
 
 func (o Outcome) size() int64 {
-	return int64(len(o.Body) + entryOverhead)
+	return int64(len(o.Body) + entryOverheadBytes)
 }
 
-// Claim is a request that wants to run once.
+// Claim asks for permission to run a request at most once.
 type Claim struct {
-	// Name identifies the request among all that the ledger can see.
+	// Name identifies the request within the ledger.
 	Name string
-	// Fingerprint is a hash of what the request asks for.
+	// Fingerprint is a hash of the request's contents.
 	Fingerprint [32]byte
-	// Expires is when the request's identity ends; no claim of that name is taken from then on.
+	// Expires is the time from which the ledger accepts no new claim of this name.
 	Expires time.Time
 }
 
-// ClaimResult is the ledger's answer to a claim.
+// ClaimResult is the result of a claim. Exactly one of Run, Settled and Refusal is set.
 type ClaimResult struct {
-	// Run says that the claimant, and nobody else, has to run the request and Settle it.
+	// Run means that the claimant alone must run the request and then call Ledger.Settle.
 	Run bool
-	// Settled is closed once the outcome of the running request is there.
+	// Settled is set if another claimant runs, or has run, the request. It is closed once the outcome is available.
 	Settled <-chan struct{}
-	// Refusal is set when the claim is refused.
+	// Refusal is set if the claim is refused.
 	Refusal *rillreach.Refusal
 
 	entry *entry
 }
 
-// Outcome returns the outcome once Settled is closed.
-func (p ClaimResult) Outcome() Outcome {
-	return p.entry.outcome
+// Outcome returns the outcome of the request. It may be called only once Settled is closed.
+func (r ClaimResult) Outcome() Outcome {
+	return r.entry.outcome
 }
 
-// Ledger is one incarnation's memory of the requests it was given to run once. What it forgets it also refuses.
+// Ledger stores the claims and outcomes of at-most-once requests for one incarnation of an agent. It refuses claims
+// whose entries it may have evicted, so that none of them runs again. The zero value is ready to use, and it is safe
+// for concurrent use.
 type Ledger struct {
-	// MaxBytes bounds the memory; zero means DefaultLedgerBytes.
+	// MaxBytes is the memory limit; zero means DefaultLedgerBytes.
 	MaxBytes int64
 
 	mu      sync.Mutex
 	entries map[string]*entry
 	expiry  expiryHeap
-	floor   time.Time
-	bytes   int64
+	// expiryFloor is the time up to which entries may have been evicted: claims that expire by then are refused.
+	expiryFloor time.Time
+	bytes       int64
 }
 
+// entry is a claim and, once done, its outcome.
 type entry struct {
-	claim   Claim
-	outcome Outcome
-	settled chan struct{}
-	done    bool
-	index   int
+	claim     Claim
+	outcome   Outcome
+	settled   chan struct{}
+	done      bool
+	heapIndex int
 }
 
-// Claim decides whether a request may run.
+// Claim decides whether a request may run. A repeated claim gets the outcome of the first one.
 func (l *Ledger) Claim(now time.Time, c Claim) ClaimResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forget(now)
+	l.evictExpired(now)
 	if e := l.entries[c.Name]; e != nil {
-		return e.permit(c)
+		return e.result(c)
 	}
-	if !c.Expires.After(l.floor) {
+	if !c.Expires.After(l.expiryFloor) {
 		return ClaimResult{Refusal: rillreach.Unknown(rillreach.ReasonExpired, "request's identity has expired; it may have been run")}
 	}
-	if l.bytes+entryOverhead > l.limit() {
-		return ClaimResult{Refusal: rillreach.NotRun(rillreach.ReasonOverload, "too many outcomes are being remembered").After(l.room(now))}
+	if l.bytes+entryOverheadBytes > l.maxBytes() {
+		return ClaimResult{Refusal: rillreach.NotRun(rillreach.ReasonOverload, "too many outcomes are being remembered").After(l.retryAfter(now))}
 	}
 	l.add(c)
 	return ClaimResult{Run: true}
 }
 
-// Settle records the outcome of a request that was let run; a refusal that says it was not run frees the name again.
+// Settle records the outcome of a request that a claimant was told to run. If the outcome is a refusal because the
+// request has not run, the name can be claimed again.
 func (l *Ledger) Settle(name string, outcome Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,35 +110,35 @@
 	e.outcome = outcome
 	close(e.settled)
 	if r := outcome.Refusal; r != nil && r.Outcome == rillreach.OutcomeNotRun {
-		l.drop(e)
+		l.remove(e)
 		return
 	}
-	l.bytes += outcome.size() - entryOverhead
+	l.bytes += outcome.size() - entryOverheadBytes
 }
 
-// Bytes is the memory in use.
+// Bytes returns the estimated memory in use.
 func (l *Ledger) Bytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-func (e *entry) permit(c Claim) ClaimResult {
+func (e *entry) result(c Claim) ClaimResult {
 	if e.claim.Fingerprint != c.Fingerprint {
 		return ClaimResult{Refusal: rillreach.NotRun(rillreach.ReasonKeyReused, "key or ticket was used before for another request")}
 	}
 	return ClaimResult{Settled: e.settled, entry: e}
 }
 
-func (l *Ledger) limit() int64 {
+func (l *Ledger) maxBytes() int64 {
 	if l.MaxBytes == 0 {
 		return DefaultLedgerBytes
 	}
 	return l.MaxBytes
 }
 
-// room is when the next entry is forgotten.
-func (l *Ledger) room(now time.Time) time.Duration {
+// retryAfter returns the time until the next entry expires, and at least one second.
+func (l *Ledger) retryAfter(now time.Time) time.Duration {
 	if len(l.expiry) == 0 {
 		return time.Second
 	}
@@ -146,27 +152,29 @@
 	e := &entry{claim: c, settled: make(chan struct{})}
 	l.entries[c.Name] = e
 	heap.Push(&l.expiry, e)
-	l.bytes += entryOverhead
+	l.bytes += entryOverheadBytes
 }
 
-func (l *Ledger) drop(e *entry) {
+func (l *Ledger) remove(e *entry) {
 	delete(l.entries, e.claim.Name)
-	heap.Remove(&l.expiry, e.index)
-	l.bytes -= entryOverhead
+	heap.Remove(&l.expiry, e.heapIndex)
+	l.bytes -= entryOverheadBytes
 }
 
-// forget drops the settled entries whose time has passed, and raises the floor first, so that none of them is taken again.
-func (l *Ledger) forget(now time.Time) {
-	if now.After(l.floor) {
-		l.floor = now
+// evictExpired removes settled entries that have expired. It raises expiryFloor first, so that claims of the removed
+// entries are refused even if the clock goes back.
+func (l *Ledger) evictExpired(now time.Time) {
+	if now.After(l.expiryFloor) {
+		l.expiryFloor = now
 	}
-	for len(l.expiry) > 0 && !l.expiry[0].claim.Expires.After(l.floor) && l.expiry[0].done {
+	for len(l.expiry) > 0 && !l.expiry[0].claim.Expires.After(l.expiryFloor) && l.expiry[0].done {
 		e := heap.Pop(&l.expiry).(*entry)
 		delete(l.entries, e.claim.Name)
 		l.bytes -= e.outcome.size()
 	}
 }
 
+// expiryHeap orders entries by the time at which they expire.
 type expiryHeap []*entry
 
 func (h expiryHeap) Len() int           { return len(h) }
@@ -174,12 +182,12 @@
 
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *expiryHeap) Push(x any) {
 	e := x.(*entry)
-	e.index = len(*h)
+	e.heapIndex = len(*h)
 	*h = append(*h, e)
 }
 
--- a/once/owners.go
+++ b/once/owners.go
@@ -12,13 +12,14 @@
 	"github.com/rillreach/rillreach/internal/hash"
 )
 
-// Owner is one agent that can own keys.
+// Owner is an incarnation of an agent that can own idempotency keys.
 type Owner struct {
 	ID          rillreach.InstanceID  `json:"id"`
 	Incarnation rillreach.Incarnation `json:"incarnation"`
 }
 
-// Epoch is one set of owners of a service's keys; it is an object that is written once and never changed.
+// Epoch is the set of owners of a service's keys from a point in time until the next epoch. It is stored as an object
+// that is written once and never changed.
 type Epoch struct {
 	Service rillreach.ServiceID `json:"service"`
 	Number  uint64              `json:"number"`
@@ -26,10 +27,10 @@
 	Owners  []Owner             `json:"owners"`
 }
 
-// Check reports the first fault of the epoch.
+// Check reports whether the epoch is invalid.
 func (e Epoch) Check() error {
 	if e.Service == "" || e.Number == 0 || e.From.IsZero() {
-		return errors.New("epoch lacks its service, its number or its time")
+		return errors.New("epoch lacks a service, a number or a start time")
 	}
 	if len(e.Owners) == 0 {
 		return errors.New("epoch has no owners")
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// DecodeEpoch reads an epoch from JSON and checks it.
+// DecodeEpoch decodes and checks an epoch in JSON.
 func DecodeEpoch(data []byte) (Epoch, error) {
 	var e Epoch
 	if err := json.Unmarshal(data, &e); err != nil {
@@ -49,7 +50,7 @@
 	return e, nil
 }
 
-// owner picks the key's owner among the epoch's.
+// owner selects the owner of a key by rendezvous hashing.
 func (e Epoch) owner(keyHash uint64) Owner {
 	best, bestWeight := Owner{}, uint64(0)
 	for _, o := range e.Owners {
@@ -61,22 +62,27 @@
 	return best
 }
 
-// OwnerView is a process's copy of the epochs of all services.
+// OwnerView is a process's view of the epochs of all services. It is safe for concurrent use.
 type OwnerView struct {
-	// LeadTime is how long after its recording an epoch may come into force at the earliest; the same everywhere.
+	// LeadTime is the minimum time between the recording of an epoch and its start. It is the same for all processes.
 	LeadTime time.Duration
 
-	mu       sync.RWMutex
-	known    time.Time
-	services map[rillreach.ServiceID]*epochs
+	mu sync.RWMutex
+	// confirmedUntil is the platform's time up to which all recorded epochs are known.
+	confirmedUntil time.Time
+	services       map[rillreach.ServiceID]*serviceEpochs
 }
 
-type epochs struct {
-	valid  []Epoch
-	newest uint64
+// serviceEpochs are the epochs of one service.
+type serviceEpochs struct {
+	// valid are the epochs that were recorded in time, sorted by their start.
+	valid []Epoch
+	// highestNumber is the highest number of any epoch, valid or not.
+	highestNumber uint64
 }
 
-// Apply takes one object of the kind owners. An epoch recorded too late for its own time counts for nobody.
+// Apply applies a change of an object that contains an epoch. An epoch that was recorded less than LeadTime before its
+// start is invalid in all processes.
 func (o *OwnerView) Apply(object rillreach.Object) error {
 	e, err := DecodeEpoch(object.Value)
 	if err != nil {
@@ -84,29 +90,29 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s := o.service(e.Service)
+	s := o.epochsOf(e.Service)
 	if object.Deleted {
-		s.drop(e.Number)
+		s.remove(e.Number)
 		return nil
 	}
-	s.newest = max(s.newest, e.Number)
+	s.highestNumber = max(s.highestNumber, e.Number)
 	if object.Changed.Add(o.LeadTime).After(e.From) {
-		return errors.Newf("epoch %d of %s was recorded less than %v before its time", e.Number, e.Service, o.LeadTime)
+		return errors.Newf("epoch %d of service %s was recorded less than %v before its start", e.Number, e.Service, o.LeadTime)
 	}
 	s.add(e)
 	return nil
 }
 
-// Confirm records that everything the platform had recorded up to a time of its own clock has been applied.
-func (o *OwnerView) Confirm(known time.Time) {
+// Confirm records that all objects that the platform had recorded up to a time, by its own clock, have been applied.
+func (o *OwnerView) Confirm(recordedUntil time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if known.After(o.known) {
-		o.known = known
+	if recordedUntil.After(o.confirmedUntil) {
+		o.confirmedUntil = recordedUntil
 	}
 }
 
-// NewestEpoch returns the highest number seen for a service, and the valid epoch with the latest time.
+// NewestEpoch returns the highest epoch number of a service, valid or not, and the valid epoch with the latest start.
 func (o *OwnerView) NewestEpoch(service rillreach.ServiceID) (uint64, Epoch) {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -115,27 +121,31 @@
 		return 0, Epoch{}
 	}
 	if len(s.valid) == 0 {
-		return s.newest, Epoch{}
+		return s.highestNumber, Epoch{}
 	}
-	return s.newest, s.valid[len(s.valid)-1]
+	return s.highestNumber, s.valid[len(s.valid)-1]
 }
 
-// Verdict says whether the owner of a key is certain.
+// Verdict is the result of a search for the owner of a key.
 type Verdict string
 
-// The verdicts on a key.
 const (
-	VerdictOwned      Verdict = "owned"
+	// VerdictOwned means that the owner is known for certain.
+	VerdictOwned Verdict = "owned"
+	// VerdictViewTooOld means that the process may not yet know the epoch of the key.
 	VerdictViewTooOld Verdict = "view-too-old"
-	VerdictKeyTooOld  Verdict = "key-too-old"
-	VerdictNoOwner    Verdict = "no-owner"
+	// VerdictKeyTooOld means that the key is older than all known epochs.
+	VerdictKeyTooOld Verdict = "key-too-old"
+	// VerdictNoOwner means that the service has no valid epochs.
+	VerdictNoOwner Verdict = "no-owner"
 )
 
-// FindOwner returns the owner of a key that was minted at a time. The answer is the same in every process that is certain.
-func (o *OwnerView) FindOwner(service rillreach.ServiceID, minted time.Time, keyHash uint64) (Owner, Verdict) {
+// FindOwner returns the owner of a key by its timestamp and hash. All processes that get VerdictOwned get the same
+// owner.
+func (o *OwnerView) FindOwner(service rillreach.ServiceID, createdAt time.Time, keyHash uint64) (Owner, Verdict) {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	if minted.After(o.known.Add(o.LeadTime)) {
+	if createdAt.After(o.confirmedUntil.Add(o.LeadTime)) {
 		return Owner{}, VerdictViewTooOld
 	}
 	s := o.services[service]
@@ -143,14 +153,14 @@
 		return Owner{}, VerdictNoOwner
 	}
 	for i := len(s.valid) - 1; i >= 0; i-- {
-		if !s.valid[i].From.After(minted) {
+		if !s.valid[i].From.After(createdAt) {
 			return s.valid[i].owner(keyHash), VerdictOwned
 		}
 	}
 	return Owner{}, VerdictKeyTooOld
 }
 
-// Released reports whether an incarnation owns no key that is minted from now on, by the platform's clock.
+// Released reports whether an incarnation will own no keys with timestamps from now on, by the platform's clock.
 func (o *OwnerView) Released(service rillreach.ServiceID, incarnation rillreach.Incarnation) bool {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -160,10 +170,11 @@
 	}
 	newest := s.valid[len(s.valid)-1]
 	owns := slices.ContainsFunc(newest.Owners, func(owner Owner) bool { return owner.Incarnation == incarnation })
-	return !owns && !newest.From.After(o.known)
+	return !owns && !newest.From.After(o.confirmedUntil)
 }
 
-// SupersededEpochs returns the epochs of a service that no key minted after a time can fall into.
+// SupersededEpochs returns the numbers of the service's epochs that contain no keys with timestamps after the given
+// time.
 func (o *OwnerView) SupersededEpochs(service rillreach.ServiceID, after time.Time) []uint64 {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -180,27 +191,28 @@
 	return numbers
 }
 
-func (o *OwnerView) service(id rillreach.ServiceID) *epochs {
+func (o *OwnerView) epochsOf(id rillreach.ServiceID) *serviceEpochs {
 	if o.services == nil {
-		o.services = map[rillreach.ServiceID]*epochs{}
+		o.services = map[rillreach.ServiceID]*serviceEpochs{}
 	}
 	s := o.services[id]
 	if s == nil {
-		s = &epochs{}
+		s = &serviceEpochs{}
 		o.services[id] = s
 	}
 	return s
 }
 
-// add keeps the epochs in the order of their times; of two with one time the higher number counts.
-func (s *epochs) add(e Epoch) {
+// add inserts a valid epoch in the order of start times. Of two epochs with the same start, the one with the higher
+// number comes last and takes precedence.
+func (s *serviceEpochs) add(e Epoch) {
 	at, found := slices.BinarySearchFunc(s.valid, e, compareEpochs)
 	if !found {
 		s.valid = slices.Insert(s.valid, at, e)
 	}
 }
 
-func (s *epochs) drop(number uint64) {
+func (s *serviceEpochs) remove(number uint64) {
 	s.valid = slices.DeleteFunc(s.valid, func(e Epoch) bool { return e.Number == number })
 }
 
--- a/once/ticket.go
+++ b/once/ticket.go
@@ -12,10 +12,10 @@
 	"github.com/rillreach/rillreach/internal/hash"
 )
 
-// maxTicket bounds a ticket's text in bytes.
-const maxTicket = 2048
+// maxTicketBytes is the maximum length of an encoded ticket.
+const maxTicketBytes = 2048
 
-// Ticket names the one incarnation of an agent that may run a request.
+// Ticket identifies a request and the only incarnation of an agent that may run it.
 type Ticket struct {
 	ID      string              `cbor:"1,keyasint"`
 	Account rillreach.AccountID `cbor:"2,keyasint"`
@@ -24,7 +24,7 @@
 	Expires time.Time           `cbor:"5,keyasint"`
 }
 
-// Check reports the first fault of the ticket.
+// Check reports whether the ticket is incomplete.
 func (t Ticket) Check() error {
 	if t.ID == "" || t.Account == "" || t.Service == "" || t.Owner.Incarnation == "" || t.Expires.IsZero() {
 		return errors.New("ticket is incomplete")
@@ -32,17 +32,17 @@
 	return nil
 }
 
-// Signer signs and verifies tickets with a secret of the whole fleet.
+// Signer signs and verifies tickets with a secret that the whole fleet shares.
 type Signer struct {
 	key hash.Key
 }
 
-// NewSigner makes a signer from the fleet's secret.
+// NewSigner returns a signer that uses the fleet's secret.
 func NewSigner(secret []byte) Signer {
 	return Signer{key: hash.Derive("tickets", secret)}
 }
 
-// Sign makes the text of a ticket.
+// Sign returns the signed and encoded ticket.
 func (s Signer) Sign(t Ticket) (string, error) {
 	body, err := cbor.Marshal(t)
 	if err != nil {
@@ -52,9 +52,9 @@
 	return base64.RawURLEncoding.EncodeToString(append(sum[:], body...)), nil
 }
 
-// Verify reads the text of a ticket and refuses one that this fleet has not signed.
+// Verify decodes a ticket and returns an error if this fleet has not signed it.
 func (s Signer) Verify(text string) (Ticket, error) {
-	if len(text) > maxTicket {
+	if len(text) > maxTicketBytes {
 		return Ticket{}, errors.New("ticket is too long")
 	}
 	data, err := base64.RawURLEncoding.DecodeString(text)
