--- a/deployment/settings.go
+++ b/deployment/settings.go
@@ -14,8 +14,8 @@
 	// Recovery is the time after the end of a failure, of an instance or of the object store, within which the instance
 	// must meet the other bounds again.
 	Recovery time.Duration
-	// RunnerDrainNotice is how long requests may still be sent to a runner after it has announced that it is leaving.
-	RunnerDrainNotice time.Duration
+	// RunnerDrainDelay is how long requests may still be sent to a runner after it has announced that it is leaving.
+	RunnerDrainDelay time.Duration
 	// GracePeriod is the time from the termination signal until the process must have exited.
 	GracePeriod time.Duration
 	// RetryRatio, RetryWindow and RetrySlack limit retries, summed over all entries: within RetryWindow, there are at
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -186,12 +186,12 @@
 
 // trustRelays is for how long the word of a relay holds: half of the bound on leaving runners is left for an entry's own watch.
 func (g *Gateway) trustRelays() time.Duration {
-	return min(g.Settings.Bounds.RunnerDrainNotice/trustShare, mostTrust)
+	return min(g.Settings.Bounds.RunnerDrainDelay/trustShare, mostTrust)
 }
 
 // gatherRunners is the pause between watches of the runners.
 func (g *Gateway) gatherRunners() time.Duration {
-	return min(g.Settings.Bounds.RunnerDrainNotice/gatherShare, mostGather)
+	return min(g.Settings.Bounds.RunnerDrainDelay/gatherShare, mostGather)
 }
 
 func (g *Gateway) newServer() *http.Server {
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -117,7 +117,7 @@
 func TestHungWatchIsNoticedInTime(t *testing.T) {
 	const givenUpAfter = 700 * time.Millisecond // beyond its wait, by the client of the store
 	for _, contact := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
-		g := &Gateway{Settings: &deployment.Settings{Bounds: deployment.Bounds{Recovery: contact, RunnerDrainNotice: 2 * time.Second}}}
+		g := &Gateway{Settings: &deployment.Settings{Bounds: deployment.Bounds{Recovery: contact, RunnerDrainDelay: 2 * time.Second}}}
 		assert.Less(t, g.watchWait()+givenUpAfter, contact)
 		assert.LessOrEqual(t, g.gatherRunners(), time.Second)
 	}
