--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -37,18 +37,18 @@
 var errDown = errors.New("platform is down")
 
 // Get fails.
-func (downStore) Get(context.Context, rillreach.Kind, string) (rillreach.Object, error) {
+func (downStore) Get(context.Context, rillreach.ObjectKind, string) (rillreach.Object, error) {
 	return rillreach.Object{}, errDown
 }
 
 // List fails.
-func (downStore) List(context.Context, rillreach.Kind) (rillreach.Page, error) {
-	return rillreach.Page{}, errDown
+func (downStore) List(context.Context, rillreach.ObjectKind) (rillreach.ObjectPage, error) {
+	return rillreach.ObjectPage{}, errDown
 }
 
 // Watch fails.
-func (downStore) Watch(context.Context, rillreach.Kind, uint64, time.Duration) (rillreach.Page, error) {
-	return rillreach.Page{}, errDown
+func (downStore) Watch(context.Context, rillreach.ObjectKind, uint64, time.Duration) (rillreach.ObjectPage, error) {
+	return rillreach.ObjectPage{}, errDown
 }
 
 // heldBackend answers with its body once it is let go; it is an engine, too.
@@ -65,13 +65,13 @@
 }
 
 // Do waits and answers.
-func (h *heldBackend) Do(ctx context.Context, _ rillreach.Call) (rillreach.Answer, error) {
+func (h *heldBackend) Do(ctx context.Context, _ rillreach.BackendRequest) (rillreach.BackendResponse, error) {
 	h.started <- struct{}{}
 	select {
 	case <-h.let:
-		return rillreach.Answer{Status: http.StatusOK, Body: io.NopCloser(bytes.NewReader(h.body))}, nil
+		return rillreach.BackendResponse{Status: http.StatusOK, Body: io.NopCloser(bytes.NewReader(h.body))}, nil
 	case <-ctx.Done():
-		return rillreach.Answer{}, ctx.Err()
+		return rillreach.BackendResponse{}, ctx.Err()
 	}
 }
 
@@ -221,7 +221,7 @@
 		refusal := r.refusal(waits)
 		assert.Equal(t, rillreach.OutcomeNotRun, refusal.Outcome)
 		assert.Equal(t, rillreach.ReasonLeaving, refusal.Reason)
-		assert.True(t, refusal.Owner)
+		assert.True(t, refusal.FromOwner)
 		require.NoError(t, <-r.ended)
 	})
 }
--- a/agent/delegate.go
+++ b/agent/delegate.go
@@ -28,7 +28,7 @@
 		}
 		outcome := a.delegateTo(ctx, m, d)
 		a.Node.Log.Info("delegate", "request", d.ID, "account", d.Account, "chosen", m.ID, "side", side)
-		if r := outcome.Refusal; r != nil && r.Elsewhere() {
+		if r := outcome.Refusal; r != nil && r.CanRetryElsewhere() {
 			continue
 		}
 		return outcome
@@ -122,7 +122,7 @@
 	case fleet.PartAck:
 	}
 	if len(o.Body) > maxOutcome {
-		return rillreach.Unknown(rillreach.ReasonTooLarge, "request was run, but its answer is too large to keep")
+		return rillreach.MayHaveRun(rillreach.ReasonTooLarge, "request was run, but its answer is too large to keep")
 	}
 	return nil
 }
--- a/agent/load.go
+++ b/agent/load.go
@@ -56,5 +56,5 @@
 		w.node.Log.V(1).Info("engine's load not read", "cause", err.Error())
 		return
 	}
-	w.report.prefill.Store(int64(load.PrefillPerSec))
+	w.report.prefill.Store(int64(load.PrefillRate))
 }
--- a/agent/once.go
+++ b/agent/once.go
@@ -64,7 +64,7 @@
 
 // certain marks a refusal as the owner's own word on the request's identity.
 func certain(r *rillreach.Refusal) *rillreach.Refusal {
-	r.Owner = true
+	r.FromOwner = true
 	return r
 }
 
@@ -85,7 +85,7 @@
 		return once.Claim{}, rillreach.NotRun(rillreach.ReasonBadRequest, "ticket is for another account or service")
 	}
 	if t.Owner.Incarnation != a.Node.Self.Incarnation {
-		return once.Claim{}, rillreach.Unknown(rillreach.ReasonOwnerGone, "ticket's owner is gone; the request may have been run")
+		return once.Claim{}, rillreach.MayHaveRun(rillreach.ReasonOwnerGone, "ticket's owner is gone; the request may have been run")
 	}
 	return once.Claim{Name: "ticket/" + t.ID, Fingerprint: fingerprint(d), Expires: t.Expires}, nil
 }
@@ -97,10 +97,10 @@
 	}
 	owner, verdict := a.Node.Owners.FindOwner(d.Service, minted, once.KeyHash(d.Account, d.Key))
 	if verdict != once.VerdictOwned {
-		return once.Claim{}, rillreach.Unknown(rillreach.ReasonStaleView, "owner of the key is not certain: "+string(verdict))
+		return once.Claim{}, rillreach.MayHaveRun(rillreach.ReasonStaleView, "owner of the key is not certain: "+string(verdict))
 	}
 	if owner.Incarnation != a.Node.Self.Incarnation {
-		return once.Claim{}, rillreach.Unknown(rillreach.ReasonOwnerGone, "key is owned by another agent")
+		return once.Claim{}, rillreach.MayHaveRun(rillreach.ReasonOwnerGone, "key is owned by another agent")
 	}
 	name := "key/" + string(d.Account) + "/" + string(d.Service) + "/" + d.Key
 	return once.Claim{Name: name, Fingerprint: fingerprint(d), Expires: minted.Add(KeyLifetime)}, nil
@@ -148,7 +148,7 @@
 		return refused(backendFailure(ctx, err))
 	}
 	if len(body) > maxOutcome {
-		return refused(rillreach.Unknown(rillreach.ReasonTooLarge, "request was run, but its answer is too large to keep"))
+		return refused(rillreach.MayHaveRun(rillreach.ReasonTooLarge, "request was run, but its answer is too large to keep"))
 	}
 	return once.Outcome{Status: answer.Status, Header: endToEnd(answer.Header), Body: body}
 }
@@ -157,7 +157,7 @@
 func refused(err error) once.Outcome {
 	var refusal *rillreach.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = rillreach.Unknown(rillreach.ReasonCut, err.Error())
+		refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, err.Error())
 	}
 	return once.Outcome{Refusal: refusal}
 }
@@ -166,5 +166,5 @@
 	if o.Refusal != nil {
 		return certain(o.Refusal)
 	}
-	return passOn(ctx, call, rillreach.Answer{Status: o.Status, Header: o.Header, Body: io.NopCloser(bytes.NewReader(o.Body))})
+	return passOn(ctx, call, rillreach.BackendResponse{Status: o.Status, Header: o.Header, Body: io.NopCloser(bytes.NewReader(o.Body))})
 }
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -127,8 +127,8 @@
 	return call.Send(ctx, ack)
 }
 
-func (a *Agent) callOf(d fleet.Dispatch) rillreach.Call {
-	return rillreach.Call{Method: d.Method, Path: d.Path, Query: d.Query, Header: d.Header, Body: d.Body}
+func (a *Agent) callOf(d fleet.Dispatch) rillreach.BackendRequest {
+	return rillreach.BackendRequest{Method: d.Method, Path: d.Path, Query: d.Query, Header: d.Header, Body: d.Body}
 }
 
 // cost is the work of a request in tokens, as far as it can be told beforehand.
@@ -141,13 +141,13 @@
 		return rillreach.NotRun(rillreach.ReasonNoBackend, "backend server is out of reach")
 	}
 	if ctx.Err() != nil {
-		return rillreach.Unknown(rillreach.ReasonCut, "call of the backend server was broken off: "+context.Cause(ctx).Error())
+		return rillreach.MayHaveRun(rillreach.ReasonInterrupted, "call of the backend server was broken off: "+context.Cause(ctx).Error())
 	}
-	return rillreach.Unknown(rillreach.ReasonCut, "backend server broke off: "+err.Error())
+	return rillreach.MayHaveRun(rillreach.ReasonInterrupted, "backend server broke off: "+err.Error())
 }
 
 // passOn sends an answer's head and then its body, part by part, as the backend server gives it.
-func passOn(ctx context.Context, call *peer.Call, answer rillreach.Answer) error {
+func passOn(ctx context.Context, call *peer.Call, answer rillreach.BackendResponse) error {
 	head, err := fleet.EncodePart(fleet.PartHead, fleet.Head{Status: answer.Status, Header: endToEnd(answer.Header)})
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 			return nil
 		}
 		if err != nil {
-			return rillreach.Unknown(rillreach.ReasonCut, "backend server broke off its answer")
+			return rillreach.MayHaveRun(rillreach.ReasonInterrupted, "backend server broke off its answer")
 		}
 	}
 }
--- a/agent/slots.go
+++ b/agent/slots.go
@@ -58,7 +58,7 @@
 	p.wait = d.Wait
 	switch d.Verdict {
 	case queue.Refused:
-		return nil, rillreach.NotRun(d.Reason, "backend server cannot start the request in time").After(d.RetryAfter)
+		return nil, rillreach.NotRun(d.Reason, "backend server cannot start the request in time").WithRetryAfter(d.RetryAfter)
 	case queue.Started:
 		p.turns <- turnRun
 	default:
@@ -124,7 +124,7 @@
 
 func (p *place) late() error {
 	retry := p.slots.estimate()
-	return rillreach.NotRun(rillreach.ReasonDeadline, "deadline passed while the request waited").After(retry)
+	return rillreach.NotRun(rillreach.ReasonDeadline, "deadline passed while the request waited").WithRetryAfter(retry)
 }
 
 func (p *place) expiry() (<-chan time.Time, func()) {
--- a/backend.go
+++ b/backend.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Call is what an agent sends to its backend server.
-type Call struct {
+// BackendRequest is what an agent sends to its backend server.
+type BackendRequest struct {
 	Method string
 	Path   string
 	Query  string
@@ -16,8 +16,8 @@
 	Body   []byte
 }
 
-// Answer is the head of a backend server's answer and its body still to be read.
-type Answer struct {
+// BackendResponse is the head of a backend server's answer and its body still to be read.
+type BackendResponse struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -26,18 +26,18 @@
 // Backend is a model engine or a plain service as far as requests go.
 type Backend interface {
 	// Do sends one call and returns once the answer's head is there.
-	Do(ctx context.Context, call Call) (Answer, error)
+	Do(ctx context.Context, call BackendRequest) (BackendResponse, error)
 }
 
 // EngineLoad is what an engine reports of its own load, with a lag.
 type EngineLoad struct {
-	Running       int     `json:"running"`
-	Waiting       int     `json:"waiting"`
-	PrefillPerSec float64 `json:"prefillPerSecond"`
+	Running     int     `json:"running"`
+	Waiting     int     `json:"waiting"`
+	PrefillRate float64 `json:"prefillPerSecond"`
 }
 
-// StateRef names a part of an engine's KV cache: the prefix of a prompt under a cache salt.
-type StateRef struct {
+// KVStateRef names a part of an engine's KV cache: the prefix of a prompt under a cache salt.
+type KVStateRef struct {
 	Salt string `json:"cache_salt"`
 	// Prompt is the request body whose prefix is meant.
 	Prompt []byte `json:"prompt"`
@@ -45,8 +45,8 @@
 	SkipTokens int `json:"skip_tokens"`
 }
 
-// State is an exported part of a KV cache.
-type State struct {
+// KVState is an exported part of a KV cache.
+type KVState struct {
 	Tokens  int
 	Payload []byte
 }
@@ -57,9 +57,9 @@
 	// Load returns the engine's lagging report of its load.
 	Load(ctx context.Context) (EngineLoad, error)
 	// Export copies a part of the KV cache out.
-	Export(ctx context.Context, ref StateRef) (State, error)
+	Export(ctx context.Context, ref KVStateRef) (KVState, error)
 	// Import takes a part of the KV cache in.
-	Import(ctx context.Context, state State) error
+	Import(ctx context.Context, state KVState) error
 }
 
 // Clock tells the time; Now counts the time for which the machine or the process was suspended.
--- a/backend/client.go
+++ b/backend/client.go
@@ -42,11 +42,11 @@
 }
 
 // Do sends one call.
-func (c *Client) Do(ctx context.Context, call rillreach.Call) (rillreach.Answer, error) {
+func (c *Client) Do(ctx context.Context, call rillreach.BackendRequest) (rillreach.BackendResponse, error) {
 	target := c.Base + (&url.URL{Path: call.Path, RawQuery: call.Query}).RequestURI()
 	req, err := http.NewRequestWithContext(ctx, call.Method, target, bytes.NewReader(call.Body))
 	if err != nil {
-		return rillreach.Answer{}, errors.Mark(errors.Wrap(err, "make call"), ErrNotSent)
+		return rillreach.BackendResponse{}, errors.Mark(errors.Wrap(err, "make call"), ErrNotSent)
 	}
 	req.GetBody = nil // without it the transport cannot send the call a second time
 	for name, values := range call.Header {
@@ -54,9 +54,9 @@
 	}
 	resp, err := c.HTTP.Do(req) //nolint:bodyclose // the body is part of the answer, and its reader closes it
 	if err != nil {
-		return rillreach.Answer{}, markNotSent(errors.Wrap(err, "call backend server"))
+		return rillreach.BackendResponse{}, markNotSent(errors.Wrap(err, "call backend server"))
 	}
-	return rillreach.Answer{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
+	return rillreach.BackendResponse{Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
 // markNotSent marks the failures of connecting, which come before anything is sent.
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -48,26 +48,26 @@
 }
 
 // Export copies the state of a prompt's prefix out.
-func (e *Engine) Export(ctx context.Context, ref rillreach.StateRef) (rillreach.State, error) {
+func (e *Engine) Export(ctx context.Context, ref rillreach.KVStateRef) (rillreach.KVState, error) {
 	body, err := json.Marshal(ref)
 	if err != nil {
-		return rillreach.State{}, errors.Wrap(err, "encode what to export")
+		return rillreach.KVState{}, errors.Wrap(err, "encode what to export")
 	}
 	resp, err := e.control(ctx, http.MethodPost, PathExport, body)
 	if err != nil {
-		return rillreach.State{}, err
+		return rillreach.KVState{}, err
 	}
 	defer resp.Body.Close()
 	tokens, err := strconv.Atoi(resp.Header.Get(HeaderTokens))
 	if err != nil {
-		return rillreach.State{}, errors.Wrap(err, "read number of exported tokens")
+		return rillreach.KVState{}, errors.Wrap(err, "read number of exported tokens")
 	}
 	payload, err := io.ReadAll(io.LimitReader(resp.Body, maxState))
-	return rillreach.State{Tokens: tokens, Payload: payload}, errors.Wrap(err, "read exported state")
+	return rillreach.KVState{Tokens: tokens, Payload: payload}, errors.Wrap(err, "read exported state")
 }
 
 // Import takes a state in.
-func (e *Engine) Import(ctx context.Context, state rillreach.State) error {
+func (e *Engine) Import(ctx context.Context, state rillreach.KVState) error {
 	resp, err := e.control(ctx, http.MethodPost, PathImport, state.Payload)
 	if err != nil {
 		return err
--- a/bench/capacity/state_test.go
+++ b/bench/capacity/state_test.go
@@ -46,7 +46,7 @@
 }
 
 func rowObject(i int) rillreach.Object {
-	_, credential, err := rillreach.NewKey(rillreach.AccountID(fmt.Sprint("account-", i/2)))
+	_, credential, err := rillreach.NewAPIKey(rillreach.AccountID(fmt.Sprint("account-", i/2)))
 	if err != nil {
 		panic(err)
 	}
@@ -54,7 +54,7 @@
 		Format: rillreach.RowFormat, Account: rillreach.AccountID(fmt.Sprint("account-", i/2)),
 		Model: rillreach.ModelID(fmt.Sprint("model-", i%37)), Version: "v1",
 		Weights: rillreach.Weights{Old: 40, New: 60}, Objective: rillreach.ObjectiveFirstToken,
-		Limits:      rillreach.Limits{RequestsPerSecond: 10, TokensPerMinute: 100_000, Concurrent: 20},
+		Limits:      rillreach.Limits{RequestsPerSecond: 10, TokensPerMinute: 100_000, ConcurrentRequests: 20},
 		Credentials: []rillreach.Credential{credential}, Edit: "018f3c2e-7b5a-7cc1-8a1e-3c5d7f9b1a2b",
 	}
 	value, err := json.Marshal(row)
@@ -78,7 +78,7 @@
 	return rillreach.Object{Kind: rillreach.KindInstance, Name: string(instance.ID), Version: uint64(i + 1), Changed: time.Now(), Value: value}
 }
 
-func snapshotOf(kind rillreach.Kind, objects []rillreach.Object) replicate.Delta {
+func snapshotOf(kind rillreach.ObjectKind, objects []rillreach.Object) replicate.Delta {
 	return replicate.Delta{Snapshot: true, To: replicate.Watermark{Kind: kind, Version: uint64(len(objects) + 1)}, Objects: objects}
 }
 
--- a/bench/path/path_test.go
+++ b/bench/path/path_test.go
@@ -80,7 +80,7 @@
 	f := &demo.Fleet{Entries: 1, Runners: 1, TokenTime: tokenTime, PrefillRate: 1e9, Slots: 100_000, Log: logr.Discard()}
 	tb.Cleanup(f.Stop)
 	require.NoError(tb, f.Start(context.Background()))
-	key, credential, err := rillreach.NewKey("bench")
+	key, credential, err := rillreach.NewAPIKey("bench")
 	require.NoError(tb, err)
 	_, err = f.Editor.Write(context.Background(), rillreach.Row{
 		Format: rillreach.RowFormat, Account: "bench", Model: demo.Model, Version: demo.Version,
--- a/bench/policy/scenario.go
+++ b/bench/policy/scenario.go
@@ -72,14 +72,14 @@
 	return Scenario{Name: name, schedule: func(s *simulation) {
 		for step := 1; step <= shiftSteps; step++ {
 			at := s.deployment.Span * time.Duration(step) / (shiftSteps + 2)
-			s.after(at, func() { s.shift(step*rillreach.WholeWeight/shiftSteps, ahead) })
+			s.after(at, func() { s.shift(step*rillreach.TotalWeight/shiftSteps, ahead) })
 		}
 	}}
 }
 
 func (s *simulation) shift(toNew int, ahead bool) {
 	before := s.weights
-	s.weights = rillreach.Weights{Old: rillreach.WholeWeight - toNew, New: toNew}
+	s.weights = rillreach.Weights{Old: rillreach.TotalWeight - toNew, New: toNew}
 	if !ahead {
 		return
 	}
--- a/bench/policy/simulate.go
+++ b/bench/policy/simulate.go
@@ -82,7 +82,7 @@
 		gaps:     map[rillreach.AccountID]*keep.ReturnHistogram{},
 		lastSeen: map[int]time.Duration{},
 		seen:     map[int]prompt{},
-		weights:  rillreach.Weights{Old: rillreach.WholeWeight},
+		weights:  rillreach.Weights{Old: rillreach.TotalWeight},
 	}
 	s.build()
 	scenario.schedule(s)
--- a/cmd/table_key.go
+++ b/cmd/table_key.go
@@ -33,7 +33,7 @@
 	if c.Args().Len() != 1 {
 		return codedError{error: errors.New("give one account"), code: ExitUsage}
 	}
-	key, credential, err := rillreach.NewKey(rillreach.AccountID(c.Args().First()))
+	key, credential, err := rillreach.NewAPIKey(rillreach.AccountID(c.Args().First()))
 	if err != nil {
 		return codedError{error: err, code: ExitUsage}
 	}
--- a/cmd/table_output.go
+++ b/cmd/table_output.go
@@ -43,8 +43,8 @@
 	_, _ = fmt.Fprintln(tab, "ACCOUNT\tMODEL\tVERSION\tOLD\tNEW\tOBJECTIVE\tREQ/S\tTOKENS/MIN\tCONCURRENT\tKEPT BYTES\tKEYS")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(tab, "%s\t%s\t%s\t%d\t%d\t%s\t%g\t%d\t%d\t%d\t%d\n", r.Account, r.Model, r.Version, r.Weights.Old,
-			r.Weights.New, r.Objective, r.Limits.RequestsPerSecond, r.Limits.TokensPerMinute, r.Limits.Concurrent,
-			r.Limits.KeptBytes, len(r.Credentials))
+			r.Weights.New, r.Objective, r.Limits.RequestsPerSecond, r.Limits.TokensPerMinute, r.Limits.ConcurrentRequests,
+			r.Limits.StoredBytes, len(r.Credentials))
 	}
 	return errors.Wrap(tab.Flush(), "write rows")
 }
--- a/cmd/table_set.go
+++ b/cmd/table_set.go
@@ -81,7 +81,7 @@
 		Account:   rillreach.AccountID(name[0]),
 		Model:     rillreach.ModelID(name[1]),
 		Version:   rillreach.VersionID(name[2]),
-		Weights:   rillreach.Weights{Old: rillreach.WholeWeight},
+		Weights:   rillreach.Weights{Old: rillreach.TotalWeight},
 		Objective: rillreach.ObjectiveFirstToken,
 	}
 }
@@ -89,7 +89,7 @@
 // changeRow puts the flags that were given into a row.
 func changeRow(c *cli.Command, row *rillreach.Row) {
 	if weight := c.Int("new"); weight != unset {
-		row.Weights = rillreach.Weights{Old: rillreach.WholeWeight - weight, New: weight}
+		row.Weights = rillreach.Weights{Old: rillreach.TotalWeight - weight, New: weight}
 	}
 	if objective := c.String("objective"); objective != "" {
 		row.Objective = rillreach.Objective(objective)
@@ -101,6 +101,6 @@
 		row.Limits.TokensPerMinute = int64(tokens)
 	}
 	if concurrent := c.Int("concurrent"); concurrent != unset {
-		row.Limits.Concurrent = concurrent
+		row.Limits.ConcurrentRequests = concurrent
 	}
 }
--- a/cmd/table_shift.go
+++ b/cmd/table_shift.go
@@ -25,7 +25,7 @@
 			&cli.StringFlag{Name: "from", Value: string(rillreach.SideOld), Usage: "side that loses weight"},
 			&cli.StringFlag{Name: "to", Value: string(rillreach.SideNew), Usage: "side that gets it"},
 			&cli.IntFlag{Name: "step", Value: defaultStep, Usage: "weight of one step"},
-			&cli.IntFlag{Name: "until", Value: rillreach.WholeWeight, Usage: "weight at which to stop"},
+			&cli.IntFlag{Name: "until", Value: rillreach.TotalWeight, Usage: "weight at which to stop"},
 			&cli.DurationFlag{Name: "timeout", Value: defaultWait, Usage: "how long a step may take to be in force"},
 		),
 		Action: runTableShift,
@@ -78,9 +78,9 @@
 		return true, nil
 	}
 	weight = min(weight+c.Int("step"), c.Int("until"))
-	row.Weights = rillreach.Weights{Old: rillreach.WholeWeight - weight, New: weight}
+	row.Weights = rillreach.Weights{Old: rillreach.TotalWeight - weight, New: weight}
 	if to == rillreach.SideOld {
-		row.Weights = rillreach.Weights{Old: weight, New: rillreach.WholeWeight - weight}
+		row.Weights = rillreach.Weights{Old: weight, New: rillreach.TotalWeight - weight}
 	}
 	written, err := editor.Write(ctx, row, version)
 	if err != nil {
--- a/controller/follow/follow.go
+++ b/controller/follow/follow.go
@@ -112,7 +112,7 @@
 			listed = false
 		default:
 			c.markLost(ctx, err)
-			if errors.Is(err, rillreach.ErrAnswerUnreadable) {
+			if errors.Is(err, rillreach.ErrMalformedResponse) {
 				listed = false // the same watch would get the same response
 			}
 			pause.For(ctx, backoff)
--- a/controller/follow/follow_test.go
+++ b/controller/follow/follow_test.go
@@ -97,7 +97,7 @@
 		assert.Equal(t, 2, got.listed)
 		assert.Equal(t, []uint64{5, 20, 21}, s.from)
 	})
-	unreadable := step{err: errors.Mark(errors.New("no JSON"), rillreach.ErrAnswerUnreadable)}
+	unreadable := step{err: errors.Mark(errors.New("no JSON"), rillreach.ErrMalformedResponse)}
 	t.Run("an unreadable response causes a new list, since the same watch would get it again", func(t *testing.T) {
 		s, got := run(t, step{revision: 5}, unreadable, unreadable, step{revision: 20}, change("a", 21))
 		assert.Equal(t, 3, s.lists)
--- a/controller/lease/lease_test.go
+++ b/controller/lease/lease_test.go
@@ -21,7 +21,7 @@
 
 var limited = rillreach.Row{
 	Format: rillreach.RowFormat, Account: "kigali", Model: "m", Version: "v", Weights: rillreach.Weights{Old: 100},
-	Objective: rillreach.ObjectiveFirstToken, Limits: rillreach.Limits{RequestsPerSecond: 100, Concurrent: 10},
+	Objective: rillreach.ObjectiveFirstToken, Limits: rillreach.Limits{RequestsPerSecond: 100, ConcurrentRequests: 10},
 }
 
 func entryInstance(i int) rillreach.Instance {
--- a/controller/spread/count.go
+++ b/controller/spread/count.go
@@ -13,7 +13,7 @@
 )
 
 // CountAll asks every known process, by way of one process of each zone, whether it holds a kind up to a version.
-func (c *Controller) CountAll(ctx context.Context, kind rillreach.Kind, version uint64) fleet.Counted {
+func (c *Controller) CountAll(ctx context.Context, kind rillreach.ObjectKind, version uint64) fleet.Counted {
 	zones := map[rillreach.ZoneID][]rillreach.InstanceID{}
 	for _, n := range nodesOf(c.Members.All()) {
 		if n.Usable {
--- a/controller/spread/fleet_test.go
+++ b/controller/spread/fleet_test.go
@@ -223,17 +223,17 @@
 }
 
 // List lists unless the gate is shut.
-func (g *gate) List(ctx context.Context, kind rillreach.Kind) (rillreach.Page, error) {
+func (g *gate) List(ctx context.Context, kind rillreach.ObjectKind) (rillreach.ObjectPage, error) {
 	if g.shut.Load() {
-		return rillreach.Page{}, net.ErrClosed
+		return rillreach.ObjectPage{}, net.ErrClosed
 	}
 	return g.ObjectStore.List(ctx, kind)
 }
 
 // Watch watches unless the gate is shut.
-func (g *gate) Watch(ctx context.Context, kind rillreach.Kind, after uint64, wait time.Duration) (rillreach.Page, error) {
+func (g *gate) Watch(ctx context.Context, kind rillreach.ObjectKind, after uint64, wait time.Duration) (rillreach.ObjectPage, error) {
 	if g.shut.Load() {
-		return rillreach.Page{}, net.ErrClosed
+		return rillreach.ObjectPage{}, net.ErrClosed
 	}
 	return g.ObjectStore.Watch(ctx, kind, after, wait)
 }
--- a/controller/spread/spread.go
+++ b/controller/spread/spread.go
@@ -156,7 +156,7 @@
 }
 
 // watchAll watches one kind whenever that is this process's task.
-func (c *Controller) watchAll(ctx context.Context, kind rillreach.Kind) {
+func (c *Controller) watchAll(ctx context.Context, kind rillreach.ObjectKind) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		if !c.currentPlan().IsWatcher {
@@ -174,7 +174,7 @@
 	}
 }
 
-func (c *Controller) watch(ctx context.Context, kind rillreach.Kind) error {
+func (c *Controller) watch(ctx context.Context, kind rillreach.ObjectKind) error {
 	mark := c.Copy.Watermark(kind)
 	if mark.Version == 0 {
 		return c.list(ctx, kind)
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func (c *Controller) list(ctx context.Context, kind rillreach.Kind) error {
+func (c *Controller) list(ctx context.Context, kind rillreach.ObjectKind) error {
 	c.Stats.PlatformCalls.Add(1)
 	page, err := c.Store.List(ctx, kind)
 	if err != nil {
--- a/credential.go
+++ b/credential.go
@@ -39,8 +39,8 @@
 	return subtle.ConstantTimeCompare(hashSecret(c.Salt, secret), c.Hash) == 1
 }
 
-// NewKey makes a key for an account and the credential that recognises it; the key is shown once and kept nowhere.
-func NewKey(account AccountID) (string, Credential, error) {
+// NewAPIKey makes a key for an account and the credential that recognises it; the key is shown once and kept nowhere.
+func NewAPIKey(account AccountID) (string, Credential, error) {
 	if err := checkName("account", string(account)); err != nil {
 		return "", Credential{}, err
 	}
@@ -54,8 +54,8 @@
 	return key, Credential{Salt: salt, Hash: hashSecret(salt, secret)}, nil
 }
 
-// SplitKey takes a key apart into the account it claims and the secret that has to prove it.
-func SplitKey(key string) (AccountID, string, bool) {
+// ParseAPIKey takes a key apart into the account it claims and the secret that has to prove it.
+func ParseAPIKey(key string) (AccountID, string, bool) {
 	if len(key) > maxKeyLength {
 		return "", "", false
 	}
--- a/decode_test.go
+++ b/decode_test.go
@@ -23,7 +23,7 @@
 		"an account with a slash":  func(r *Row) { r.Account = "a/b" },
 		"weights that do not add":  func(r *Row) { r.Weights.Old = 31 },
 		"a negative weight":        func(r *Row) { r.Weights = Weights{Old: -1, New: 101} },
-		"a negative limit":         func(r *Row) { r.Limits.Concurrent = -1 },
+		"a negative limit":         func(r *Row) { r.Limits.ConcurrentRequests = -1 },
 		"an unknown objective":     func(r *Row) { r.Objective = "cheap" },
 		"a credential that is cut": func(r *Row) { r.Credentials = []Credential{{Salt: []byte{1}}} },
 	} {
@@ -40,9 +40,9 @@
 }
 
 func TestKeys(t *testing.T) {
-	key, credential, err := NewKey("kigali")
+	key, credential, err := NewAPIKey("kigali")
 	require.NoError(t, err)
-	account, secret, ok := SplitKey(key)
+	account, secret, ok := ParseAPIKey(key)
 	require.True(t, ok)
 	assert.Equal(t, AccountID("kigali"), account)
 	assert.True(t, credential.Matches(secret))
@@ -65,8 +65,8 @@
 func TestRefusalElsewhere(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		reason := Reason(rapid.SampledFrom([]string{"overload", "leaving", "no-backend", "deadline", "bad-request", "cut", "limit"}).Draw(rt, "reason"))
-		require.False(rt, Unknown(reason, "").Elsewhere())
-		require.GreaterOrEqual(rt, NotRun(reason, "").Status(), 400)
+		require.False(rt, MayHaveRun(reason, "").CanRetryElsewhere())
+		require.GreaterOrEqual(rt, NotRun(reason, "").HTTPStatus(), 400)
 	})
 }
 
@@ -86,7 +86,7 @@
 	f.Add("rr-kigali~secret")
 	f.Add("rr-~")
 	f.Fuzz(func(t *testing.T, key string) {
-		if account, secret, ok := SplitKey(key); ok {
+		if account, secret, ok := ParseAPIKey(key); ok {
 			assert.NotEmpty(t, account)
 			assert.NotEmpty(t, secret)
 		}
--- a/demo/run.go
+++ b/demo/run.go
@@ -69,7 +69,7 @@
 	if err := f.Start(ctx); err != nil {
 		return Summary{}, err
 	}
-	key, credential, err := rillreach.NewKey(account)
+	key, credential, err := rillreach.NewAPIKey(account)
 	if err != nil {
 		return Summary{}, err
 	}
@@ -124,7 +124,7 @@
 	for i, model := range []rillreach.ModelID{Model, rillreach.ModelID(Service)} {
 		version, err := d.fleet.Editor.Write(ctx, rillreach.Row{
 			Format: rillreach.RowFormat, Account: account, Model: model, Version: Version,
-			Weights:   rillreach.Weights{Old: rillreach.WholeWeight - toNew, New: toNew},
+			Weights:   rillreach.Weights{Old: rillreach.TotalWeight - toNew, New: toNew},
 			Objective: rillreach.ObjectiveFirstToken, Credentials: []rillreach.Credential{d.credential},
 		}, d.versions[i])
 		if err != nil {
@@ -139,7 +139,7 @@
 	d.all = newTraffic(d.key)
 	var before, after *traffic
 	for step := range shiftSteps + 1 {
-		weight := step * rillreach.WholeWeight / shiftSteps
+		weight := step * rillreach.TotalWeight / shiftSteps
 		if step > 0 {
 			if err := d.write(ctx, weight); err != nil {
 				return Summary{}, err
@@ -150,7 +150,7 @@
 			return Summary{}, err
 		}
 		_, _ = fmt.Fprintf(d.progress, "old %3d  new %3d  requests %4d  whole %4d  lost %d  p50 %.1f ms  p95 %.1f ms  computed %.0f%%\n",
-			rillreach.WholeWeight-weight, weight, round.requests, round.whole, round.lost, round.quantile(50), round.quantile(95), 100*round.share())
+			rillreach.TotalWeight-weight, weight, round.requests, round.whole, round.lost, round.quantile(50), round.quantile(95), 100*round.share())
 		if step == 0 {
 			before = round
 		}
--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -52,7 +52,7 @@
 		assertRefused(t, send(t, http.MethodPost, base+"/v2/x", key, ""), http.StatusNotFound, rillreach.OutcomeNotRun, rillreach.ReasonUnknownPath)
 	})
 	t.Run("a method that a path does not take is refused", func(t *testing.T) {
-		assertRefused(t, send(t, http.MethodGet, base+chatPath, key, ""), http.StatusMethodNotAllowed, rillreach.OutcomeNotRun, rillreach.ReasonMethod)
+		assertRefused(t, send(t, http.MethodGet, base+chatPath, key, ""), http.StatusMethodNotAllowed, rillreach.OutcomeNotRun, rillreach.ReasonMethodNotAllowed)
 	})
 	t.Run("two lengths that differ are refused", func(t *testing.T) {
 		conn, err := net.Dial("tcp", entry.address("callers"))
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -59,7 +59,7 @@
 // account makes a key for an account and writes its rows.
 func (f *testFleet) account(name string, rows ...rillreach.Row) string {
 	f.t.Helper()
-	key, credential, err := rillreach.NewKey(rillreach.AccountID(name))
+	key, credential, err := rillreach.NewAPIKey(rillreach.AccountID(name))
 	require.NoError(f.t, err)
 	for i := range rows {
 		rows[i].Format = rillreach.RowFormat
@@ -173,7 +173,7 @@
 // instances is how many instances the platform lists.
 func (f *testFleet) instances() int {
 	f.t.Helper()
-	var page rillreach.Page
+	var page rillreach.ObjectPage
 	get(f.t, f.platform+"/objects/instances", &page)
 	return len(page.Objects)
 }
--- a/e2e/mixed_test.go
+++ b/e2e/mixed_test.go
@@ -48,7 +48,7 @@
 	for i := range f.entries {
 		serves(t, http.StatusOK, func() (answer, error) { return f.chat(i, "kigali", "m@v1", "warm up", false) })
 		serves(t, http.StatusOK, func() (answer, error) {
-			return trySend(http.MethodPost, f.urlOf(i)+"/services/receipts/x", f.keys["kigali"], "warm up", rillreach.HeaderKey, newKey(t))
+			return trySend(http.MethodPost, f.urlOf(i)+"/services/receipts/x", f.keys["kigali"], "warm up", rillreach.HeaderIdempotencyKey, newKey(t))
 		})
 	}
 	var r mixedReport
@@ -214,7 +214,7 @@
 	o := outcome{body: fmt.Sprintf("once %d", i)}
 	header, identity := rillreach.HeaderTicket, ""
 	if random.IntN(2) == 0 {
-		header, identity = rillreach.HeaderKey, uuid.Must(uuid.NewV7()).String()
+		header, identity = rillreach.HeaderIdempotencyKey, uuid.Must(uuid.NewV7()).String()
 	}
 	deadline := time.Now().Add(10 * time.Second)
 	for try := i; time.Now().Before(deadline); try++ {
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -135,21 +135,21 @@
 
 func TestKeyRunsOnce(t *testing.T) {
 	f := newOnceFleet(t, "50ms")
-	serves(t, http.StatusOK, func() (answer, error) { return f.call(0, "warm up", rillreach.HeaderKey, newKey(t)) })
-	serves(t, http.StatusOK, func() (answer, error) { return f.call(1, "warm up", rillreach.HeaderKey, newKey(t)) })
+	serves(t, http.StatusOK, func() (answer, error) { return f.call(0, "warm up", rillreach.HeaderIdempotencyKey, newKey(t)) })
+	serves(t, http.StatusOK, func() (answer, error) { return f.call(1, "warm up", rillreach.HeaderIdempotencyKey, newKey(t)) })
 	t.Run("sent to two entries at once", func(t *testing.T) {
-		for _, a := range f.race("race", rillreach.HeaderKey, newKey(t)) {
+		for _, a := range f.race("race", rillreach.HeaderIdempotencyKey, newKey(t)) {
 			assert.Equal(t, http.StatusOK, a.status, a.body)
 		}
 		assert.Equal(t, 1, f.runs("race"))
 	})
 	t.Run("a key that carries no time is refused", func(t *testing.T) {
-		a, err := f.call(0, "plain key", rillreach.HeaderKey, "order 66")
+		a, err := f.call(0, "plain key", rillreach.HeaderIdempotencyKey, "order 66")
 		require.NoError(t, err)
 		assertRefused(t, a, http.StatusBadRequest, rillreach.OutcomeNotRun, rillreach.ReasonBadRequest)
 	})
 	t.Run("a key of the future is not decided", func(t *testing.T) {
-		a, err := f.call(0, "future", rillreach.HeaderKey, "7f8f3c2e-7b5a-7cc1-8a1e-3c5d7f9b1a2b")
+		a, err := f.call(0, "future", rillreach.HeaderIdempotencyKey, "7f8f3c2e-7b5a-7cc1-8a1e-3c5d7f9b1a2b")
 		require.NoError(t, err)
 		assertRefused(t, a, http.StatusServiceUnavailable, rillreach.OutcomeUnknown, rillreach.ReasonStaleView)
 	})
@@ -162,7 +162,7 @@
 			if round == 3 {
 				f.agents[0].signal(syscall.SIGTERM)
 			}
-			f.race(body, rillreach.HeaderKey, newKey(t))
+			f.race(body, rillreach.HeaderIdempotencyKey, newKey(t))
 			assert.LessOrEqual(t, f.runs(body), 1, body)
 		}
 	})
@@ -276,7 +276,7 @@
 		second.address("peers")
 		for range 10 {
 			key := newKey(t)
-			f.race("slot "+key, rillreach.HeaderKey, key)
+			f.race("slot "+key, rillreach.HeaderIdempotencyKey, key)
 			assert.LessOrEqual(t, f.runs("slot "+key), 1)
 		}
 	})
@@ -287,7 +287,7 @@
 func TestPlannedStopLosesNoKeys(t *testing.T) {
 	f := newOnceFleet(t, "0s")
 	for i := range f.entries {
-		serves(t, http.StatusOK, func() (answer, error) { return f.call(i, "warm up", rillreach.HeaderKey, newKey(t)) })
+		serves(t, http.StatusOK, func() (answer, error) { return f.call(i, "warm up", rillreach.HeaderIdempotencyKey, newKey(t)) })
 	}
 	awaitOwners(t, f, 2)
 	stopped := make(chan struct{})
@@ -298,7 +298,7 @@
 	}()
 	for calls := 0; ; calls++ {
 		body := "during the stop " + strconv.Itoa(calls)
-		a, err := f.call(calls%2, body, rillreach.HeaderKey, newKey(t))
+		a, err := f.call(calls%2, body, rillreach.HeaderIdempotencyKey, newKey(t))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, a.status, a.body)
 		require.Equal(t, 1, f.runs(body))
@@ -326,7 +326,7 @@
 				}
 			}
 		}
-		_, err := f.call(0, "probe "+newKey(t), rillreach.HeaderKey, newKey(t))
+		_, err := f.call(0, "probe "+newKey(t), rillreach.HeaderIdempotencyKey, newKey(t))
 		return err == nil && owners == count
 	}, "keys are spread over the agents")
 }
--- a/edit/edit.go
+++ b/edit/edit.go
@@ -72,7 +72,7 @@
 	if err == nil {
 		return object.Version, nil
 	}
-	if errors.Is(err, rillreach.ErrUnsure) {
+	if errors.Is(err, rillreach.ErrWriteUncertain) {
 		return e.settle(ctx, row, seen)
 	}
 	if errors.Is(err, rillreach.ErrConflict) {
@@ -93,7 +93,7 @@
 		}
 		e.pause(ctx)
 	}
-	return 0, errors.Mark(errors.Wrap(err, "edit may or may not have taken effect"), rillreach.ErrUnsure)
+	return 0, errors.Mark(errors.Wrap(err, "edit may or may not have taken effect"), rillreach.ErrWriteUncertain)
 }
 
 func (e *Editor) judge(row, there rillreach.Row, version, seen uint64) (uint64, error) {
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -31,7 +31,7 @@
 func bodyOf(refusal *rillreach.Refusal) errorBody {
 	return errorBody{Error: errorDetail{
 		Message: refusal.Message,
-		Type:    errorType(refusal.Status()),
+		Type:    errorType(refusal.HTTPStatus()),
 		Code:    refusal.Reason,
 		Outcome: refusal.Outcome,
 	}}
@@ -52,7 +52,7 @@
 
 // end tells the caller of a refusal, also where part of the answer has gone out already.
 func end(x *rillreach.Exchange, refusal *rillreach.Refusal) {
-	if !x.Began {
+	if !x.ResponseStarted {
 		writeRefusal(x.Writer, refusal)
 		return
 	}
@@ -92,7 +92,7 @@
 	if wait := retryAfter(refusal); wait > 0 {
 		header.Set("Retry-After", strconv.Itoa(wait))
 	}
-	writeJSON(w, refusal.Status(), bodyOf(refusal))
+	writeJSON(w, refusal.HTTPStatus(), bodyOf(refusal))
 }
 
 const defaultRetry = time.Second
@@ -100,7 +100,7 @@
 // retryAfter is in how many whole seconds the caller should come back, or zero where that makes no sense.
 func retryAfter(refusal *rillreach.Refusal) int {
 	wait := refusal.RetryAfter
-	status := refusal.Status()
+	status := refusal.HTTPStatus()
 	if wait <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
 		wait = defaultRetry
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -34,7 +34,7 @@
 )
 
 // errEnding is the final answer to what runs when the entry's grace is over.
-var errEnding = rillreach.Unknown(rillreach.ReasonLeaving, "entry ends before the answer is whole")
+var errEnding = rillreach.MayHaveRun(rillreach.ReasonLeaving, "entry ends before the answer is whole")
 
 // Entry is one entry; exported fields are set before Run.
 type Entry struct {
@@ -106,7 +106,7 @@
 	understand := []rillreach.Filter{
 		authenticate.Filter{Table: e.Node.Table},
 		identify.Filter{Clock: e.Node.Clock},
-		resolve.Filter{Table: e.Node.Table, Namer: keep.NewKeyDeriver(e.Secret)},
+		resolve.Filter{Table: e.Node.Table, KeyDeriver: keep.NewKeyDeriver(e.Secret)},
 	}
 	observe := func(step string, took time.Duration, _ error) { e.Node.Metrics.Step(step, took) }
 	e.chain = &filter.Chain{Log: e.Node.Log, Observe: observe, Filters: append(understand[:len(understand):len(understand)], admit.Filter{Limiter: e.lease}, e.dispatch)}
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -43,7 +43,7 @@
 		writeRefusal(e.closing(w), rillreach.NotRun(rillreach.ReasonUnknownPath, "no such path: "+r.URL.Path))
 	})
 	router.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		writeRefusal(e.closing(w), rillreach.NotRun(rillreach.ReasonMethod, "path does not take "+r.Method))
+		writeRefusal(e.closing(w), rillreach.NotRun(rillreach.ReasonMethodNotAllowed, "path does not take "+r.Method))
 	})
 	return router
 }
@@ -71,12 +71,12 @@
 	defer e.running.Done()
 	ctx, unbind := e.running.Bind(r.Context())
 	defer unbind()
-	x := &rillreach.Exchange{Writer: e.closing(w), Arrived: e.Node.Clock.Now()}
+	x := &rillreach.Exchange{Writer: e.closing(w), ArrivedAt: e.Node.Clock.Now()}
 	x.Request = requestOf(r)
 	set(&x.Request)
-	w.Header().Set(rillreach.HeaderRequest, string(x.Request.ID))
+	w.Header().Set(rillreach.HeaderRequestID, string(x.Request.ID))
 	if refusal := e.read(ctx, w, r, x); refusal != nil {
-		writeRefusal(x.Writer, filter.WithIdentity(x.Request, refusal))
+		writeRefusal(x.Writer, filter.DowngradeNotRun(x.Request, refusal))
 		return
 	}
 	refusal := chain.Run(ctx, x)
@@ -88,8 +88,8 @@
 
 // observe counts how a request ended.
 func (e *Entry) observe(x *rillreach.Exchange, refusal *rillreach.Refusal) {
-	if !x.First.IsZero() {
-		e.Node.Metrics.FirstToken(x.First.Sub(x.Arrived))
+	if !x.ResponseStartedAt.IsZero() {
+		e.Node.Metrics.FirstToken(x.ResponseStartedAt.Sub(x.ArrivedAt))
 	}
 	if refusal != nil {
 		e.Node.Metrics.Request(string(refusal.Outcome), string(refusal.Reason))
@@ -106,7 +106,7 @@
 		return leaving()
 	}
 	if !e.Node.Ready() {
-		return rillreach.NotRun(rillreach.ReasonNotReady, "entry does not know the table yet").After(notReadyRetry)
+		return rillreach.NotRun(rillreach.ReasonNotReady, "entry does not know the table yet").WithRetryAfter(notReadyRetry)
 	}
 	body, err := e.readBody(ctx, w, r)
 	var tooLarge *http.MaxBytesError
@@ -123,7 +123,7 @@
 }
 
 func leaving() *rillreach.Refusal {
-	return rillreach.NotRun(rillreach.ReasonLeaving, "entry is leaving").After(leavingRetry)
+	return rillreach.NotRun(rillreach.ReasonLeaving, "entry is leaving").WithRetryAfter(leavingRetry)
 }
 
 // readBody reads the body, for bodyTimeout at the longest, or until the request is given up.
@@ -145,13 +145,13 @@
 
 func requestOf(r *http.Request) rillreach.Request {
 	return rillreach.Request{
-		ID:     rillreach.RequestID(uuid.NewString()),
-		Method: r.Method,
-		Path:   r.URL.Path,
-		Query:  r.URL.RawQuery,
-		Header: passedHeader(r.Header),
-		Key:    r.Header.Get(rillreach.HeaderKey),
-		Ticket: r.Header.Get(rillreach.HeaderTicket),
+		ID:             rillreach.RequestID(uuid.NewString()),
+		Method:         r.Method,
+		Path:           r.URL.Path,
+		Query:          r.URL.RawQuery,
+		Header:         passedHeader(r.Header),
+		IdempotencyKey: r.Header.Get(rillreach.HeaderIdempotencyKey),
+		Ticket:         r.Header.Get(rillreach.HeaderTicket),
 	}
 }
 
@@ -182,11 +182,11 @@
 
 // Run mints the ticket.
 func (s ticketStep) Run(_ context.Context, x *rillreach.Exchange) error {
-	m, err := s.dispatch.Choose(x)
+	m, err := s.dispatch.ChooseAgent(x)
 	if err != nil {
 		return err
 	}
-	text, err := s.dispatch.Mint(x.Request.Account, x.Request.Service, m)
+	text, err := s.dispatch.IssueTicket(x.Request.Account, x.Request.Service, m)
 	if err != nil {
 		return err
 	}
--- a/filter/admit/admit.go
+++ b/filter/admit/admit.go
@@ -30,7 +30,7 @@
 func (f Filter) Run(ctx context.Context, x *rillreach.Exchange) error {
 	verdict, done := f.Limiter.Admit(ctx, x.Request.Row, tokensOf(x.Request))
 	if !verdict.OK {
-		return rillreach.NotRun(rillreach.ReasonLimit, messageOf(verdict.Metric)).After(max(verdict.RetryAfter, time.Second))
+		return rillreach.NotRun(rillreach.ReasonLimit, messageOf(verdict.Metric)).WithRetryAfter(max(verdict.RetryAfter, time.Second))
 	}
 	x.OnDone(done)
 	return nil
--- a/filter/authenticate/authenticate.go
+++ b/filter/authenticate/authenticate.go
@@ -24,7 +24,7 @@
 func (f Filter) Run(_ context.Context, x *rillreach.Exchange) error {
 	key, ok := strings.CutPrefix(x.Request.Header.Get("Authorization"), bearer)
 	x.Request.Header.Del("Authorization")
-	account, secret, wellFormed := rillreach.SplitKey(key)
+	account, secret, wellFormed := rillreach.ParseAPIKey(key)
 	if !ok || !wellFormed {
 		return rillreach.NotRun(rillreach.ReasonUnauthorized, "no usable key in the Authorization header")
 	}
--- a/filter/chain.go
+++ b/filter/chain.go
@@ -44,21 +44,21 @@
 func (c *Chain) refusal(f rillreach.Filter, x *rillreach.Exchange, err error) *rillreach.Refusal {
 	var refusal *rillreach.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = rillreach.Unknown(rillreach.ReasonCut, err.Error())
+		refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, err.Error())
 	}
-	refusal = WithIdentity(x.Request, refusal)
+	refusal = DowngradeNotRun(x.Request, refusal)
 	c.Log.Info("refuse", "decision", refusal.Outcome, "reason", refusal.Reason, "step", f.Name(),
 		"request", x.Request.ID, "account", x.Request.Account, "cause", refusal.Message)
 	return refusal
 }
 
-// WithIdentity weakens a refusal as not run where the caller has given the request an identity of its own: an earlier
+// DowngradeNotRun weakens a refusal as not run where the caller has given the request an identity of its own: an earlier
 // attempt under the same key or ticket may have run, and only the identity's owner knows.
-func WithIdentity(req rillreach.Request, refusal *rillreach.Refusal) *rillreach.Refusal {
-	if req.Key == "" && req.Ticket == "" {
+func DowngradeNotRun(req rillreach.Request, refusal *rillreach.Refusal) *rillreach.Refusal {
+	if req.IdempotencyKey == "" && req.Ticket == "" {
 		return refusal
 	}
-	if refusal.Owner || refusal.Outcome == rillreach.OutcomeUnknown || neverTaken(refusal.Reason) {
+	if refusal.FromOwner || refusal.Outcome == rillreach.OutcomeUnknown || neverTaken(refusal.Reason) {
 		return refusal
 	}
 	weaker := *refusal
--- a/filter/dispatch/answer.go
+++ b/filter/dispatch/answer.go
@@ -49,7 +49,7 @@
 		return w.write(data)
 	}
 	if len(w.held)+len(data) > maxBuffered {
-		return rillreach.Unknown(rillreach.ReasonTooLarge, "answer is too large to be held until it is whole")
+		return rillreach.MayHaveRun(rillreach.ReasonTooLarge, "answer is too large to be held until it is whole")
 	}
 	w.held = append(w.held, data...)
 	return nil
@@ -60,7 +60,7 @@
 	if !w.headed {
 		return errors.New("answer has no head")
 	}
-	if w.x.Request.Stream && w.x.Began {
+	if w.x.Request.Stream && w.x.ResponseStarted {
 		return nil
 	}
 	w.x.Writer.Header().Set("Content-Length", strconv.Itoa(len(w.held)))
@@ -69,10 +69,10 @@
 }
 
 func (w *answerWriter) begin() {
-	if w.x.Began {
+	if w.x.ResponseStarted {
 		return
 	}
-	w.x.Began, w.x.First = true, w.now()
+	w.x.ResponseStarted, w.x.ResponseStartedAt = true, w.now()
 	header := w.x.Writer.Header()
 	maps.Copy(header, w.head.Header)
 	w.x.Writer.WriteHeader(w.head.Status)
--- a/filter/dispatch/believe_test.go
+++ b/filter/dispatch/believe_test.go
@@ -51,7 +51,7 @@
 	t.Run("one that is full is asked again once it has room", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSmallFleet(t, 2)
-			home := f.refuseFirst(t, rillreach.NotRun(rillreach.ReasonOverload, "queue is full").After(full))
+			home := f.refuseFirst(t, rillreach.NotRun(rillreach.ReasonOverload, "queue is full").WithRetryAfter(full))
 			assert.NotEqual(t, home, f.askedFirst(t))
 			time.Sleep(full)
 			assert.Equal(t, home, f.askedFirst(t))
@@ -60,7 +60,7 @@
 	t.Run("a refusal that speaks of the request alone is held against nobody", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSmallFleet(t, 2)
-			home := f.refuseFirst(t, rillreach.NotRun(rillreach.ReasonDeadline, "deadline has passed").After(full))
+			home := f.refuseFirst(t, rillreach.NotRun(rillreach.ReasonDeadline, "deadline has passed").WithRetryAfter(full))
 			assert.Equal(t, home, f.askedFirst(t))
 		})
 	})
--- a/filter/dispatch/choose.go
+++ b/filter/dispatch/choose.go
@@ -31,7 +31,7 @@
 		m, choice, count = f.chooseOn(req, side, tried)
 	}
 	if m == nil {
-		return nil, rillreach.NotRun(rillreach.ReasonNoBackend, "no backend server is there for the request").After(comeBackAfter)
+		return nil, rillreach.NotRun(rillreach.ReasonNoBackend, "no backend server is there for the request").WithRetryAfter(comeBackAfter)
 	}
 	f.Log.Info("route", "decision", choice.Reason, "request", req.ID, "account", req.Account, "model", req.Row.Model,
 		"version", req.Row.Version, "side", side, "chosen", m.ID, "candidates", count, "attempt", attempt)
@@ -79,7 +79,7 @@
 		QueueWait:    max(hint.QueueWait-f.Node.Clock.Now().Sub(hint.ReceivedAt), 0),
 		PrefillRate:  hint.PrefillRate,
 		HitRate:      hint.HitRate,
-		Continuation: len(req.Parts) > req.Opening,
+		Continuation: len(req.Parts) > req.OpeningParts,
 		Avoid:        m.IsLeaving() || m.Failing(),
 	}
 	if c.Continuation && hint.LinkRate > 0 {
--- a/filter/dispatch/dispatch.go
+++ b/filter/dispatch/dispatch.go
@@ -40,13 +40,13 @@
 func (f *Filter) Run(ctx context.Context, x *rillreach.Exchange) error {
 	ctx, cancel := context.WithDeadlineCause(ctx, f.wallDeadline(x), errLate)
 	defer cancel()
-	if x.Request.Once {
+	if x.Request.AtMostOnce {
 		return f.runOnce(ctx, x)
 	}
 	return f.runRepeatable(ctx, x)
 }
 
-var errLate = rillreach.Unknown(rillreach.ReasonDeadline, "deadline passed before the answer was whole")
+var errLate = rillreach.MayHaveRun(rillreach.ReasonDeadline, "deadline passed before the answer was whole")
 
 // wallDeadline is the request's deadline on the clock that contexts use.
 func (f *Filter) wallDeadline(x *rillreach.Exchange) time.Time {
@@ -104,7 +104,7 @@
 	if !mayHaveRun || last.Outcome == rillreach.OutcomeUnknown {
 		return last
 	}
-	return rillreach.Unknown(last.Reason, last.Message).After(last.RetryAfter)
+	return rillreach.MayHaveRun(last.Reason, last.Message).WithRetryAfter(last.RetryAfter)
 }
 
 func (f *Filter) decide(ctx context.Context, x *rillreach.Exchange, refusal *rillreach.Refusal, attempt int) retry.Verdict {
@@ -114,8 +114,8 @@
 	return f.Budget.Decide(f.Node.Clock.Now(), retry.Failure{
 		Refusal:         refusal,
 		Attempt:         attempt,
-		ResponseStarted: x.Began,
-		NonIdempotent:   x.Request.Once,
+		ResponseStarted: x.ResponseStarted,
+		NonIdempotent:   x.Request.AtMostOnce,
 		Deadline:        x.Request.Deadline,
 	})
 }
@@ -131,5 +131,5 @@
 	if errors.As(err, &refusal) {
 		return refusal
 	}
-	return rillreach.Unknown(rillreach.ReasonCut, err.Error())
+	return rillreach.MayHaveRun(rillreach.ReasonInterrupted, err.Error())
 }
--- a/filter/dispatch/dispatch_test.go
+++ b/filter/dispatch/dispatch_test.go
@@ -19,7 +19,7 @@
 )
 
 var (
-	errDied  = rillreach.Unknown(rillreach.ReasonCut, "backend server broke off")
+	errDied  = rillreach.MayHaveRun(rillreach.ReasonInterrupted, "backend server broke off")
 	errFull  = rillreach.NotRun(rillreach.ReasonOverload, "queue is full")
 	errNoOne = rillreach.NotRun(rillreach.ReasonNoBackend, "backend server is out of reach")
 )
--- a/filter/dispatch/once.go
+++ b/filter/dispatch/once.go
@@ -22,7 +22,7 @@
 
 // runOnce has a request answered that must not run twice.
 func (f *Filter) runOnce(ctx context.Context, x *rillreach.Exchange) error {
-	if x.Request.Key == "" && x.Request.Ticket == "" {
+	if x.Request.IdempotencyKey == "" && x.Request.Ticket == "" {
 		return f.runFresh(ctx, x)
 	}
 	m, err := f.owner(x)
@@ -36,7 +36,7 @@
 // long as nobody has been sent the ticket's request, another ticket may take its place.
 func (f *Filter) runFresh(ctx context.Context, x *rillreach.Exchange) error {
 	return f.tryAgents(ctx, x, func(m *membership.Member, _ int) error {
-		ticket, err := f.Mint(x.Request.Account, x.Request.Service, m)
+		ticket, err := f.IssueTicket(x.Request.Account, x.Request.Service, m)
 		if err != nil {
 			return err
 		}
@@ -70,7 +70,7 @@
 	if refusal == nil {
 		return nil
 	}
-	return ofAll(refusal, (unknown || unknownBefore) && !refusal.Owner)
+	return ofAll(refusal, (unknown || unknownBefore) && !refusal.FromOwner)
 }
 
 // askOwner makes the attempts, and reports whether any of them ended with an unknown outcome.
@@ -81,7 +81,7 @@
 		}
 		f.believe(m, refusal)
 		unknown = unknown || refusal.Outcome == rillreach.OutcomeUnknown
-		if refusal.Owner || refusal.Reason != rillreach.ReasonCut || x.Began || ctx.Err() != nil || !f.Budget.TrySpend() {
+		if refusal.FromOwner || refusal.Reason != rillreach.ReasonInterrupted || x.ResponseStarted || ctx.Err() != nil || !f.Budget.TrySpend() {
 			break
 		}
 		pause.For(ctx, sameOwnerPause)
@@ -108,7 +108,7 @@
 	}
 	m := f.Node.Members.Find(owner.ID)
 	if m == nil || m.Incarnation != owner.Incarnation {
-		return nil, rillreach.Unknown(rillreach.ReasonOwnerGone, "the agent that owns the request is gone; the request may have been run")
+		return nil, rillreach.MayHaveRun(rillreach.ReasonOwnerGone, "the agent that owns the request is gone; the request may have been run")
 	}
 	f.Log.Info("route", "decision", "owner", "request", x.Request.ID, "account", x.Request.Account,
 		"service", x.Request.Service, "chosen", m.ID)
@@ -120,14 +120,14 @@
 	if req.Ticket != "" {
 		return f.ownerByTicket(req)
 	}
-	minted, err := once.ParseKey(req.Key)
+	minted, err := once.ParseKey(req.IdempotencyKey)
 	if err != nil {
 		return once.Owner{}, rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
 	}
-	owner, verdict := f.Node.Owners.FindOwner(req.Service, minted, once.KeyHash(req.Account, req.Key))
+	owner, verdict := f.Node.Owners.FindOwner(req.Service, minted, once.KeyHash(req.Account, req.IdempotencyKey))
 	if verdict != once.VerdictOwned {
-		return once.Owner{}, rillreach.Unknown(rillreach.ReasonStaleView, "owner of the key is not certain now: "+string(verdict)).
-			After(comeBackAfter)
+		return once.Owner{}, rillreach.MayHaveRun(rillreach.ReasonStaleView, "owner of the key is not certain now: "+string(verdict)).
+			WithRetryAfter(comeBackAfter)
 	}
 	return owner, nil
 }
@@ -143,8 +143,8 @@
 	return ticket.Owner, nil
 }
 
-// Mint makes a ticket for a member.
-func (f *Filter) Mint(account rillreach.AccountID, service rillreach.ServiceID, m *membership.Member) (string, error) {
+// IssueTicket makes a ticket for a member.
+func (f *Filter) IssueTicket(account rillreach.AccountID, service rillreach.ServiceID, m *membership.Member) (string, error) {
 	return f.Signer.Sign(once.Ticket{
 		ID:      uuid.NewString(),
 		Account: account,
@@ -154,7 +154,7 @@
 	})
 }
 
-// Choose decides on the agent that a ticket is minted for.
-func (f *Filter) Choose(x *rillreach.Exchange) (*membership.Member, error) {
+// ChooseAgent decides on the agent that a ticket is minted for.
+func (f *Filter) ChooseAgent(x *rillreach.Exchange) (*membership.Member, error) {
 	return f.choose(x, nil, 1)
 }
--- a/filter/dispatch/outcome_test.go
+++ b/filter/dispatch/outcome_test.go
@@ -15,7 +15,7 @@
 		assert.Equal(t, rillreach.OutcomeNotRun, ofAll(notRun, false).Outcome)
 	})
 	t.Run("a request that an earlier attempt may have run may have run", func(t *testing.T) {
-		got := ofAll(notRun.After(5), true)
+		got := ofAll(notRun.WithRetryAfter(5), true)
 		assert.Equal(t, rillreach.OutcomeUnknown, got.Outcome)
 		assert.Equal(t, rillreach.ReasonNoBackend, got.Reason)
 		assert.Equal(t, notRun.RetryAfter, got.RetryAfter)
--- a/filter/dispatch/silent.go
+++ b/filter/dispatch/silent.go
@@ -34,7 +34,7 @@
 // awaitSilent has a request answered by an agent that was silent, where no other has taken it; refusal is what the others said.
 func (f *Filter) awaitSilent(ctx context.Context, x *rillreach.Exchange, silent *silentAgents, refusal error) error {
 	for _, stream := range silent.streams {
-		if x.Began {
+		if x.ResponseStarted {
 			break
 		}
 		f.Log.Info("route", "decision", "await-silent", "request", x.Request.ID, "account", x.Request.Account, "cause", refusal.Error())
--- a/filter/identify/identify.go
+++ b/filter/identify/identify.go
@@ -9,15 +9,15 @@
 	"github.com/rillreach/rillreach/once"
 )
 
-// MaxDeadline is the longest time that a caller may give a request.
-const MaxDeadline = 10 * time.Minute
+// MaxTimeout is the longest time that a caller may give a request.
+const MaxTimeout = 10 * time.Minute
 
 // Filter reads the headers and, for a prompt, the body.
 type Filter struct {
 	// Clock tells the time.
 	Clock rillreach.Clock
-	// DefaultDeadline is for requests that give none; zero means MaxDeadline.
-	DefaultDeadline time.Duration
+	// DefaultTimeout is for requests that give none; zero means MaxDeadline.
+	DefaultTimeout time.Duration
 }
 
 // Name is the step's name.
@@ -35,16 +35,16 @@
 }
 
 func (f Filter) readDeadline(req *rillreach.Request) error {
-	allowed := f.DefaultDeadline
+	allowed := f.DefaultTimeout
 	if allowed == 0 {
-		allowed = MaxDeadline
+		allowed = MaxTimeout
 	}
 	if text := req.Header.Get(rillreach.HeaderDeadline); text != "" {
 		asked, err := time.ParseDuration(text)
 		if err != nil || asked <= 0 {
 			return rillreach.NotRun(rillreach.ReasonBadRequest, rillreach.HeaderDeadline+" is not a positive duration such as 30s")
 		}
-		allowed = min(asked, MaxDeadline)
+		allowed = min(asked, MaxTimeout)
 	}
 	req.Deadline = f.Clock.Now().Add(allowed)
 	return nil
@@ -52,22 +52,22 @@
 
 // readIdentity finds out whether the call must not run twice, and what it is known by.
 func readIdentity(req *rillreach.Request) error {
-	req.Key = req.Header.Get(rillreach.HeaderKey)
+	req.IdempotencyKey = req.Header.Get(rillreach.HeaderIdempotencyKey)
 	req.Ticket = req.Header.Get(rillreach.HeaderTicket)
 	req.Header.Del(rillreach.HeaderTicket)
 	repeat := req.Header.Get(rillreach.HeaderRepeat)
 	switch {
 	case repeat != "" && repeat != rillreach.RepeatNever:
 		return rillreach.NotRun(rillreach.ReasonBadRequest, rillreach.HeaderRepeat+" may only be "+rillreach.RepeatNever)
-	case req.Key != "" && req.Ticket != "":
+	case req.IdempotencyKey != "" && req.Ticket != "":
 		return rillreach.NotRun(rillreach.ReasonBadRequest, "give a key or a ticket, not both")
 	}
-	req.Once = repeat == rillreach.RepeatNever || req.Key != "" || req.Ticket != ""
-	if req.Key == "" {
+	req.AtMostOnce = repeat == rillreach.RepeatNever || req.IdempotencyKey != "" || req.Ticket != ""
+	if req.IdempotencyKey == "" {
 		return nil
 	}
-	if _, err := once.ParseKey(req.Key); err != nil {
-		return rillreach.NotRun(rillreach.ReasonBadRequest, rillreach.HeaderKey+" must be a UUID of version 7: "+err.Error())
+	if _, err := once.ParseKey(req.IdempotencyKey); err != nil {
+		return rillreach.NotRun(rillreach.ReasonBadRequest, rillreach.HeaderIdempotencyKey+" must be a UUID of version 7: "+err.Error())
 	}
 	return nil
 }
--- a/filter/identify/prompt.go
+++ b/filter/identify/prompt.go
@@ -26,7 +26,7 @@
 	if err := json.Unmarshal(req.Body, &fields); err != nil || fields == nil {
 		return bad("body is not a JSON object")
 	}
-	req.Fields = fields
+	req.BodyFields = fields
 	if err := readField(fields, fieldModel, &req.Model); err != nil {
 		return err
 	}
@@ -56,14 +56,14 @@
 
 // readParts takes the prompt apart where later prompts of the conversation can differ from it.
 func readParts(req *rillreach.Request) error {
-	if raw, ok := req.Fields[fieldMessages]; ok {
+	if raw, ok := req.BodyFields[fieldMessages]; ok {
 		return readMessages(req, raw)
 	}
-	raw, ok := req.Fields[fieldPrompt]
+	raw, ok := req.BodyFields[fieldPrompt]
 	if !ok {
 		return bad("body has neither messages nor a prompt")
 	}
-	req.Opening = 1
+	req.OpeningParts = 1
 	for len(raw) > chunkSize {
 		req.Parts = append(req.Parts, raw[:chunkSize])
 		raw = raw[chunkSize:]
@@ -84,12 +84,12 @@
 			return bad("a message is not JSON")
 		}
 		req.Parts = append(req.Parts, part.Bytes())
-		if req.Opening == 0 && roleOf(m) == roleUser {
-			req.Opening = i + 1
+		if req.OpeningParts == 0 && roleOf(m) == roleUser {
+			req.OpeningParts = i + 1
 		}
 	}
-	if req.Opening == 0 {
-		req.Opening = len(messages)
+	if req.OpeningParts == 0 {
+		req.OpeningParts = len(messages)
 	}
 	countTokens(req)
 	return nil
--- a/filter/identify/prompt_test.go
+++ b/filter/identify/prompt_test.go
@@ -22,7 +22,7 @@
 	t.Run("a conversation is told by its messages up to the user's first", func(t *testing.T) {
 		req, err := identified(`{"model":"m","messages":[{"role":"system","content":"s"},{"role":"user","content":"u"},{"role":"assistant","content":"a"}]}`)
 		require.NoError(t, err)
-		assert.Equal(t, 2, req.Opening)
+		assert.Equal(t, 2, req.OpeningParts)
 		assert.Len(t, req.Parts, 3)
 	})
 	t.Run("spaces between the fields of a message make no other part", func(t *testing.T) {
@@ -47,8 +47,8 @@
 		if req, err := identified(body); err == nil {
 			assert.NotEmpty(t, req.Model)
 			assert.NotEmpty(t, req.Parts)
-			assert.Positive(t, req.Opening)
-			assert.LessOrEqual(t, req.Opening, len(req.Parts))
+			assert.Positive(t, req.OpeningParts)
+			assert.LessOrEqual(t, req.OpeningParts, len(req.Parts))
 		}
 	})
 }
--- a/filter/resolve/resolve.go
+++ b/filter/resolve/resolve.go
@@ -25,8 +25,8 @@
 type Filter struct {
 	// Table holds the rows.
 	Table *table.Table
-	// Namer names blocks and salts.
-	Namer keep.KeyDeriver
+	// KeyDeriver names blocks and salts.
+	KeyDeriver keep.KeyDeriver
 }
 
 // Name is the step's name.
@@ -44,7 +44,7 @@
 	}
 	req.Row, req.RowVersion = line.Row, line.Version
 	scope := keep.Scope{Account: req.Account, Model: line.Row.Model, Version: line.Row.Version}
-	req.Blocks = f.Namer.BlockKeys(scope, req.Parts)
+	req.Blocks = f.KeyDeriver.BlockKeys(scope, req.Parts)
 	req.Conversation = f.conversation(scope, req)
 	return f.bind(scope, req)
 }
@@ -62,25 +62,25 @@
 
 func (f Filter) conversation(scope keep.Scope, req *rillreach.Request) uint64 {
 	if req.CacheKey != "" {
-		named := f.Namer.BlockKeys(scope, [][]byte{[]byte(req.CacheKey)})
+		named := f.KeyDeriver.BlockKeys(scope, [][]byte{[]byte(req.CacheKey)})
 		return binary.LittleEndian.Uint64(named[0][:])
 	}
-	return binary.LittleEndian.Uint64(req.Blocks[req.Opening-1][:])
+	return binary.LittleEndian.Uint64(req.Blocks[req.OpeningParts-1][:])
 }
 
 // bind writes the engine's own name of the model and the salt of the scope into the body; all other fields stay as
 // the caller wrote them.
 func (f Filter) bind(scope keep.Scope, req *rillreach.Request) error {
 	var callers string
-	if raw, ok := req.Fields[fieldSalt]; ok {
+	if raw, ok := req.BodyFields[fieldSalt]; ok {
 		if err := json.Unmarshal(raw, &callers); err != nil {
 			return rillreach.NotRun(rillreach.ReasonBadRequest, "field cache_salt is not a string")
 		}
 	}
-	req.Salt = f.Namer.CacheSalt(scope, callers)
-	req.Fields[fieldSalt] = quote(req.Salt)
-	req.Fields[fieldModel] = quote(string(scope.Model))
-	req.Body = writeObject(req.Fields)
+	req.Salt = f.KeyDeriver.CacheSalt(scope, callers)
+	req.BodyFields[fieldSalt] = quote(req.Salt)
+	req.BodyFields[fieldModel] = quote(string(scope.Model))
+	req.Body = writeObject(req.BodyFields)
 	return nil
 }
 
--- a/fleet/spread.go
+++ b/fleet/spread.go
@@ -69,7 +69,7 @@
 
 // Count asks how many processes below one in a zone's tree hold a kind up to a version.
 type Count struct {
-	Kind    rillreach.Kind       `cbor:"1,keyasint"`
+	Kind    rillreach.ObjectKind `cbor:"1,keyasint"`
 	Version uint64               `cbor:"2,keyasint"`
 	Root    rillreach.InstanceID `cbor:"3,keyasint"`
 }
--- a/gateway/restart.go
+++ b/gateway/restart.go
@@ -28,6 +28,6 @@
 // restartDelay is how long ago a run started, by the runners' common clock; it reports whether that can be told.
 func (g *Gateway) restartDelay(generation rillreach.Generation, now time.Time) (time.Duration, bool) {
 	clock, known := g.stores.clock.read(now)
-	delay := clock.Sub(generation.Started())
+	delay := clock.Sub(generation.StartTime())
 	return delay, known && delay >= 0 && delay < mostRestartDelay
 }
--- a/instance_run.go
+++ b/instance_run.go
@@ -6,8 +6,8 @@
 // run is greater. Zero says that it is unknown. Those of different instances tell nothing about one another.
 type Generation int64
 
-// Started is the start by the instance's own clock.
-func (g Generation) Started() time.Time { return time.UnixMilli(int64(g)) }
+// StartTime is the start by the instance's own clock.
+func (g Generation) StartTime() time.Time { return time.UnixMilli(int64(g)) }
 
 // InstanceRun names one run of an instance by its identifier, which a restart keeps, and its generation, which a restart raises.
 type InstanceRun struct {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -131,11 +131,11 @@
 }
 
 func (s *Server) load(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	standin.WriteJSON(w, rillreach.EngineLoad{Running: int(s.running.Load()), PrefillPerSec: s.PrefillRate})
+	standin.WriteJSON(w, rillreach.EngineLoad{Running: int(s.running.Load()), PrefillRate: s.PrefillRate})
 }
 
 func (s *Server) export(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var ref rillreach.StateRef
+	var ref rillreach.KVStateRef
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&ref); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -38,7 +38,7 @@
 // Server is the stand-in; New makes one.
 type Server struct {
 	mu      sync.Mutex
-	objects map[rillreach.Kind]map[string]rillreach.Object
+	objects map[rillreach.ObjectKind]map[string]rillreach.Object
 	version uint64
 	stamped time.Time
 	changed chan struct{}
@@ -49,7 +49,7 @@
 
 // New returns an empty platform.
 func New() *Server {
-	s := &Server{objects: map[rillreach.Kind]map[string]rillreach.Object{}, changed: make(chan struct{}), version: 1}
+	s := &Server{objects: map[rillreach.ObjectKind]map[string]rillreach.Object{}, changed: make(chan struct{}), version: 1}
 	s.router = httprouter.New()
 	s.router.GET(client.Prefix+":kind", s.faulty(s.list))
 	s.router.GET(client.Prefix+":kind/*name", s.faulty(s.get))
@@ -95,7 +95,7 @@
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	kind := rillreach.Kind(p.ByName("kind"))
+	kind := rillreach.ObjectKind(p.ByName("kind"))
 	if !r.URL.Query().Has("after") {
 		s.count(func(c *Counts) { c.Reads++ })
 		standin.WriteJSON(w, s.page(kind, 0, false))
@@ -121,7 +121,7 @@
 }
 
 // watch waits until there is a change of the kind; a platform that goes down ends it without an answer.
-func (s *Server) watch(ctx context.Context, kind rillreach.Kind, after uint64, wait time.Duration) (rillreach.Page, bool) {
+func (s *Server) watch(ctx context.Context, kind rillreach.ObjectKind, after uint64, wait time.Duration) (rillreach.ObjectPage, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
@@ -129,7 +129,7 @@
 		changed, down := s.changed, s.faults.Down
 		s.mu.Unlock()
 		if down {
-			return rillreach.Page{}, false
+			return rillreach.ObjectPage{}, false
 		}
 		if page := s.page(kind, after, true); len(page.Objects) > 0 {
 			return page, true
@@ -139,15 +139,15 @@
 		case <-timeout.C:
 			return s.page(kind, after, true), true
 		case <-ctx.Done():
-			return rillreach.Page{}, false
+			return rillreach.ObjectPage{}, false
 		}
 	}
 }
 
-func (s *Server) page(kind rillreach.Kind, after uint64, removed bool) rillreach.Page {
+func (s *Server) page(kind rillreach.ObjectKind, after uint64, removed bool) rillreach.ObjectPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	page := rillreach.Page{Version: s.version, Time: s.stamp(), Objects: []rillreach.Object{}}
+	page := rillreach.ObjectPage{Version: s.version, Time: s.stamp(), Objects: []rillreach.Object{}}
 	for _, o := range s.objects[kind] {
 		if o.Version > after && (removed || !o.Deleted) {
 			page.Objects = append(page.Objects, o)
@@ -159,7 +159,7 @@
 func (s *Server) get(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	s.mu.Lock()
 	s.counts.Reads++
-	o, ok := s.objects[rillreach.Kind(p.ByName("kind"))][nameOf(p)]
+	o, ok := s.objects[rillreach.ObjectKind(p.ByName("kind"))][nameOf(p)]
 	s.mu.Unlock()
 	if !ok || o.Deleted {
 		http.Error(w, "no such object", http.StatusNotFound)
@@ -175,7 +175,7 @@
 		http.Error(w, "value is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	o, status := s.write(rillreach.Kind(p.ByName("kind")), nameOf(p), r, value)
+	o, status := s.write(rillreach.ObjectKind(p.ByName("kind")), nameOf(p), r, value)
 	if status != http.StatusOK {
 		http.Error(w, http.StatusText(status), status)
 		return
@@ -184,7 +184,7 @@
 	standin.WriteJSON(w, o)
 }
 
-func (s *Server) write(kind rillreach.Kind, name string, r *http.Request, value []byte) (rillreach.Object, int) {
+func (s *Server) write(kind rillreach.ObjectKind, name string, r *http.Request, value []byte) (rillreach.Object, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
@@ -203,7 +203,7 @@
 	return o, http.StatusOK
 }
 
-func (s *Server) store(kind rillreach.Kind, name string, value []byte, deleted bool) rillreach.Object {
+func (s *Server) store(kind rillreach.ObjectKind, name string, value []byte, deleted bool) rillreach.Object {
 	s.version++
 	o := rillreach.Object{Kind: kind, Name: name, Version: s.version, Changed: s.stamp(), Deleted: deleted, Value: value}
 	if s.objects[kind] == nil {
--- a/kept/export.go
+++ b/kept/export.go
@@ -50,7 +50,7 @@
 	if verdict := question.Decide(); verdict != keep.VerdictExport {
 		return verdict, nil
 	}
-	state, err := k.Engine.Export(ctx, rillreach.StateRef{Salt: d.Salt, Prompt: d.Body, SkipTokens: last.to})
+	state, err := k.Engine.Export(ctx, rillreach.KVStateRef{Salt: d.Salt, Prompt: d.Body, SkipTokens: last.to})
 	if err != nil {
 		return "", err
 	}
--- a/kept/import.go
+++ b/kept/import.go
@@ -175,7 +175,7 @@
 		return
 	}
 	for _, b := range chain {
-		if err := k.Engine.Import(ctx, rillreach.State{Tokens: b.To, Payload: b.Payload}); err != nil {
+		if err := k.Engine.Import(ctx, rillreach.KVState{Tokens: b.To, Payload: b.Payload}); err != nil {
 			k.Log.Info("engine did not take state", "request", d.ID, "cause", err.Error())
 			return
 		}
--- a/limit/amounts.go
+++ b/limit/amounts.go
@@ -39,7 +39,7 @@
 	caps = Amounts{
 		RequestsPerSecond:  l.RequestsPerSecond,
 		TokensPerSecond:    float64(l.TokensPerMinute) / secondsPerMinute,
-		ConcurrentRequests: float64(l.Concurrent),
+		ConcurrentRequests: float64(l.ConcurrentRequests),
 	}
 	for m := range caps {
 		limited[m] = caps[m] > 0
--- a/localstate/evacuations.go
+++ b/localstate/evacuations.go
@@ -83,7 +83,7 @@
 			s.evacuations.listed.Store(true)
 		},
 		OnChanged: func(u rillreach.Update[rillreach.ZoneID], _ time.Time) {
-			s.applyEvacuation(rillreach.ZoneID(u.Name), !u.Gone)
+			s.applyEvacuation(rillreach.ZoneID(u.Name), !u.Deleted)
 		},
 	}
 }
--- a/localstate/namings.go
+++ b/localstate/namings.go
@@ -203,7 +203,7 @@
 // WeightsFollower returns a controller that keeps the named weights in sync with their source.
 func (s *State) WeightsFollower(source rillreach.Source[deployment.DesiredWeights], wait time.Duration) rillreach.Controller {
 	apply := func(u rillreach.Update[deployment.DesiredWeights], timeUnknown bool) {
-		if checkReadable(s.Log, "weights", &s.unreadableWeights, u) && !u.Gone {
+		if checkReadable(s.Log, "weights", &s.unreadableWeights, u) && !u.Deleted {
 			s.setWeights(u.Value, timeUnknown)
 		}
 	}
--- a/localstate/runners.go
+++ b/localstate/runners.go
@@ -95,7 +95,7 @@
 	defer s.runnersMu.Unlock()
 	now := time.Now()
 	switch {
-	case u.Gone:
+	case u.Deleted:
 		s.unreadableRunners.remove(u.Name)
 		s.removedRunners.dropHeld(rillreach.InstanceID(u.Name))
 		s.removeRunner(now, u.Name, removalTime(regainedAt))
--- a/localstate/runners_test.go
+++ b/localstate/runners_test.go
@@ -40,7 +40,7 @@
 }
 
 func goneUpdate(id string, revision uint64) runnerUpdate {
-	return runnerUpdate{Name: id, Revision: rillreach.Revision{Number: revision}, Gone: true}
+	return runnerUpdate{Name: id, Revision: rillreach.Revision{Number: revision}, Deleted: true}
 }
 
 func configNaming(revision uint64, services ...rillreach.ServiceID) *deployment.Config {
@@ -177,7 +177,7 @@
 func validRunners(newest map[string]runnerUpdate) map[string]bool {
 	good := map[string]bool{}
 	for name, u := range newest {
-		if u.Err == nil && !u.Gone && u.Value.Service != "unknown" {
+		if u.Err == nil && !u.Deleted && u.Value.Service != "unknown" {
 			good[name] = true
 		}
 	}
@@ -231,7 +231,7 @@
 func drawList(t *rapid.T) map[string]runnerUpdate {
 	list := map[string]runnerUpdate{}
 	for i := range rapid.IntRange(0, 6).Draw(t, "objects") {
-		if u := drawUpdate(t, uint64(i+2)); !u.Gone {
+		if u := drawUpdate(t, uint64(i+2)); !u.Deleted {
 			list[u.Name] = u
 		}
 	}
--- a/localstate/state.go
+++ b/localstate/state.go
@@ -136,7 +136,7 @@
 // ConfigFollower returns a controller that keeps the configuration in sync with its source.
 func (s *State) ConfigFollower(source rillreach.Source[*deployment.Config], wait time.Duration) rillreach.Controller {
 	apply := func(u rillreach.Update[*deployment.Config], _ time.Time) {
-		if checkReadable(s.Log, "config", &s.unreadableConfigs, u) && !u.Gone {
+		if checkReadable(s.Log, "config", &s.unreadableConfigs, u) && !u.Deleted {
 			s.SetConfig(u.Value)
 		}
 	}
--- a/localstate/state_test.go
+++ b/localstate/state_test.go
@@ -39,7 +39,7 @@
 }
 
 func TestRunnerRemoval(t *testing.T) {
-	gone := rillreach.Update[*deployment.Runner]{Name: "a", Gone: true}
+	gone := rillreach.Update[*deployment.Runner]{Name: "a", Deleted: true}
 	t.Run("an unreadable record disables its runner", func(t *testing.T) {
 		s := newState()
 		s.replaceRunners([]rillreach.Update[*deployment.Runner]{unversionedUpdate("a")}, time.Time{})
--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -36,7 +36,7 @@
 var _ rillreach.ObjectStore = (*Client)(nil)
 
 // Get returns one object.
-func (c *Client) Get(ctx context.Context, kind rillreach.Kind, name string) (rillreach.Object, error) {
+func (c *Client) Get(ctx context.Context, kind rillreach.ObjectKind, name string) (rillreach.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var object rillreach.Object
@@ -48,10 +48,10 @@
 }
 
 // List returns the objects of a kind.
-func (c *Client) List(ctx context.Context, kind rillreach.Kind) (rillreach.Page, error) {
+func (c *Client) List(ctx context.Context, kind rillreach.ObjectKind) (rillreach.ObjectPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var page rillreach.Page
+	var page rillreach.ObjectPage
 	req, err := c.request(ctx, http.MethodGet, kind, "", nil)
 	if err != nil {
 		return page, err
@@ -60,10 +60,10 @@
 }
 
 // Watch waits for changes of a kind after a version.
-func (c *Client) Watch(ctx context.Context, kind rillreach.Kind, after uint64, wait time.Duration) (rillreach.Page, error) {
+func (c *Client) Watch(ctx context.Context, kind rillreach.ObjectKind, after uint64, wait time.Duration) (rillreach.ObjectPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
-	var page rillreach.Page
+	var page rillreach.ObjectPage
 	req, err := c.request(ctx, http.MethodGet, kind, "", nil)
 	if err != nil {
 		return page, err
@@ -72,8 +72,8 @@
 	return page, errors.Wrapf(c.do(req, &page), "watch %s after %d", kind, after)
 }
 
-// Put writes an object; an answer that is lost gives ErrUnsure.
-func (c *Client) Put(ctx context.Context, kind rillreach.Kind, name string, version uint64, value []byte) (rillreach.Object, error) {
+// Put writes an object; an answer that is lost gives ErrWriteUncertain.
+func (c *Client) Put(ctx context.Context, kind rillreach.ObjectKind, name string, version uint64, value []byte) (rillreach.Object, error) {
 	if len(value) > MaxValue {
 		return rillreach.Object{}, errors.Newf("put %s %s: value has %d bytes, at most %d fit", kind, name, len(value), MaxValue)
 	}
@@ -82,14 +82,14 @@
 	return object, errors.Wrapf(err, "put %s %s", kind, name)
 }
 
-// Delete removes an object; an answer that is lost gives ErrUnsure.
-func (c *Client) Delete(ctx context.Context, kind rillreach.Kind, name string, version uint64) error {
+// Delete removes an object; an answer that is lost gives ErrWriteUncertain.
+func (c *Client) Delete(ctx context.Context, kind rillreach.ObjectKind, name string, version uint64) error {
 	var object rillreach.Object
 	err := c.write(ctx, http.MethodDelete, kind, name, version, nil, &object)
 	return errors.Wrapf(err, "delete %s %s", kind, name)
 }
 
-func (c *Client) write(ctx context.Context, method string, kind rillreach.Kind, name string, version uint64, value []byte, object *rillreach.Object) error {
+func (c *Client) write(ctx context.Context, method string, kind rillreach.ObjectKind, name string, version uint64, value []byte, object *rillreach.Object) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := c.request(ctx, method, kind, name, bytes.NewReader(value))
@@ -118,10 +118,10 @@
 	if err == nil || errors.Is(err, rillreach.ErrConflict) || errors.Is(err, rillreach.ErrNotFound) || errors.Is(err, errRefused) {
 		return err
 	}
-	return errors.Mark(err, rillreach.ErrUnsure)
+	return errors.Mark(err, rillreach.ErrWriteUncertain)
 }
 
-func (c *Client) request(ctx context.Context, method string, kind rillreach.Kind, name string, body io.Reader) (*http.Request, error) {
+func (c *Client) request(ctx context.Context, method string, kind rillreach.ObjectKind, name string, body io.Reader) (*http.Request, error) {
 	target := c.Base + Prefix + url.PathEscape(string(kind))
 	if name != "" {
 		target += "/" + name
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -88,10 +88,10 @@
 		return e.result(c)
 	}
 	if !c.Expires.After(l.expiryFloor) {
-		return ClaimResult{Refusal: rillreach.Unknown(rillreach.ReasonExpired, "request's identity has expired; it may have been run")}
+		return ClaimResult{Refusal: rillreach.MayHaveRun(rillreach.ReasonExpired, "request's identity has expired; it may have been run")}
 	}
 	if l.bytes+entryOverheadBytes > l.maxBytes() {
-		return ClaimResult{Refusal: rillreach.NotRun(rillreach.ReasonOverload, "too many outcomes are being remembered").After(l.retryAfter(now))}
+		return ClaimResult{Refusal: rillreach.NotRun(rillreach.ReasonOverload, "too many outcomes are being remembered").WithRetryAfter(l.retryAfter(now))}
 	}
 	l.add(c)
 	return ClaimResult{Run: true}
--- a/once/ledger_test.go
+++ b/once/ledger_test.go
@@ -44,7 +44,7 @@
 	t.Run("an unknown outcome is final", func(t *testing.T) {
 		l := &Ledger{}
 		l.Claim(start, newClaim("a", time.Minute))
-		l.Settle("a", Outcome{Refusal: rillreach.Unknown(rillreach.ReasonCut, "cut")})
+		l.Settle("a", Outcome{Refusal: rillreach.MayHaveRun(rillreach.ReasonInterrupted, "cut")})
 		assert.False(t, l.Claim(start, newClaim("a", time.Minute)).Run)
 	})
 	t.Run("reusing a name for a different request is refused", func(t *testing.T) {
--- a/peer/call.go
+++ b/peer/call.go
@@ -124,7 +124,7 @@
 func encodeFailure(err error) []byte {
 	var refusal *rillreach.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = rillreach.Unknown(rillreach.ReasonCut, err.Error())
+		refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, err.Error())
 	}
 	body, err := Encode(failure(*refusal))
 	if err != nil {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -80,7 +80,7 @@
 		<-blocked
 	})
 	t.Run("a refusal arrives as it was given", func(t *testing.T) {
-		refusal := rillreach.NotRun(rillreach.ReasonOverload, "full").After(3 * time.Second)
+		refusal := rillreach.NotRun(rillreach.ReasonOverload, "full").WithRetryAfter(3 * time.Second)
 		ctx, conn := pair(t, func(context.Context, *Call) error { return refusal })
 		s, err := conn.Open(ctx, MethodServe, nil)
 		require.NoError(t, err)
--- a/replicate/copy.go
+++ b/replicate/copy.go
@@ -12,9 +12,9 @@
 // Watermark is the state that a replica of one kind has reached: it has every change up to Version, and Version was the
 // platform's latest at Time by the platform's clock.
 type Watermark struct {
-	Kind    rillreach.Kind `cbor:"1,keyasint"`
-	Version uint64         `cbor:"2,keyasint"`
-	Time    time.Time      `cbor:"3,keyasint"`
+	Kind    rillreach.ObjectKind `cbor:"1,keyasint"`
+	Version uint64               `cbor:"2,keyasint"`
+	Time    time.Time            `cbor:"3,keyasint"`
 }
 
 // Delta moves a replica from one watermark to another.
@@ -65,7 +65,7 @@
 
 // Replica is a process's replica of the platform's objects of some kinds.
 type Replica struct {
-	kinds map[rillreach.Kind]*kindReplica
+	kinds map[rillreach.ObjectKind]*kindReplica
 }
 
 // kindReplica is the replica of one kind.
@@ -82,12 +82,12 @@
 
 // NewReplica returns an empty replica.
 func NewReplica() *Replica {
-	return &Replica{kinds: map[rillreach.Kind]*kindReplica{}}
+	return &Replica{kinds: map[rillreach.ObjectKind]*kindReplica{}}
 }
 
 // AddKind adds a kind to replicate. onChange is called with each changed object, in order; onAdvance, which may be
 // nil, is called with the new watermark after them. Add all kinds before using the replica.
-func (r *Replica) AddKind(kind rillreach.Kind, onChange func(rillreach.Object), onAdvance func(Watermark)) {
+func (r *Replica) AddKind(kind rillreach.ObjectKind, onChange func(rillreach.Object), onAdvance func(Watermark)) {
 	r.kinds[kind] = &kindReplica{
 		watermark: Watermark{Kind: kind},
 		objects:   map[string]rillreach.Object{},
@@ -97,8 +97,8 @@
 }
 
 // Kinds returns the replicated kinds.
-func (r *Replica) Kinds() []rillreach.Kind {
-	kinds := make([]rillreach.Kind, 0, len(r.kinds))
+func (r *Replica) Kinds() []rillreach.ObjectKind {
+	kinds := make([]rillreach.ObjectKind, 0, len(r.kinds))
 	for kind := range r.kinds {
 		kinds = append(kinds, kind)
 	}
@@ -106,7 +106,7 @@
 }
 
 // Watermark returns the watermark of a kind.
-func (r *Replica) Watermark(kind rillreach.Kind) Watermark {
+func (r *Replica) Watermark(kind rillreach.ObjectKind) Watermark {
 	k := r.kinds[kind]
 	if k == nil {
 		return Watermark{Kind: kind}
@@ -126,7 +126,7 @@
 }
 
 // Objects returns the existing objects of a kind.
-func (r *Replica) Objects(kind rillreach.Kind) []rillreach.Object {
+func (r *Replica) Objects(kind rillreach.ObjectKind) []rillreach.Object {
 	k := r.kinds[kind]
 	k.mu.RLock()
 	defer k.mu.RUnlock()
--- a/request.go
+++ b/request.go
@@ -9,14 +9,14 @@
 
 // Headers that callers and the system exchange beside the published ones.
 const (
-	HeaderOutcome  = "Rillreach-Outcome"
-	HeaderReason   = "Rillreach-Reason"
-	HeaderRequest  = "Rillreach-Request"
-	HeaderTicket   = "Rillreach-Ticket"
-	HeaderRepeat   = "Rillreach-Repeat"
-	HeaderDeadline = "Rillreach-Deadline"
-	HeaderKey      = "Idempotency-Key"
-	RepeatNever    = "never"
+	HeaderOutcome        = "Rillreach-Outcome"
+	HeaderReason         = "Rillreach-Reason"
+	HeaderRequestID      = "Rillreach-Request"
+	HeaderTicket         = "Rillreach-Ticket"
+	HeaderRepeat         = "Rillreach-Repeat"
+	HeaderDeadline       = "Rillreach-Deadline"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	RepeatNever          = "never"
 )
 
 // BlockKey identifies a run of a prompt from its start; it is bound to account, model and weight version.
@@ -44,13 +44,13 @@
 	Stream bool
 	// Deadline is when the caller gives up.
 	Deadline time.Time
-	// Fields are the top level of a prompt's body.
-	Fields map[string]json.RawMessage
+	// BodyFields are the top level of a prompt's body.
+	BodyFields map[string]json.RawMessage
 	// Parts are a prompt's messages or pieces, Opening how many of them tell its conversation from others, unless the
 	// caller gives a CacheKey.
-	Parts    [][]byte
-	Opening  int
-	CacheKey string
+	Parts        [][]byte
+	OpeningParts int
+	CacheKey     string
 	// Conversation places the request, Blocks name its parts, Tokens estimate its length.
 	Conversation uint64
 	Blocks       []BlockKey
@@ -59,21 +59,21 @@
 	Tokens int
 	// MaxTokens is how long an answer the caller asks for at the most; zero means that the caller does not say.
 	MaxTokens int
-	// Once says that the request must not run twice; Key or Ticket is the identity that the caller gave it.
-	Once   bool
-	Key    string
-	Ticket string
+	// AtMostOnce says that the request must not run twice; Key or Ticket is the identity that the caller gave it.
+	AtMostOnce     bool
+	IdempotencyKey string
+	Ticket         string
 }
 
 // Exchange is a request on its way through the filters, together with the answer's writer.
 type Exchange struct {
-	Request Request
-	Writer  http.ResponseWriter
-	Arrived time.Time
-	// Began is set once a byte of the answer has gone to the caller.
-	Began bool
-	// First is when that was.
-	First time.Time
+	Request   Request
+	Writer    http.ResponseWriter
+	ArrivedAt time.Time
+	// ResponseStarted is set once a byte of the answer has gone to the caller.
+	ResponseStarted bool
+	// ResponseStartedAt is when that was.
+	ResponseStartedAt time.Time
 
 	done []func()
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -100,7 +100,7 @@
 		return VerdictResponseStarted
 	case f.Refusal.Outcome == rillreach.OutcomeUnknown && f.NonIdempotent:
 		return VerdictMayHaveRun
-	case f.Refusal.Outcome == rillreach.OutcomeNotRun && !f.Refusal.Elsewhere():
+	case f.Refusal.Outcome == rillreach.OutcomeNotRun && !f.Refusal.CanRetryElsewhere():
 		return VerdictFinal
 	case f.Attempt >= MaxAttempts:
 		return VerdictAttemptsExhausted
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -22,13 +22,16 @@
 		failure Failure
 		verdict Verdict
 	}{
-		"a request that has not run is retried":                     {failureWith(func(*Failure) {}), VerdictRetry},
-		"a request whose response has started is not retried":       {failureWith(func(f *Failure) { f.ResponseStarted = true }), VerdictResponseStarted},
-		"a non-idempotent request that may have run is not retried": {failureWith(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, ""); f.NonIdempotent = true }), VerdictMayHaveRun},
-		"an idempotent request that may have run is retried":        {failureWith(func(f *Failure) { f.Refusal = rillreach.Unknown(rillreach.ReasonCut, "") }), VerdictRetry},
-		"a bad request is not retried":                              {failureWith(func(f *Failure) { f.Refusal = rillreach.NotRun(rillreach.ReasonBadRequest, "") }), VerdictFinal},
-		"the number of attempts is bounded":                         {failureWith(func(f *Failure) { f.Attempt = MaxAttempts }), VerdictAttemptsExhausted},
-		"a request is not retried after its deadline":               {failureWith(func(f *Failure) { f.Deadline = now }), VerdictDeadlineExceeded},
+		"a request that has not run is retried":               {failureWith(func(*Failure) {}), VerdictRetry},
+		"a request whose response has started is not retried": {failureWith(func(f *Failure) { f.ResponseStarted = true }), VerdictResponseStarted},
+		"a non-idempotent request that may have run is not retried": {failureWith(func(f *Failure) {
+			f.Refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, "")
+			f.NonIdempotent = true
+		}), VerdictMayHaveRun},
+		"an idempotent request that may have run is retried": {failureWith(func(f *Failure) { f.Refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, "") }), VerdictRetry},
+		"a bad request is not retried":                       {failureWith(func(f *Failure) { f.Refusal = rillreach.NotRun(rillreach.ReasonBadRequest, "") }), VerdictFinal},
+		"the number of attempts is bounded":                  {failureWith(func(f *Failure) { f.Attempt = MaxAttempts }), VerdictAttemptsExhausted},
+		"a request is not retried after its deadline":        {failureWith(func(f *Failure) { f.Deadline = now }), VerdictDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, c.verdict, (&Budget{}).Decide(now, c.failure)) })
 	}
--- a/route/side.go
+++ b/route/side.go
@@ -16,7 +16,7 @@
 // takes the points below its weight, so that a change of weight moves only the conversations between the two weights.
 func Side(weights rillreach.Weights, conversation uint64) rillreach.Side {
 	point := hash.Mix(conversation, sideSalt) % pointCount
-	if point*rillreach.WholeWeight < uint64(weights.New)*pointCount {
+	if point*rillreach.TotalWeight < uint64(weights.New)*pointCount {
 		return rillreach.SideNew
 	}
 	return rillreach.SideOld
--- a/side.go
+++ b/side.go
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// WholeWeight is the sum of a row's two weights.
-const WholeWeight = 100
+// TotalWeight is the sum of a row's two weights.
+const TotalWeight = 100
 
 // Weights say how many of a hundred conversations each side takes.
 type Weights struct {
@@ -42,8 +42,8 @@
 	if w.Old < 0 || w.New < 0 {
 		return errors.Newf("weights %d/%d: a weight is negative", w.Old, w.New)
 	}
-	if w.Old+w.New != WholeWeight {
-		return errors.Newf("weights %d/%d do not add up to %d", w.Old, w.New, WholeWeight)
+	if w.Old+w.New != TotalWeight {
+		return errors.Newf("weights %d/%d do not add up to %d", w.Old, w.New, TotalWeight)
 	}
 	return nil
 }
--- a/source.go
+++ b/source.go
@@ -10,8 +10,8 @@
 // ErrHistoryGone says that a watch cannot go on from where it stood, so that everything has to be listed again.
 var ErrHistoryGone = errors.New("history of the objects is gone")
 
-// ErrAnswerUnreadable says that nothing of a source's answer can be read, so that a watch may be given the same answer again and again.
-var ErrAnswerUnreadable = errors.New("answer of the source cannot be read")
+// ErrMalformedResponse says that nothing of a source's answer can be read, so that a watch may be given the same answer again and again.
+var ErrMalformedResponse = errors.New("answer of the source cannot be read")
 
 // Update is one object as a source gives it.
 type Update[T any] struct {
@@ -19,8 +19,8 @@
 	Value T
 	// Revision is that of the object's last change.
 	Revision Revision
-	// Gone says that the object no longer exists.
-	Gone bool
+	// Deleted says that the object no longer exists.
+	Deleted bool
 	// Err says why the object cannot be understood; Value is then empty, and so is the name where that cannot be read either.
 	Err error
 }
--- a/table.go
+++ b/table.go
@@ -23,15 +23,15 @@
 
 // Limits cap what one row's client account may use across the whole fleet; zero means no cap.
 type Limits struct {
-	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty" yaml:"requestsPerSecond,omitempty"`
-	TokensPerMinute   int64   `json:"tokensPerMinute,omitempty" yaml:"tokensPerMinute,omitempty"`
-	Concurrent        int     `json:"concurrent,omitempty" yaml:"concurrent,omitempty"`
-	KeptBytes         int64   `json:"keptBytes,omitempty" yaml:"keptBytes,omitempty"`
+	RequestsPerSecond  float64 `json:"requestsPerSecond,omitempty" yaml:"requestsPerSecond,omitempty"`
+	TokensPerMinute    int64   `json:"tokensPerMinute,omitempty" yaml:"tokensPerMinute,omitempty"`
+	ConcurrentRequests int     `json:"concurrent,omitempty" yaml:"concurrent,omitempty"`
+	StoredBytes        int64   `json:"keptBytes,omitempty" yaml:"keptBytes,omitempty"`
 }
 
 // Check reports a negative limit.
 func (l Limits) Check() error {
-	if l.RequestsPerSecond < 0 || l.TokensPerMinute < 0 || l.Concurrent < 0 || l.KeptBytes < 0 {
+	if l.RequestsPerSecond < 0 || l.TokensPerMinute < 0 || l.ConcurrentRequests < 0 || l.StoredBytes < 0 {
 		return errors.New("a limit is negative")
 	}
 	return nil
