--- a/credential.go
+++ b/credential.go
@@ -11,35 +11,39 @@
 )
 
 const (
-	keyPrefix     = "rr-"
-	keySeparator  = "~"
-	secretLength  = 24
-	saltLength    = 16
-	hashLength    = sha256.Size
-	maxKeyLength  = 512
-	missingSecret = "no such account"
+	apiKeyPrefix    = "rr-"
+	apiKeySeparator = "~"
+
+	// Lengths are in bytes.
+	secretLength    = 24
+	saltLength      = 16
+	hashLength      = sha256.Size
+	maxAPIKeyLength = 512
+
+	dummySecret = "no such account"
 )
 
-// Credential is the salted hash of one secret of a client account.
+// Credential is the salted SHA-256 hash of an API key's secret.
 type Credential struct {
 	Salt []byte `json:"salt" yaml:"salt"`
 	Hash []byte `json:"hash" yaml:"hash"`
 }
 
-// Check reports a salt or a hash of the wrong length.
+// Check returns an error if the salt or the hash has the wrong length.
 func (c Credential) Check() error {
 	if len(c.Salt) != saltLength || len(c.Hash) != hashLength {
-		return errors.Newf("credential: salt has %d of %d bytes, hash %d of %d", len(c.Salt), saltLength, len(c.Hash), hashLength)
+		return errors.Newf("credential: salt has %d bytes instead of %d, hash has %d instead of %d", len(c.Salt), saltLength, len(c.Hash), hashLength)
 	}
 	return nil
 }
 
-// Matches compares the secret with the credential in constant time.
+// Matches reports whether the credential is that of the secret. The comparison takes constant time.
 func (c Credential) Matches(secret string) bool {
 	return subtle.ConstantTimeCompare(hashSecret(c.Salt, secret), c.Hash) == 1
 }
 
-// NewAPIKey makes a key for an account and the credential that recognises it; the key is shown once and kept nowhere.
+// NewAPIKey generates an API key for an account and the credential that verifies it. Only the credential is stored,
+// so the key cannot be shown again.
 func NewAPIKey(account AccountID) (string, Credential, error) {
 	if err := checkName("account", string(account)); err != nil {
 		return "", Credential{}, err
@@ -50,29 +54,30 @@
 	}
 	secret := base64.RawURLEncoding.EncodeToString(random[:secretLength])
 	salt := random[secretLength:]
-	key := keyPrefix + string(account) + keySeparator + secret
+	key := apiKeyPrefix + string(account) + apiKeySeparator + secret
 	return key, Credential{Salt: salt, Hash: hashSecret(salt, secret)}, nil
 }
 
-// ParseAPIKey takes a key apart into the account it claims and the secret that has to prove it.
+// ParseAPIKey splits an API key into the account that it claims to belong to and its secret. It does not verify the
+// secret.
 func ParseAPIKey(key string) (AccountID, string, bool) {
-	if len(key) > maxKeyLength {
+	if len(key) > maxAPIKeyLength {
 		return "", "", false
 	}
-	rest, ok := strings.CutPrefix(key, keyPrefix)
+	rest, ok := strings.CutPrefix(key, apiKeyPrefix)
 	if !ok {
 		return "", "", false
 	}
-	account, secret, ok := strings.Cut(rest, keySeparator)
+	account, secret, ok := strings.Cut(rest, apiKeySeparator)
 	return AccountID(account), secret, ok && account != "" && secret != ""
 }
 
-// MatchAny compares the secret with every credential, and with one that never matches when there are none, so that an
-// unknown account takes no less time than a wrong secret.
+// MatchAny reports whether any credential matches the secret. If there are no credentials, it hashes the secret
+// anyway, so that response times do not reveal whether an account exists.
 func MatchAny(credentials []Credential, secret string) bool {
 	if len(credentials) == 0 {
-		none := Credential{Salt: make([]byte, saltLength), Hash: hashSecret(nil, missingSecret)}
-		none.Matches(secret)
+		dummy := Credential{Salt: make([]byte, saltLength), Hash: hashSecret(nil, dummySecret)}
+		dummy.Matches(secret)
 		return false
 	}
 	matched := false
--- a/ids.go
+++ b/ids.go
@@ -7,29 +7,29 @@
 )
 
 type (
-	// AccountID names a client account.
+	// AccountID identifies a client account.
 	AccountID string
-	// ModelID names a model, without its version.
+	// ModelID identifies a model, without its version.
 	ModelID string
-	// VersionID names one weight version of a model.
+	// VersionID identifies a version of a model's weights.
 	VersionID string
-	// ServiceID names a plain service that is routed to beside the models.
+	// ServiceID identifies a plain service, that is, one that is not a model engine.
 	ServiceID string
-	// InstanceID names an instance for as long as its place in the fleet exists.
+	// InstanceID identifies an instance. It stays the same across restarts.
 	InstanceID string
-	// Incarnation names one run of an instance's process; a restart takes a new one.
+	// Incarnation identifies one run of an instance's process. Every restart creates a new one.
 	Incarnation string
-	// ZoneID names an availability zone.
+	// ZoneID identifies an availability zone.
 	ZoneID string
-	// RegionID names a region, which holds availability zones.
+	// RegionID identifies a region, which contains availability zones.
 	RegionID string
-	// RequestID names one request of a caller across all its attempts.
+	// RequestID identifies a caller's request across all attempts.
 	RequestID string
 )
 
-const maxNameLength = 128
+const maxNameLength = 128 // bytes
 
-// checkName reports whether value can stand in an object name and a URL path as it is.
+// checkName returns an error if the value cannot be used in an object name and a URL path without escaping.
 func checkName(field, value string) error {
 	if value == "" {
 		return errors.Newf("%s is empty", field)
@@ -37,13 +37,13 @@
 	if len(value) > maxNameLength {
 		return errors.Newf("%s is longer than %d bytes", field, maxNameLength)
 	}
-	if strings.IndexFunc(value, notInName) >= 0 {
-		return errors.Newf("%s %q may hold only letters, digits, '.', '_' and '-'", field, value)
+	if strings.IndexFunc(value, isInvalidNameRune) >= 0 {
+		return errors.Newf("%s %q may only contain letters, digits, '.', '_' and '-'", field, value)
 	}
 	return nil
 }
 
-func notInName(r rune) bool {
+func isInvalidNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return false
--- a/instance.go
+++ b/instance.go
@@ -8,19 +8,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Role says which daemon an instance runs.
+// Role is the kind of process that an instance runs.
 type Role string
 
 const (
-	// RoleEntry is the callers' side.
+	// RoleEntry is a process that receives requests from callers.
 	RoleEntry Role = "entry"
-	// RoleAgent is the process in the slot beside a backend server.
+	// RoleAgent is a process that runs next to a backend server and sends requests to it.
 	RoleAgent Role = "agent"
-	// RoleStore is a store instance that keeps blocks in memory and on disk.
+	// RoleStore is a process that stores blocks in memory and on disk.
 	RoleStore Role = "store"
 )
 
-// Instance is what the platform's list says of one live or leaving instance.
+// Instance is an entry in the platform's list of running instances. Leaving means that the instance is shutting down.
 type Instance struct {
 	ID          InstanceID     `json:"id" cbor:"1,keyasint"`
 	Role        Role           `json:"role" cbor:"2,keyasint"`
@@ -34,12 +34,12 @@
 	Leaving     bool           `json:"leaving,omitempty" cbor:"10,keyasint,omitempty"`
 }
 
-// Serves reports whether the instance is an agent before an engine that has the model version loaded.
+// Serves reports whether the instance is an agent of an engine that has the model version loaded.
 func (i Instance) Serves(model ModelID, version VersionID) bool {
 	return i.Role == RoleAgent && i.Model == model && slices.Contains(i.Versions, version)
 }
 
-// Check reports the first fault of the instance.
+// Check returns an error if the instance is not valid.
 func (i Instance) Check() error {
 	if err := checkName("instance", string(i.ID)); err != nil {
 		return err
@@ -56,7 +56,7 @@
 	return errors.Wrapf(i.Side.Check(), "instance %s", i.ID)
 }
 
-// DecodeInstance reads an instance from JSON and checks it.
+// DecodeInstance decodes and checks an instance in JSON.
 func DecodeInstance(data []byte) (Instance, error) {
 	var instance Instance
 	if err := json.Unmarshal(data, &instance); err != nil {
--- a/instance_run.go
+++ b/instance_run.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// Generation orders the runs of one instance: it is the millisecond of a run's start by that instance's clock, and that of a later
-// run is greater. Zero says that it is unknown. Those of different instances tell nothing about one another.
+// Generation orders the runs of one instance: it is the start time of a run in Unix milliseconds by the instance's
+// own clock, and later runs have greater generations. Zero means unknown. Generations of different instances are not
+// comparable.
 type Generation int64
 
-// StartTime is the start by the instance's own clock.
+// StartTime returns when the run started, by the instance's own clock.
 func (g Generation) StartTime() time.Time { return time.UnixMilli(int64(g)) }
 
-// InstanceRun names one run of an instance by its identifier, which a restart keeps, and its generation, which a restart raises.
+// InstanceRun identifies one run of an instance. A restart keeps ID and increases Generation.
 type InstanceRun struct {
 	ID         InstanceID
 	Generation Generation
 }
 
-// Supersedes reports that r is a later run of the same instance than other; where either generation is unknown, it is not.
+// Supersedes reports whether r is a later run of the same instance than other. If either generation is unknown, it
+// returns false.
 func (r InstanceRun) Supersedes(other InstanceRun) bool {
 	return r.ID == other.ID && other.Generation != 0 && r.Generation > other.Generation
 }
--- a/refusal.go
+++ b/refusal.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Outcome says whether a refused request was run.
+// Outcome tells whether a refused request was run.
 type Outcome string
 
 const (
-	// OutcomeNotRun says that the request certainly was not run and never will be.
+	// OutcomeNotRun means that the request was not run and never will be.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown says that the request may have been run.
+	// OutcomeUnknown means that the request may have been run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Reason is one of a fixed set of causes for a refusal.
+// Reason is the cause of a refusal.
 type Reason string
 
 // The reasons for a refusal.
@@ -62,39 +62,39 @@
 	ReasonInterrupted:      http.StatusBadGateway,
 }
 
-// Refusal is the error that ends a request without its answer.
+// Refusal is the error for a request that gets no response from a backend server.
 type Refusal struct {
 	Outcome    Outcome       `json:"outcome" cbor:"1,keyasint"`
 	Reason     Reason        `json:"reason" cbor:"2,keyasint"`
 	Message    string        `json:"message" cbor:"3,keyasint"`
 	RetryAfter time.Duration `json:"-" cbor:"4,keyasint,omitempty"`
-	// FromOwner says that the refusal is the word of the one agent that may run the request, and so holds for every earlier
-	// attempt under the same key or ticket too.
+	// FromOwner means that the refusal comes from the only agent that may run the request. Its outcome therefore also
+	// holds for every earlier attempt with the same key or ticket.
 	FromOwner bool `json:"-" cbor:"5,keyasint,omitempty"`
 }
 
-// NotRun makes a refusal of a request that certainly was not run.
+// NotRun returns a refusal of a request that was certainly not run.
 func NotRun(reason Reason, message string) *Refusal {
 	return &Refusal{Outcome: OutcomeNotRun, Reason: reason, Message: message}
 }
 
-// MayHaveRun makes a refusal of a request that may have been run.
+// MayHaveRun returns a refusal of a request that may have been run.
 func MayHaveRun(reason Reason, message string) *Refusal {
 	return &Refusal{Outcome: OutcomeUnknown, Reason: reason, Message: message}
 }
 
-// WithRetryAfter returns the refusal with the time after which to come back.
+// WithRetryAfter sets the time after which the caller may retry, and returns the refusal.
 func (r *Refusal) WithRetryAfter(wait time.Duration) *Refusal {
 	r.RetryAfter = wait
 	return r
 }
 
-// Error says why the request was refused and whether it was run.
+// Error returns the reason and the outcome with the message.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s (%s): %s", r.Reason, r.Outcome, r.Message)
 }
 
-// HTTPStatus is the HTTP status of the refusal.
+// HTTPStatus returns the HTTP status code of the refusal.
 func (r *Refusal) HTTPStatus() int {
 	if status, ok := reasonStatus[r.Reason]; ok {
 		return status
@@ -102,7 +102,7 @@
 	return http.StatusInternalServerError
 }
 
-// CanRetryElsewhere reports whether another backend server may be tried at once.
+// CanRetryElsewhere reports whether the request may be sent to another backend server immediately.
 func (r *Refusal) CanRetryElsewhere() bool {
 	if r.Outcome != OutcomeNotRun {
 		return false
--- a/request.go
+++ b/request.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Headers that callers and the system exchange beside the published ones.
+// Headers of requests and responses, and the values of HeaderRepeat.
 const (
 	HeaderOutcome        = "Rillreach-Outcome"
 	HeaderReason         = "Rillreach-Reason"
@@ -19,71 +19,74 @@
 	RepeatNever          = "never"
 )
 
-// BlockKey identifies a run of a prompt from its start; it is bound to account, model and weight version.
+// BlockKey identifies a prefix of a prompt. It is a hash that includes the account, the model and the weight version.
 type BlockKey [32]byte
 
-// Request is one request of a caller as the system has understood it.
+// Request is a caller's request, with the data that the filters have derived from it.
 type Request struct {
-	// ID names the request across all its attempts.
+	// ID identifies the request across all attempts.
 	ID RequestID
-	// Account is the caller's.
+	// Account is the caller's client account.
 	Account AccountID
-	// Service is set for a call to a plain service, Model for a prompt, as the caller wrote it.
+	// Service is set for a request to a plain service. Otherwise Model is set, to the name that the caller gave.
 	Service ServiceID
 	Model   string
-	// Row is the line of the table that the request runs under, RowVersion its object's.
+	// Row is the row that applies to the request, and RowVersion the version of its object.
 	Row        Row
 	RowVersion uint64
-	// Method, Path, Query, Header and Body are passed on to the backend server.
+	// Method, Path, Query, Header and Body are forwarded to the backend server.
 	Method string
 	Path   string
 	Query  string
 	Header http.Header
 	Body   []byte
-	// Stream says that the answer is to be passed on as it comes.
+	// Stream is set if the response must be forwarded as it arrives.
 	Stream bool
-	// Deadline is when the caller gives up.
+	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// BodyFields are the top level of a prompt's body.
+	// BodyFields are the top-level fields of a prompt's JSON body.
 	BodyFields map[string]json.RawMessage
-	// Parts are a prompt's messages or pieces, Opening how many of them tell its conversation from others, unless the
-	// caller gives a CacheKey.
+	// Parts are the messages of a prompt, or the chunks of a prompt without messages. The first OpeningParts of them
+	// identify the conversation, unless the caller gives a CacheKey.
 	Parts        [][]byte
 	OpeningParts int
 	CacheKey     string
-	// Conversation places the request, Blocks name its parts, Tokens estimate its length.
+	// Conversation is a hash that identifies the conversation and determines where the request is placed. Blocks has
+	// a key for the prefix up to each part.
 	Conversation uint64
 	Blocks       []BlockKey
-	// Salt keeps the scope of account, model and version apart in an engine.
-	Salt   string
+	// Salt is the cache salt that separates accounts, models and versions in an engine's KV cache.
+	Salt string
+	// Tokens is the estimated length of the prompt.
 	Tokens int
-	// MaxTokens is how long an answer the caller asks for at the most; zero means that the caller does not say.
+	// MaxTokens is the maximum length of the answer that the caller asks for, or zero if it gives none.
 	MaxTokens int
-	// AtMostOnce says that the request must not run twice; Key or Ticket is the identity that the caller gave it.
+	// AtMostOnce is set if the request must not run twice. IdempotencyKey or Ticket identifies it if the caller gave
+	// one.
 	AtMostOnce     bool
 	IdempotencyKey string
 	Ticket         string
 }
 
-// Exchange is a request on its way through the filters, together with the answer's writer.
+// Exchange is a request that passes through the filters, with the writer for its response.
 type Exchange struct {
 	Request   Request
 	Writer    http.ResponseWriter
 	ArrivedAt time.Time
-	// ResponseStarted is set once a byte of the answer has gone to the caller.
+	// ResponseStarted is set once part of the response has been sent to the caller.
 	ResponseStarted bool
-	// ResponseStartedAt is when that was.
+	// ResponseStartedAt is when ResponseStarted was set.
 	ResponseStartedAt time.Time
 
 	done []func()
 }
 
-// OnDone has f called when the exchange ends, in the reverse order of the calls.
+// OnDone registers a function for Done to call. Functions are called in reverse order of registration.
 func (x *Exchange) OnDone(f func()) {
 	x.done = append(x.done, f)
 }
 
-// Done ends the exchange.
+// Done ends the exchange and calls the registered functions, each of them only once.
 func (x *Exchange) Done() {
 	for i := len(x.done) - 1; i >= 0; i-- {
 		x.done[i]()
@@ -91,18 +94,18 @@
 	x.done = nil
 }
 
-// Filter is one step of the request chain; an error ends the chain, and a *Refusal is its expected form.
+// Filter is a step in the processing of a request. An error ends the processing and should be a *Refusal.
 type Filter interface {
-	// Name is the step's name in logs and metrics.
+	// Name returns the filter's name for logs and metrics.
 	Name() string
-	// Run does the step on the exchange.
+	// Run processes the exchange.
 	Run(ctx context.Context, x *Exchange) error
 }
 
-// Controller keeps one part of a daemon's state right until its context ends.
+// Controller maintains a part of a process's state in the background.
 type Controller interface {
-	// Name is the controller's name in logs and metrics.
+	// Name returns the controller's name for logs and metrics.
 	Name() string
-	// Run works until the context ends.
+	// Run runs the controller until the context ends.
 	Run(ctx context.Context) error
 }
--- a/revision_test.go
+++ b/revision_test.go
@@ -13,42 +13,42 @@
 	assert.False(t, Revision{Era: 1, Number: 9}.After(Revision{Era: 1, Number: 9}))
 }
 
-// TestSupersedes draws the words that a process hears of one object, from a store whose versions rise and which loses its last writes now and then: what
-// it keeps is never older than what it had, and ends with the last one written.
+// A process observes one object, in part out of order, in a store that is sometimes restored from a backup that lacks
+// the last writes. The version that the process keeps must never decrease, and must end as the version written last.
 func TestSupersedes(t *testing.T) {
-	type word struct {
+	type observation struct {
 		at      Revision
 		version int
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		now := word{at: Revision{Era: 1, Number: 1}, version: 1}
-		written, kept := []word{now}, now
-		newest := now.version
-		hear := func(w word) {
-			if Supersedes(w.at, w.version, kept.at, kept.version) {
-				assert.GreaterOrEqual(t, w.version, kept.version)
-				kept = w
+		current := observation{at: Revision{Era: 1, Number: 1}, version: 1}
+		history, known := []observation{current}, current
+		newestVersion := current.version
+		observe := func(o observation) {
+			if Supersedes(o.at, o.version, known.at, known.version) {
+				assert.GreaterOrEqual(t, o.version, known.version)
+				known = o
 			}
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0: // the operator writes a newer version
-				newest++
-				now = word{at: Revision{Era: now.at.Era, Number: now.at.Number + 1}, version: newest}
-				written = append(written, now)
-			case 1: // the store comes back from a copy, and the operator writes its newest version again
-				copied := rapid.SampledFrom(written).Draw(t, "copy")
-				copied.at.Era = now.at.Era + 1
-				hear(copied)
-				now = word{at: Revision{Era: copied.at.Era, Number: copied.at.Number + 1}, version: newest}
-				written = []word{copied, now}
-			case 2: // an earlier word comes late
-				hear(rapid.SampledFrom(written).Draw(t, "late"))
+				newestVersion++
+				current = observation{at: Revision{Era: current.at.Era, Number: current.at.Number + 1}, version: newestVersion}
+				history = append(history, current)
+			case 1: // the store is restored from a backup, and the operator writes the newest version again
+				restored := rapid.SampledFrom(history).Draw(t, "restored")
+				restored.at.Era = current.at.Era + 1
+				observe(restored)
+				current = observation{at: Revision{Era: restored.at.Era, Number: restored.at.Number + 1}, version: newestVersion}
+				history = []observation{restored, current}
+			case 2: // an earlier observation arrives late
+				observe(rapid.SampledFrom(history).Draw(t, "late"))
 			default:
-				hear(now)
+				observe(current)
 			}
 		}
-		hear(now)
-		assert.Equal(t, newest, kept.version)
+		observe(current)
+		assert.Equal(t, newestVersion, known.version)
 	})
 }
--- a/side.go
+++ b/side.go
@@ -2,17 +2,17 @@
 
 import "github.com/cockroachdb/errors"
 
-// Side is one of the two data centres that serve during a move.
+// Side is one of the two data centres between which traffic is moved.
 type Side string
 
 const (
-	// SideOld is the data centre that traffic moves away from.
+	// SideOld is the data centre that traffic is moved away from.
 	SideOld Side = "old"
-	// SideNew is the data centre that traffic moves to.
+	// SideNew is the data centre that traffic is moved to.
 	SideNew Side = "new"
 )
 
-// Check reports a side that is neither old nor new.
+// Check returns an error if the side is neither old nor new.
 func (s Side) Check() error {
 	if s != SideOld && s != SideNew {
 		return errors.Newf("side %q is neither %q nor %q", string(s), SideOld, SideNew)
@@ -20,10 +20,10 @@
 	return nil
 }
 
-// TotalWeight is the sum of a row's two weights.
+// TotalWeight is the sum of the two weights of a row.
 const TotalWeight = 100
 
-// Weights say how many of a hundred conversations each side takes.
+// Weights are the percentages of conversations that go to each side.
 type Weights struct {
 	Old int `json:"old" yaml:"old"`
 	New int `json:"new" yaml:"new"`
@@ -37,7 +37,7 @@
 	return w.New
 }
 
-// Check reports weights that are negative or do not add up to WholeWeight.
+// Check returns an error if a weight is negative or the weights do not add up to TotalWeight.
 func (w Weights) Check() error {
 	if w.Old < 0 || w.New < 0 {
 		return errors.Newf("weights %d/%d: a weight is negative", w.Old, w.New)
--- a/source.go
+++ b/source.go
@@ -7,29 +7,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrHistoryGone says that a watch cannot go on from where it stood, so that everything has to be listed again.
-var ErrHistoryGone = errors.New("history of the objects is gone")
+// ErrHistoryGone means that a watch cannot continue from the given revision, and that all objects have to be listed
+// again.
+var ErrHistoryGone = errors.New("revision is no longer in the history of the source")
 
-// ErrMalformedResponse says that nothing of a source's answer can be read, so that a watch may be given the same answer again and again.
-var ErrMalformedResponse = errors.New("answer of the source cannot be read")
+// ErrMalformedResponse means that a response of the source cannot be decoded at all. A repeated watch may get the same
+// response again.
+var ErrMalformedResponse = errors.New("response of the source cannot be decoded")
 
-// Update is one object as a source gives it.
+// Update is an object as returned by a source.
 type Update[T any] struct {
 	Name  string
 	Value T
-	// Revision is that of the object's last change.
+	// Revision is the revision of the object's last change.
 	Revision Revision
-	// Deleted says that the object no longer exists.
+	// Deleted means that the object no longer exists.
 	Deleted bool
-	// Err says why the object cannot be understood; Value is then empty, and so is the name where that cannot be read either.
+	// Err is the reason if the object cannot be decoded. Value is then empty, and so is Name if it cannot be decoded
+	// either.
 	Err error
 }
 
-// Source gives the objects of one kind and their changes.
+// Source provides the objects of one kind and their changes.
 type Source[T any] interface {
-	// List returns all objects and the revision from which a watch misses nothing.
+	// List returns all objects and the revision from which a watch sees all later changes.
 	List(ctx context.Context) ([]Update[T], Revision, error)
-	// Watch waits for changes after a revision, at the longest for wait, and returns the revision to go on from; it gives
-	// ErrHistoryGone where the revision is too old, or of an earlier era than the store's.
+	// Watch waits up to the given time for changes after a revision, and returns them with the revision to continue
+	// from. It returns ErrHistoryGone if the revision is too old, or from an earlier era than the store's current
+	// one.
 	Watch(ctx context.Context, revision Revision, wait time.Duration) ([]Update[T], Revision, error)
 }
--- a/table.go
+++ b/table.go
@@ -11,17 +11,17 @@
 // RowFormat is the version of the row format that this release reads and writes.
 const RowFormat = 1
 
-// Objective says which measure a row's requests are placed for.
+// Objective is the measure that placement minimizes for a row's requests.
 type Objective string
 
 const (
-	// ObjectiveFirstToken places requests for the shortest time to first token.
+	// ObjectiveFirstToken minimizes the time to first token.
 	ObjectiveFirstToken Objective = "first-token"
-	// ObjectiveRecompute places requests for the smallest share of prompt work recomputed.
+	// ObjectiveRecompute minimizes the share of prompt tokens that are computed again.
 	ObjectiveRecompute Objective = "recompute"
 )
 
-// Limits cap what one row's client account may use across the whole fleet; zero means no cap.
+// Limits are the limits on a row's usage across the whole fleet. Zero means unlimited.
 type Limits struct {
 	RequestsPerSecond  float64 `json:"requestsPerSecond,omitempty" yaml:"requestsPerSecond,omitempty"`
 	TokensPerMinute    int64   `json:"tokensPerMinute,omitempty" yaml:"tokensPerMinute,omitempty"`
@@ -29,15 +29,15 @@
 	StoredBytes        int64   `json:"keptBytes,omitempty" yaml:"keptBytes,omitempty"`
 }
 
-// Check reports a negative limit.
+// Check returns an error if a limit is negative.
 func (l Limits) Check() error {
 	if l.RequestsPerSecond < 0 || l.TokensPerMinute < 0 || l.ConcurrentRequests < 0 || l.StoredBytes < 0 {
-		return errors.New("a limit is negative")
+		return errors.New("limits must not be negative")
 	}
 	return nil
 }
 
-// Row is one line of the operators' table: a client account and a model version.
+// Row is the operators' configuration for a client account and a model version.
 type Row struct {
 	Format      int          `json:"format" yaml:"format"`
 	Account     AccountID    `json:"account" yaml:"account"`
@@ -47,21 +47,22 @@
 	Limits      Limits       `json:"limits" yaml:"limits"`
 	Objective   Objective    `json:"objective" yaml:"objective"`
 	Credentials []Credential `json:"credentials" yaml:"credentials"`
-	// Edit is the identity of the edit that wrote the row; it tells a lost answer from a lost race.
+	// Edit identifies the edit that wrote the row. An editor whose write got no response uses it to tell whether the
+	// row was written by itself or by somebody else.
 	Edit string `json:"edit,omitempty" yaml:"edit,omitempty"`
 }
 
-// RowName is the object name of the row of an account and a model version.
+// RowName returns the object name of the row for an account and a model version.
 func RowName(account AccountID, model ModelID, version VersionID) string {
 	return strings.Join([]string{string(account), string(model), string(version)}, "/")
 }
 
-// Name is the object name of the row.
+// Name returns the object name of the row.
 func (r Row) Name() string {
 	return RowName(r.Account, r.Model, r.Version)
 }
 
-// Check reports the first fault of the row.
+// Check returns an error if the row is not valid.
 func (r Row) Check() error {
 	checks := []func() error{
 		r.checkFormat,
@@ -83,7 +84,7 @@
 
 func (r Row) checkFormat() error {
 	if r.Format != RowFormat {
-		return errors.Newf("format %d is not %d", r.Format, RowFormat)
+		return errors.Newf("format is %d, expected %d", r.Format, RowFormat)
 	}
 	return nil
 }
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// DecodeRow reads a row from JSON, refuses unknown fields and checks the row.
+// DecodeRow decodes and checks a row in JSON. It returns an error if there are unknown fields.
 func DecodeRow(data []byte) (Row, error) {
 	var row Row
 	dec := json.NewDecoder(bytes.NewReader(data))
