--- a/filter/admit/admit.go
+++ b/filter/admit/admit.go
@@ -1,4 +1,4 @@
-// Package admit is the filter that holds a request against its row's limits.
+// Package admit implements the filter that enforces the limits of a request's row.
 package admit
 
 import (
@@ -9,34 +9,36 @@
 	"github.com/rillreach/rillreach/limit"
 )
 
+// defaultAnswerTokens is the assumed length of an answer if the request does not limit it.
 const defaultAnswerTokens = 256
 
-// Limiter decides on requests of rows.
+// Limiter decides whether requests are within the limits of their rows.
 type Limiter interface {
-	// Admit decides on a request; where it is let in, the function has to be called when the request has ended.
+	// Admit decides on a request that is expected to use the given number of tokens. If the request is admitted, the
+	// caller must call the returned function when it ends.
 	Admit(ctx context.Context, row rillreach.Row, tokens int) (limit.Verdict, func())
 }
 
-// Filter holds requests against limits.
+// Filter refuses requests that exceed the limits of their rows.
 type Filter struct {
-	// Limiter decides.
+	// Limiter decides on each request.
 	Limiter Limiter
 }
 
-// Name is the step's name.
+// Name returns the filter's name.
 func (Filter) Name() string { return "admit" }
 
-// Run refuses a request that its row has no room for.
+// Run refuses a request that exceeds a limit of its row.
 func (f Filter) Run(ctx context.Context, x *rillreach.Exchange) error {
-	verdict, done := f.Limiter.Admit(ctx, x.Request.Row, tokensOf(x.Request))
+	verdict, release := f.Limiter.Admit(ctx, x.Request.Row, estimateTokens(x.Request))
 	if !verdict.OK {
-		return rillreach.NotRun(rillreach.ReasonLimit, messageOf(verdict.Metric)).WithRetryAfter(max(verdict.RetryAfter, time.Second))
+		return rillreach.NotRun(rillreach.ReasonLimit, limitMessage(verdict.Metric)).WithRetryAfter(max(verdict.RetryAfter, time.Second))
 	}
-	x.OnDone(done)
+	x.OnDone(release)
 	return nil
 }
 
-func messageOf(m limit.Metric) string {
+func limitMessage(m limit.Metric) string {
 	switch m {
 	case limit.RequestsPerSecond:
 		return "limit of requests a second is used up"
@@ -47,8 +49,8 @@
 	}
 }
 
-// tokensOf is what a request is expected to cost: its prompt and the answer it asks for.
-func tokensOf(req rillreach.Request) int {
+// estimateTokens returns the expected number of tokens of the prompt and the answer.
+func estimateTokens(req rillreach.Request) int {
 	if req.Service != "" {
 		return 0
 	}
--- a/filter/authenticate/authenticate.go
+++ b/filter/authenticate/authenticate.go
@@ -1,4 +1,4 @@
-// Package authenticate is the filter that finds out which client account a request is from.
+// Package authenticate implements the filter that identifies a request's client account by its API key.
 package authenticate
 
 import (
@@ -9,20 +9,20 @@
 	"github.com/rillreach/rillreach/table"
 )
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// Filter checks the caller's key.
+// Filter verifies the caller's API key.
 type Filter struct {
-	// Table holds the credentials.
+	// Table provides the credentials.
 	Table *table.Table
 }
 
-// Name is the step's name.
+// Name returns the filter's name.
 func (Filter) Name() string { return "authenticate" }
 
-// Run sets the request's account, and takes the key out of what is passed on.
+// Run sets the request's account, and removes the API key from the forwarded header.
 func (f Filter) Run(_ context.Context, x *rillreach.Exchange) error {
-	key, ok := strings.CutPrefix(x.Request.Header.Get("Authorization"), bearer)
+	key, ok := strings.CutPrefix(x.Request.Header.Get("Authorization"), bearerPrefix)
 	x.Request.Header.Del("Authorization")
 	account, secret, wellFormed := rillreach.ParseAPIKey(key)
 	if !ok || !wellFormed {
--- a/filter/chain.go
+++ b/filter/chain.go
@@ -10,28 +10,29 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Chain is a list of filters that run one after another.
+// Chain runs filters one after another.
 type Chain struct {
-	// Filters are the steps in their order.
+	// Filters run in this order.
 	Filters []rillreach.Filter
-	// Log takes one line for each request that ends in a refusal.
+	// Log receives one line for each refused request.
 	Log logr.Logger
-	// Observe is told how long each step took and how it ended; it may be nil.
+	// Observe is called after each filter with its name, its duration and its result. It may be nil.
 	Observe func(step string, took time.Duration, err error)
 }
 
-// Run runs the filters on the exchange until one of them ends it, and gives the refusal that did.
+// Run runs the filters until one of them returns an error, and returns that error as a refusal. It returns nil if the
+// caller got a response.
 func (c *Chain) Run(ctx context.Context, x *rillreach.Exchange) *rillreach.Refusal {
 	defer x.Done()
 	for _, f := range c.Filters {
-		if err := c.runOne(ctx, f, x); err != nil {
-			return c.refusal(f, x, err)
+		if err := c.runFilter(ctx, f, x); err != nil {
+			return c.toRefusal(f, x, err)
 		}
 	}
 	return nil
 }
 
-func (c *Chain) runOne(ctx context.Context, f rillreach.Filter, x *rillreach.Exchange) error {
+func (c *Chain) runFilter(ctx context.Context, f rillreach.Filter, x *rillreach.Exchange) error {
 	if c.Observe == nil {
 		return f.Run(ctx, x)
 	}
@@ -41,7 +42,8 @@
 	return err
 }
 
-func (c *Chain) refusal(f rillreach.Filter, x *rillreach.Exchange, err error) *rillreach.Refusal {
+// toRefusal converts the error to a refusal and logs it.
+func (c *Chain) toRefusal(f rillreach.Filter, x *rillreach.Exchange, err error) *rillreach.Refusal {
 	var refusal *rillreach.Refusal
 	if !errors.As(err, &refusal) {
 		refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, err.Error())
@@ -52,23 +54,23 @@
 	return refusal
 }
 
-// DowngradeNotRun weakens a refusal as not run where the caller has given the request an identity of its own: an earlier
-// attempt under the same key or ticket may have run, and only the identity's owner knows.
+// DowngradeNotRun changes the outcome of a refusal from not run to unknown if the request has an idempotency key or a
+// ticket: an earlier attempt with the same key or ticket may have run, and only its owner knows.
 func DowngradeNotRun(req rillreach.Request, refusal *rillreach.Refusal) *rillreach.Refusal {
 	if req.IdempotencyKey == "" && req.Ticket == "" {
 		return refusal
 	}
-	if refusal.FromOwner || refusal.Outcome == rillreach.OutcomeUnknown || neverTaken(refusal.Reason) {
+	if refusal.FromOwner || refusal.Outcome == rillreach.OutcomeUnknown || alwaysRejected(refusal.Reason) {
 		return refusal
 	}
-	weaker := *refusal
-	weaker.Outcome = rillreach.OutcomeUnknown
-	weaker.Message += "; an earlier attempt with this key or ticket may have been run"
-	return &weaker
+	downgraded := *refusal
+	downgraded.Outcome = rillreach.OutcomeUnknown
+	downgraded.Message += "; an earlier attempt with this key or ticket may have been run"
+	return &downgraded
 }
 
-// neverTaken reports a reason that holds for every attempt with the same identity.
-func neverTaken(reason rillreach.Reason) bool {
+// alwaysRejected reports whether the reason applies to every attempt with the same key or ticket.
+func alwaysRejected(reason rillreach.Reason) bool {
 	switch reason {
 	case rillreach.ReasonBadRequest, rillreach.ReasonUnauthorized, rillreach.ReasonKeyReused:
 		return true
--- a/filter/doc.go
+++ b/filter/doc.go
@@ -1,2 +1,2 @@
-// Package filter runs the chain of filters that a caller's request goes through.
+// Package filter implements the chain of filters that processes a caller's request.
 package filter
--- a/filter/identify/identify.go
+++ b/filter/identify/identify.go
@@ -1,4 +1,5 @@
-// Package identify is the filter that finds out what a request asks for, without changing it.
+// Package identify implements the filter that reads a request's header and body to determine what it asks for. It
+// does not change the body.
 package identify
 
 import (
@@ -9,21 +10,22 @@
 	"github.com/rillreach/rillreach/once"
 )
 
-// MaxTimeout is the longest time that a caller may give a request.
+// MaxTimeout is the maximum timeout that a caller may give a request.
 const MaxTimeout = 10 * time.Minute
 
-// Filter reads the headers and, for a prompt, the body.
+// Filter reads the header and, if the request is a prompt, the body.
 type Filter struct {
-	// Clock tells the time.
+	// Clock is used to calculate the deadline.
 	Clock rillreach.Clock
-	// DefaultTimeout is for requests that give none; zero means MaxDeadline.
+	// DefaultTimeout applies to requests without a timeout. Zero means MaxTimeout.
 	DefaultTimeout time.Duration
 }
 
-// Name is the step's name.
+// Name returns the filter's name.
 func (Filter) Name() string { return "identify" }
 
-// Run fills in the request's deadline, its identity and, for a prompt, what the body says.
+// Run sets the request's deadline. It also reads the body of a prompt, or the idempotency key or ticket of a request
+// to a plain service.
 func (f Filter) Run(_ context.Context, x *rillreach.Exchange) error {
 	if err := f.readDeadline(&x.Request); err != nil {
 		return err
@@ -35,22 +37,22 @@
 }
 
 func (f Filter) readDeadline(req *rillreach.Request) error {
-	allowed := f.DefaultTimeout
-	if allowed == 0 {
-		allowed = MaxTimeout
+	timeout := f.DefaultTimeout
+	if timeout == 0 {
+		timeout = MaxTimeout
 	}
 	if text := req.Header.Get(rillreach.HeaderDeadline); text != "" {
-		asked, err := time.ParseDuration(text)
-		if err != nil || asked <= 0 {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested <= 0 {
 			return rillreach.NotRun(rillreach.ReasonBadRequest, rillreach.HeaderDeadline+" is not a positive duration such as 30s")
 		}
-		allowed = min(asked, MaxTimeout)
+		timeout = min(requested, MaxTimeout)
 	}
-	req.Deadline = f.Clock.Now().Add(allowed)
+	req.Deadline = f.Clock.Now().Add(timeout)
 	return nil
 }
 
-// readIdentity finds out whether the call must not run twice, and what it is known by.
+// readIdentity determines whether the request must not run twice, and reads its idempotency key or ticket.
 func readIdentity(req *rillreach.Request) error {
 	req.IdempotencyKey = req.Header.Get(rillreach.HeaderIdempotencyKey)
 	req.Ticket = req.Header.Get(rillreach.HeaderTicket)
--- a/filter/identify/prompt.go
+++ b/filter/identify/prompt.go
@@ -8,60 +8,61 @@
 )
 
 const (
-	bytesPerToken = 4
-	chunkSize     = 4 << 10
-	roleUser      = "user"
-	fieldModel    = "model"
-	fieldStream   = "stream"
-	fieldMessages = "messages"
-	fieldPrompt   = "prompt"
-	fieldCacheKey = "prompt_cache_key"
-	fieldMax      = "max_tokens"
-	fieldMaxNew   = "max_completion_tokens"
+	bytesPerToken            = 4
+	chunkSize                = 4 << 10
+	roleUser                 = "user"
+	fieldModel               = "model"
+	fieldStream              = "stream"
+	fieldMessages            = "messages"
+	fieldPrompt              = "prompt"
+	fieldCacheKey            = "prompt_cache_key"
+	fieldMaxTokens           = "max_tokens"
+	fieldMaxCompletionTokens = "max_completion_tokens"
 )
 
-// readPrompt reads the fields of a prompt that matter for its way; all others stay untouched.
+// readPrompt reads the fields of a prompt that affect routing. It keeps all others unchanged.
 func readPrompt(req *rillreach.Request) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(req.Body, &fields); err != nil || fields == nil {
-		return bad("body is not a JSON object")
+		return badRequest("body is not a JSON object")
 	}
 	req.BodyFields = fields
 	if err := readField(fields, fieldModel, &req.Model); err != nil {
 		return err
 	}
 	if req.Model == "" {
-		return bad("body has no model")
+		return badRequest("body has no model")
 	}
-	for name, into := range map[string]any{
-		fieldStream: &req.Stream, fieldCacheKey: &req.CacheKey, fieldMax: &req.MaxTokens, fieldMaxNew: &req.MaxTokens,
+	for name, dst := range map[string]any{
+		fieldStream: &req.Stream, fieldCacheKey: &req.CacheKey, fieldMaxTokens: &req.MaxTokens, fieldMaxCompletionTokens: &req.MaxTokens,
 	} {
-		if err := readField(fields, name, into); err != nil {
+		if err := readField(fields, name, dst); err != nil {
 			return err
 		}
 	}
-	return readParts(req)
+	return splitPrompt(req)
 }
 
-func readField(fields map[string]json.RawMessage, name string, into any) error {
+func readField(fields map[string]json.RawMessage, name string, dst any) error {
 	raw, ok := fields[name]
 	if !ok {
 		return nil
 	}
-	if err := json.Unmarshal(raw, into); err != nil {
-		return bad("field " + name + " is of the wrong type")
+	if err := json.Unmarshal(raw, dst); err != nil {
+		return badRequest("field " + name + " is of the wrong type")
 	}
 	return nil
 }
 
-// readParts takes the prompt apart where later prompts of the conversation can differ from it.
-func readParts(req *rillreach.Request) error {
+// splitPrompt splits the prompt into parts: its messages, or chunks of fixed size if it has none. Later prompts of the
+// conversation usually start with the same parts.
+func splitPrompt(req *rillreach.Request) error {
 	if raw, ok := req.BodyFields[fieldMessages]; ok {
-		return readMessages(req, raw)
+		return splitMessages(req, raw)
 	}
 	raw, ok := req.BodyFields[fieldPrompt]
 	if !ok {
-		return bad("body has neither messages nor a prompt")
+		return badRequest("body has neither messages nor a prompt")
 	}
 	req.OpeningParts = 1
 	for len(raw) > chunkSize {
@@ -69,33 +70,33 @@
 		raw = raw[chunkSize:]
 	}
 	req.Parts = append(req.Parts, raw)
-	countTokens(req)
+	estimateTokens(req)
 	return nil
 }
 
-func readMessages(req *rillreach.Request, raw json.RawMessage) error {
+func splitMessages(req *rillreach.Request, raw json.RawMessage) error {
 	var messages []json.RawMessage
 	if err := json.Unmarshal(raw, &messages); err != nil || len(messages) == 0 {
-		return bad("field messages is not a list of messages")
+		return badRequest("field messages is not a list of messages")
 	}
 	for i, m := range messages {
 		var part bytes.Buffer
 		if err := json.Compact(&part, m); err != nil {
-			return bad("a message is not JSON")
+			return badRequest("a message is not JSON")
 		}
 		req.Parts = append(req.Parts, part.Bytes())
-		if req.OpeningParts == 0 && roleOf(m) == roleUser {
+		if req.OpeningParts == 0 && messageRole(m) == roleUser {
 			req.OpeningParts = i + 1
 		}
 	}
 	if req.OpeningParts == 0 {
 		req.OpeningParts = len(messages)
 	}
-	countTokens(req)
+	estimateTokens(req)
 	return nil
 }
 
-func roleOf(m json.RawMessage) string {
+func messageRole(m json.RawMessage) string {
 	var head struct {
 		Role string `json:"role"`
 	}
@@ -105,7 +106,7 @@
 	return head.Role
 }
 
-func countTokens(req *rillreach.Request) {
+func estimateTokens(req *rillreach.Request) {
 	size := 0
 	for _, part := range req.Parts {
 		size += len(part)
@@ -113,6 +114,6 @@
 	req.Tokens = size / bytesPerToken
 }
 
-func bad(message string) error {
+func badRequest(message string) error {
 	return rillreach.NotRun(rillreach.ReasonBadRequest, message)
 }
