--- a/filter/dispatch/answer.go
+++ b/filter/dispatch/answer.go
@@ -13,62 +13,63 @@
 	"github.com/rillreach/rillreach/peer"
 )
 
-// maxBuffered bounds an answer that is held until it is whole, in bytes.
-const maxBuffered = 32 << 20
+// maxBufferedBytes limits the body of a response that is not streamed. It is buffered until it is complete.
+const maxBufferedBytes = 32 << 20
 
-// answerWriter puts an answer together for the caller.
-type answerWriter struct {
-	x      *rillreach.Exchange
-	head   fleet.Head
-	headed bool
-	held   []byte
-	now    func() time.Time
+// responseWriter assembles the parts of a response that an agent sends, and writes it to the caller.
+type responseWriter struct {
+	x            *rillreach.Exchange
+	head         fleet.Head
+	headReceived bool
+	// buffered is the body of a response that is not streamed.
+	buffered []byte
+	now      func() time.Time
 }
 
-// take takes the next part of the answer.
-func (w *answerWriter) take(part []byte) error {
+// writePart processes the next part of the response.
+func (w *responseWriter) writePart(part []byte) error {
 	kind, data, err := fleet.SplitPart(part)
 	if err != nil {
 		return err
 	}
 	switch {
-	case kind == fleet.PartHead && !w.headed:
-		w.headed = true
+	case kind == fleet.PartHead && !w.headReceived:
+		w.headReceived = true
 		w.head, err = peer.Decode[fleet.Head](data)
 		return err
-	case kind == fleet.PartBody && w.headed:
-		return w.takeBody(data)
+	case kind == fleet.PartBody && w.headReceived:
+		return w.writeBody(data)
 	default:
 		return errors.Newf("part of kind %q of the answer is out of order", kind)
 	}
 }
 
-func (w *answerWriter) takeBody(data []byte) error {
+func (w *responseWriter) writeBody(data []byte) error {
 	if w.x.Request.Stream {
-		w.begin()
+		w.writeHead()
 		return w.write(data)
 	}
-	if len(w.held)+len(data) > maxBuffered {
+	if len(w.buffered)+len(data) > maxBufferedBytes {
 		return rillreach.MayHaveRun(rillreach.ReasonTooLarge, "answer is too large to be held until it is whole")
 	}
-	w.held = append(w.held, data...)
+	w.buffered = append(w.buffered, data...)
 	return nil
 }
 
-// finish ends an answer that is whole.
-func (w *answerWriter) finish() error {
-	if !w.headed {
+// finish completes the response after its last part.
+func (w *responseWriter) finish() error {
+	if !w.headReceived {
 		return errors.New("answer has no head")
 	}
 	if w.x.Request.Stream && w.x.ResponseStarted {
 		return nil
 	}
-	w.x.Writer.Header().Set("Content-Length", strconv.Itoa(len(w.held)))
-	w.begin()
-	return w.write(w.held)
+	w.x.Writer.Header().Set("Content-Length", strconv.Itoa(len(w.buffered)))
+	w.writeHead()
+	return w.write(w.buffered)
 }
 
-func (w *answerWriter) begin() {
+func (w *responseWriter) writeHead() {
 	if w.x.ResponseStarted {
 		return
 	}
@@ -78,7 +79,7 @@
 	w.x.Writer.WriteHeader(w.head.Status)
 }
 
-func (w *answerWriter) write(data []byte) error {
+func (w *responseWriter) write(data []byte) error {
 	if _, err := w.x.Writer.Write(data); err != nil {
 		return errors.Wrap(err, "write to caller")
 	}
--- a/filter/dispatch/attempt.go
+++ b/filter/dispatch/attempt.go
@@ -12,10 +12,10 @@
 	"github.com/rillreach/rillreach/peer"
 )
 
-var errSilent = errors.New("agent did not say in time that it has the request")
+var errAckTimeout = errors.New("agent did not say in time that it has the request")
 
-// message makes what is sent to an agent.
-func (f *Filter) message(x *rillreach.Exchange, attempt int) fleet.Dispatch {
+// newDispatch returns the message that asks an agent to run the request.
+func (f *Filter) newDispatch(x *rillreach.Exchange, attempt int) fleet.Dispatch {
 	req := &x.Request
 	d := fleet.Dispatch{
 		ID:           req.ID,
@@ -55,9 +55,9 @@
 	return sides
 }
 
-// attempt sends the request to one agent and passes the answer back; the stream of one that stays silent is left to those that are kept,
-// if they are.
-func (f *Filter) attempt(ctx context.Context, x *rillreach.Exchange, m *membership.Member, d fleet.Dispatch, silent *silentAgents) error {
+// attempt sends the request to an agent and relays its response to the caller. If the agent does not acknowledge the
+// request in time, the stream is added to unacked, or closed if unacked is nil.
+func (f *Filter) attempt(ctx context.Context, x *rillreach.Exchange, m *membership.Member, d fleet.Dispatch, unacked *unackedStreams) error {
 	conn, err := f.Node.Pool.Get(ctx, m.Address)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -77,35 +77,36 @@
 		return rillreach.NotRun(rillreach.ReasonNoBackend, "request could not be sent: "+err.Error())
 	}
 	if err := f.awaitAck(ctx, stream, conn, m); err != nil {
-		if !silent.keep(stream, err) {
+		if !unacked.add(stream, err) {
 			stream.Close()
 		}
 		return err
 	}
 	defer stream.Close()
-	return f.passOn(ctx, x, stream)
+	return f.relayResponse(ctx, x, stream)
 }
 
-// awaitAck waits for the agent to say that it has the request; one that stays silent is suspected.
+// awaitAck waits for the agent to acknowledge the request. It marks the agent as suspected if it does not do so in
+// time or the connection closes.
 func (f *Filter) awaitAck(ctx context.Context, stream *peer.Stream, conn *peer.Conn, m *membership.Member) error {
 	timeout := f.AckTimeout
 	if timeout == 0 {
 		timeout = DefaultAckTimeout
 	}
-	waiting, cancel := context.WithTimeoutCause(ctx, timeout, errSilent)
+	ackCtx, cancel := context.WithTimeoutCause(ctx, timeout, errAckTimeout)
 	defer cancel()
-	ack, err := readAck(waiting, stream)
-	if errors.Is(err, errSilent) || errors.Is(err, peer.ErrClosed) {
+	ack, err := readAck(ackCtx, stream)
+	if errors.Is(err, errAckTimeout) || errors.Is(err, peer.ErrClosed) {
 		m.Suspect(f.Node.Clock.Now())
 	}
 	if err != nil {
 		return err
 	}
-	f.learn(conn, m, ack)
+	f.applyAck(conn, m, ack)
 	return nil
 }
 
-// readAck reads an agent's word that it has the request.
+// readAck reads an agent's acknowledgement of the request.
 func readAck(ctx context.Context, stream *peer.Stream) (fleet.Ack, error) {
 	part, err := stream.Next(ctx)
 	if err != nil {
@@ -121,18 +122,19 @@
 	return peer.Decode[fleet.Ack](data)
 }
 
-// learn takes from an acknowledgement how loaded the agent is, and whether its copy of the rows goes further.
-func (f *Filter) learn(conn *peer.Conn, m *membership.Member, ack fleet.Ack) {
+// applyAck stores the load hint in the acknowledgement, and requests missing changes if the agent's copy of the rows
+// is newer.
+func (f *Filter) applyAck(conn *peer.Conn, m *membership.Member, ack fleet.Ack) {
 	hint := ack.Hint
 	hint.ReceivedAt = f.Node.Clock.Now()
 	m.SetLoadHint(hint)
 	f.Node.Spread.CatchUp(conn, ack.Mark)
 }
 
-// passOn gives the answer to the caller: a streamed one as it comes, any other once it is whole, so that it can
-// still be tried again until then.
-func (f *Filter) passOn(ctx context.Context, x *rillreach.Exchange, stream *peer.Stream) error {
-	w := answerWriter{x: x, now: f.Node.Clock.Now}
+// relayResponse relays the response to the caller. A streamed response is relayed as it arrives, any other one once
+// it is complete, so that the request can be retried until then.
+func (f *Filter) relayResponse(ctx context.Context, x *rillreach.Exchange, stream *peer.Stream) error {
+	w := responseWriter{x: x, now: f.Node.Clock.Now}
 	for {
 		part, err := stream.Next(ctx)
 		if errors.Is(err, io.EOF) {
@@ -141,7 +143,7 @@
 		if err != nil {
 			return err
 		}
-		if err := w.take(part); err != nil {
+		if err := w.writePart(part); err != nil {
 			return err
 		}
 	}
--- a/filter/dispatch/believe.go
+++ b/filter/dispatch/believe.go
@@ -5,8 +5,9 @@
 	"github.com/rillreach/rillreach/membership"
 )
 
-// believe takes over what a refusal says of the agent itself, for the requests that come after: that it leaves, or for how long it is full.
-func (f *Filter) believe(m *membership.Member, refusal *rillreach.Refusal) {
+// applyRefusal records what a refusal reveals about the agent, so that later requests avoid it: that it is leaving,
+// or for how long it is overloaded.
+func (f *Filter) applyRefusal(m *membership.Member, refusal *rillreach.Refusal) {
 	if refusal.Outcome != rillreach.OutcomeNotRun {
 		return
 	}
--- a/filter/dispatch/believe_test.go
+++ b/filter/dispatch/believe_test.go
@@ -12,8 +12,8 @@
 	"github.com/rillreach/rillreach/membership"
 )
 
-// askedFirst is the agent that the next request of the fleet's conversation is sent to first; it answers.
-func (f *smallFleet) askedFirst(t *testing.T) rillreach.InstanceID {
+// firstAgentTried sends a request of the test's conversation, which the first agent answers, and returns that agent.
+func (f *testFleet) firstAgentTried(t *testing.T) rillreach.InstanceID {
 	t.Helper()
 	var first rillreach.InstanceID
 	require.NoError(t, f.tryAgents(t.Context(), f.x, func(m *membership.Member, _ int) error {
@@ -23,8 +23,9 @@
 	return first
 }
 
-// refuseFirst has a request refused by the agent that it is sent to first, and answered by the next.
-func (f *smallFleet) refuseFirst(t *testing.T, refusal *rillreach.Refusal) (first rillreach.InstanceID) {
+// refuseAtFirstAgent sends a request that the first agent refuses and the next one answers, and returns the first
+// agent.
+func (f *testFleet) refuseAtFirstAgent(t *testing.T, refusal *rillreach.Refusal) (first rillreach.InstanceID) {
 	t.Helper()
 	require.NoError(t, f.tryAgents(t.Context(), f.x, func(m *membership.Member, attempt int) error {
 		if attempt > 1 {
@@ -36,32 +37,32 @@
 	return first
 }
 
-// TestRefusalHoldsForLaterRequests: agents that had said that they leave or are full were asked first by the next request, too.
-func TestRefusalHoldsForLaterRequests(t *testing.T) {
-	const full = 2 * time.Second
-	t.Run("an agent that leaves is asked no more", func(t *testing.T) {
+// An agent that refused a request because it was leaving or overloaded was still the first choice for the next request.
+func TestLaterRequestsAvoidRefusingAgent(t *testing.T) {
+	const retryAfter = 2 * time.Second
+	t.Run("a leaving agent gets no more requests", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newSmallFleet(t, 2)
-			home := f.refuseFirst(t, rillreach.NotRun(rillreach.ReasonLeaving, "agent is leaving"))
-			assert.NotEqual(t, home, f.askedFirst(t))
+			f := newTestFleet(t, 2)
+			first := f.refuseAtFirstAgent(t, rillreach.NotRun(rillreach.ReasonLeaving, "agent is leaving"))
+			assert.NotEqual(t, first, f.firstAgentTried(t))
 			time.Sleep(time.Hour)
-			assert.NotEqual(t, home, f.askedFirst(t))
+			assert.NotEqual(t, first, f.firstAgentTried(t))
 		})
 	})
-	t.Run("one that is full is asked again once it has room", func(t *testing.T) {
+	t.Run("an overloaded agent gets requests again after the retry time", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newSmallFleet(t, 2)
-			home := f.refuseFirst(t, rillreach.NotRun(rillreach.ReasonOverload, "queue is full").WithRetryAfter(full))
-			assert.NotEqual(t, home, f.askedFirst(t))
-			time.Sleep(full)
-			assert.Equal(t, home, f.askedFirst(t))
+			f := newTestFleet(t, 2)
+			first := f.refuseAtFirstAgent(t, rillreach.NotRun(rillreach.ReasonOverload, "queue is full").WithRetryAfter(retryAfter))
+			assert.NotEqual(t, first, f.firstAgentTried(t))
+			time.Sleep(retryAfter)
+			assert.Equal(t, first, f.firstAgentTried(t))
 		})
 	})
-	t.Run("a refusal that speaks of the request alone is held against nobody", func(t *testing.T) {
+	t.Run("a refusal for a reason of the request does not affect the agent", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newSmallFleet(t, 2)
-			home := f.refuseFirst(t, rillreach.NotRun(rillreach.ReasonDeadline, "deadline has passed").WithRetryAfter(full))
-			assert.Equal(t, home, f.askedFirst(t))
+			f := newTestFleet(t, 2)
+			first := f.refuseAtFirstAgent(t, rillreach.NotRun(rillreach.ReasonDeadline, "deadline has passed").WithRetryAfter(retryAfter))
+			assert.Equal(t, first, f.firstAgentTried(t))
 		})
 	})
 }
--- a/filter/dispatch/choose.go
+++ b/filter/dispatch/choose.go
@@ -12,41 +12,43 @@
 )
 
 const (
-	candidateCount = 4
-	comeBackAfter  = time.Second
+	// maxCandidates is the number of untried agents that are compared for a request.
+	maxCandidates     = 4
+	defaultRetryAfter = time.Second
 
-	// newcomerWait is how long a request waits at the most for an agent that is not known yet: as long as its caller would
-	// otherwise be told to stay away. It is five of the pauses that a watcher makes between two watches (controller/spread).
-	newcomerWait = comeBackAfter
-	newcomerPoll = 20 * time.Millisecond
+	// discoveryTimeout is how long a request waits for an agent that is not known yet. It is the time after which the
+	// caller would otherwise be told to retry, and five times the pause between two watches (watchGap in
+	// controller/spread).
+	discoveryTimeout      = defaultRetryAfter
+	discoveryPollInterval = 20 * time.Millisecond
 )
 
-// choose decides on the agent for the next attempt, and logs the decision.
+// choose chooses the agent for the next attempt and logs the decision.
 func (f *Filter) choose(x *rillreach.Exchange, tried []rillreach.InstanceID, attempt int) (*membership.Member, error) {
 	req := &x.Request
 	side := route.Side(req.Row.Weights, req.Conversation)
-	m, choice, count := f.chooseOn(req, side, tried)
+	m, choice, count := f.chooseOnSide(req, side, tried)
 	if other, ok := route.FallbackSide(req.Row.Weights, side); m == nil && ok {
 		side = other
-		m, choice, count = f.chooseOn(req, side, tried)
+		m, choice, count = f.chooseOnSide(req, side, tried)
 	}
 	if m == nil {
-		return nil, rillreach.NotRun(rillreach.ReasonNoBackend, "no backend server is there for the request").WithRetryAfter(comeBackAfter)
+		return nil, rillreach.NotRun(rillreach.ReasonNoBackend, "no backend server is there for the request").WithRetryAfter(defaultRetryAfter)
 	}
 	f.Log.Info("route", "decision", choice.Reason, "request", req.ID, "account", req.Account, "model", req.Row.Model,
 		"version", req.Row.Version, "side", side, "chosen", m.ID, "candidates", count, "attempt", attempt)
 	return m, nil
 }
 
-// awaitNewcomer chooses again and again until there is an agent to choose. Each wait has a retry spent on it, so that the
-// budget bounds how many requests wait.
-func (f *Filter) awaitNewcomer(ctx context.Context, x *rillreach.Exchange, tried []rillreach.InstanceID, attempt int) (*membership.Member, error) {
+// awaitNewAgent waits up to discoveryTimeout until an agent can be chosen. Every wait is preceded by a retry that was
+// taken from the budget, so the budget also limits how many requests wait.
+func (f *Filter) awaitNewAgent(ctx context.Context, x *rillreach.Exchange, tried []rillreach.InstanceID, attempt int) (*membership.Member, error) {
 	f.Log.Info("route", "decision", "await-newcomer", "request", x.Request.ID, "account", x.Request.Account,
-		"model", x.Request.Row.Model, "tried", len(tried), "attempt", attempt, "wait", newcomerWait.String())
-	ctx, cancel := context.WithTimeout(ctx, newcomerWait)
+		"model", x.Request.Row.Model, "tried", len(tried), "attempt", attempt, "wait", discoveryTimeout.String())
+	ctx, cancel := context.WithTimeout(ctx, discoveryTimeout)
 	defer cancel()
 	for {
-		pause.For(ctx, newcomerPoll)
+		pause.For(ctx, discoveryPollInterval)
 		m, err := f.choose(x, tried, attempt)
 		if err == nil || ctx.Err() != nil {
 			return m, err
@@ -54,14 +56,14 @@
 	}
 }
 
-func (f *Filter) chooseOn(req *rillreach.Request, side rillreach.Side, tried []rillreach.InstanceID) (*membership.Member, route.Choice, int) {
-	members := f.Node.Members.Group(groupOf(req, side))
-	ranked := route.Rank(req.Conversation, len(members), candidateCount+len(tried), func(i int) uint64 { return members[i].PlacementHash })
-	var room [route.MaxRanked]route.Candidate
-	candidates := room[:ranked.Len()]
+func (f *Filter) chooseOnSide(req *rillreach.Request, side rillreach.Side, tried []rillreach.InstanceID) (*membership.Member, route.Choice, int) {
+	members := f.Node.Members.Group(memberGroup(req, side))
+	ranked := route.Rank(req.Conversation, len(members), maxCandidates+len(tried), func(i int) uint64 { return members[i].PlacementHash })
+	var buf [route.MaxRanked]route.Candidate
+	candidates := buf[:ranked.Len()]
 	for rank := range candidates {
 		m := members[ranked.At(rank)]
-		candidates[rank] = f.candidate(req, m)
+		candidates[rank] = f.newCandidate(req, m)
 		candidates[rank].Home = rank == 0
 		candidates[rank].Avoid = candidates[rank].Avoid || slices.Contains(tried, m.ID)
 	}
@@ -72,8 +74,9 @@
 	return members[ranked.At(choice.Index)], choice, len(candidates)
 }
 
-// candidate is what is known of an agent: its last hint, aged by the time since.
-func (f *Filter) candidate(req *rillreach.Request, m *membership.Member) route.Candidate {
+// newCandidate returns an agent as a candidate for the request. The queue wait in its last load hint is reduced by
+// the age of the hint.
+func (f *Filter) newCandidate(req *rillreach.Request, m *membership.Member) route.Candidate {
 	hint := m.LoadHint()
 	c := route.Candidate{
 		QueueWait:    max(hint.QueueWait-f.Node.Clock.Now().Sub(hint.ReceivedAt), 0),
@@ -89,7 +92,7 @@
 	return c
 }
 
-func groupOf(req *rillreach.Request, side rillreach.Side) membership.Group {
+func memberGroup(req *rillreach.Request, side rillreach.Side) membership.Group {
 	if req.Service != "" {
 		return membership.Group{Role: rillreach.RoleAgent, Side: side, Service: req.Service}
 	}
--- a/filter/dispatch/choose_test.go
+++ b/filter/dispatch/choose_test.go
@@ -16,8 +16,8 @@
 	"github.com/rillreach/rillreach/node"
 )
 
-// fleetFilter knows 4,200 agents before the engines of 37 models.
-func fleetFilter(tb testing.TB) *Filter {
+// newLargeFleetFilter returns a filter that knows 4,200 agents, whose engines serve 37 models.
+func newLargeFleetFilter(tb testing.TB) *Filter {
 	tb.Helper()
 	members := membership.New()
 	for i := range 4200 {
@@ -32,42 +32,42 @@
 	return &Filter{Log: logr.Discard(), Node: &node.Node{Members: members, Clock: rillreach.ClockFunc(time.Now)}}
 }
 
-func promptFor(model string) *rillreach.Request {
+func newPromptRequest(model string) *rillreach.Request {
 	return &rillreach.Request{
 		Row: rillreach.Row{Model: rillreach.ModelID(model), Version: "v1", Weights: rillreach.Weights{Old: 100}}, Tokens: 1000, Conversation: 42,
 	}
 }
 
-func TestChoosing(t *testing.T) {
-	f := fleetFilter(t)
-	t.Run("among 113 agents of 4,200 allocates nothing", func(t *testing.T) {
-		req := promptFor("model-3")
-		assert.Zero(t, testing.AllocsPerRun(100, func() { f.chooseOn(req, rillreach.SideOld, nil) }))
+func TestChooseOnSide(t *testing.T) {
+	f := newLargeFleetFilter(t)
+	t.Run("a choice among 113 of 4,200 agents does not allocate", func(t *testing.T) {
+		req := newPromptRequest("model-3")
+		assert.Zero(t, testing.AllocsPerRun(100, func() { f.chooseOnSide(req, rillreach.SideOld, nil) }))
 	})
-	t.Run("a conversation goes to the same agent again", func(t *testing.T) {
-		first, _, _ := f.chooseOn(promptFor("model-3"), rillreach.SideOld, nil)
-		again, _, _ := f.chooseOn(promptFor("model-3"), rillreach.SideOld, nil)
+	t.Run("requests of a conversation go to the same agent", func(t *testing.T) {
+		first, _, _ := f.chooseOnSide(newPromptRequest("model-3"), rillreach.SideOld, nil)
+		again, _, _ := f.chooseOnSide(newPromptRequest("model-3"), rillreach.SideOld, nil)
 		assert.Equal(t, first.ID, again.ID)
 	})
 	t.Run("an agent that was tried is not chosen again", func(t *testing.T) {
-		first, _, _ := f.chooseOn(promptFor("model-3"), rillreach.SideOld, nil)
-		next, _, _ := f.chooseOn(promptFor("model-3"), rillreach.SideOld, []rillreach.InstanceID{first.ID})
+		first, _, _ := f.chooseOnSide(newPromptRequest("model-3"), rillreach.SideOld, nil)
+		next, _, _ := f.chooseOnSide(newPromptRequest("model-3"), rillreach.SideOld, []rillreach.InstanceID{first.ID})
 		assert.NotEqual(t, first.ID, next.ID)
 	})
 	t.Run("a leaving agent is not chosen", func(t *testing.T) {
-		first, _, _ := f.chooseOn(promptFor("model-5"), rillreach.SideOld, nil)
+		first, _, _ := f.chooseOnSide(newPromptRequest("model-5"), rillreach.SideOld, nil)
 		f.Node.Members.MarkLeaving(first.ID, first.Incarnation)
-		next, _, _ := f.chooseOn(promptFor("model-5"), rillreach.SideOld, nil)
+		next, _, _ := f.chooseOnSide(newPromptRequest("model-5"), rillreach.SideOld, nil)
 		assert.NotEqual(t, first.ID, next.ID)
 	})
-	t.Run("a loaded home is passed over for a free agent", func(t *testing.T) {
-		first, _, _ := f.chooseOn(promptFor("model-7"), rillreach.SideOld, nil)
+	t.Run("a conversation's first agent is not chosen if it has a queue", func(t *testing.T) {
+		first, _, _ := f.chooseOnSide(newPromptRequest("model-7"), rillreach.SideOld, nil)
 		first.SetLoadHint(membership.LoadHint{QueueWait: 5 * time.Second, ReceivedAt: time.Now()})
-		next, _, _ := f.chooseOn(promptFor("model-7"), rillreach.SideOld, nil)
+		next, _, _ := f.chooseOnSide(newPromptRequest("model-7"), rillreach.SideOld, nil)
 		assert.NotEqual(t, first.ID, next.ID)
 	})
-	t.Run("a side without weight gets nothing, not even when its own has nobody", func(t *testing.T) {
-		x := &rillreach.Exchange{Request: *promptFor("model-3")}
+	t.Run("a side without weight gets no requests even if the other side has no agents", func(t *testing.T) {
+		x := &rillreach.Exchange{Request: *newPromptRequest("model-3")}
 		x.Request.Row.Weights = rillreach.Weights{New: 100}
 		_, err := f.choose(x, nil, 1)
 		var refusal *rillreach.Refusal
@@ -78,10 +78,10 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	f := fleetFilter(b)
-	req := promptFor("model-3")
+	f := newLargeFleetFilter(b)
+	req := newPromptRequest("model-3")
 	b.ReportAllocs()
 	for b.Loop() {
-		f.chooseOn(req, rillreach.SideOld, nil)
+		f.chooseOnSide(req, rillreach.SideOld, nil)
 	}
 }
--- a/filter/dispatch/dispatch.go
+++ b/filter/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch is the filter that chooses an agent for a request, sends it there, passes the answer back, and
-// tries again where that is allowed.
+// Package dispatch implements the filter that chooses an agent for a request, sends the request to it, relays the
+// response, and retries if that is allowed.
 package dispatch
 
 import (
@@ -16,52 +16,52 @@
 	"github.com/rillreach/rillreach/retry"
 )
 
-// DefaultAckTimeout is how long an agent may take to say that it has a request.
+// DefaultAckTimeout is the default time within which an agent must acknowledge a request.
 const DefaultAckTimeout = 2 * time.Second
 
 // Filter sends requests to agents.
 type Filter struct {
-	// Node is the entry's common part.
+	// Node provides the entry's view of the fleet and its connections.
 	Node *node.Node
-	// Budget bounds the retries.
+	// Budget limits retries.
 	Budget *retry.Budget
 	// Signer signs and verifies tickets.
 	Signer once.Signer
-	// AckTimeout is how long an agent may take to say that it has a request; zero means the default.
+	// AckTimeout is the time within which an agent must acknowledge a request. Zero means DefaultAckTimeout.
 	AckTimeout time.Duration
-	// Log takes one line for each decision.
+	// Log receives one line for each decision.
 	Log logr.Logger
 }
 
-// Name is the step's name.
+// Name returns the filter's name.
 func (*Filter) Name() string { return "dispatch" }
 
-// Run has the request answered, or gives the refusal that is final.
+// Run sends the request to an agent and relays the response, or returns the final refusal.
 func (f *Filter) Run(ctx context.Context, x *rillreach.Exchange) error {
-	ctx, cancel := context.WithDeadlineCause(ctx, f.wallDeadline(x), errLate)
+	ctx, cancel := context.WithDeadlineCause(ctx, f.contextDeadline(x), errDeadlineExceeded)
 	defer cancel()
 	if x.Request.AtMostOnce {
-		return f.runOnce(ctx, x)
+		return f.runAtMostOnce(ctx, x)
 	}
-	return f.runRepeatable(ctx, x)
+	return f.runIdempotent(ctx, x)
 }
 
-var errLate = rillreach.MayHaveRun(rillreach.ReasonDeadline, "deadline passed before the answer was whole")
+var errDeadlineExceeded = rillreach.MayHaveRun(rillreach.ReasonDeadline, "deadline passed before the answer was whole")
 
-// wallDeadline is the request's deadline on the clock that contexts use.
-func (f *Filter) wallDeadline(x *rillreach.Exchange) time.Time {
+// contextDeadline converts the request's deadline to the system clock, which contexts use.
+func (f *Filter) contextDeadline(x *rillreach.Exchange) time.Time {
 	return time.Now().Add(x.Request.Deadline.Sub(f.Node.Clock.Now()))
 }
 
-// runRepeatable has a request answered that may run more than once.
-func (f *Filter) runRepeatable(ctx context.Context, x *rillreach.Exchange) error {
-	silent := &silentAgents{}
-	defer silent.close()
+// runIdempotent processes a request that may run more than once.
+func (f *Filter) runIdempotent(ctx context.Context, x *rillreach.Exchange) error {
+	unacked := &unackedStreams{}
+	defer unacked.close()
 	err := f.tryAgents(ctx, x, func(m *membership.Member, attempt int) error {
-		return f.attempt(ctx, x, m, f.message(x, attempt), silent)
+		return f.attempt(ctx, x, m, f.newDispatch(x, attempt), unacked)
 	})
 	if err != nil {
-		err = f.awaitSilent(ctx, x, silent, err)
+		err = f.awaitUnacked(ctx, x, unacked, err)
 	}
 	if err == nil {
 		f.Budget.RecordSuccess()
@@ -69,45 +69,45 @@
 	return err
 }
 
-// tryAgents tries one agent after another until one has answered or no further attempt is allowed. A request that may have
-// run and that no other known agent can take waits a little for one that is not known yet: entries learn of an agent some
-// time after it is listed. One that certainly was not run is refused at once, so that its caller can come back.
+// tryAgents tries agents until one of them succeeds or no further attempt is allowed. If no known agent is left and
+// the request may have run, it waits for a new agent, because entries learn of an agent some time after it is listed.
+// If the request was certainly not run, it is refused immediately, because the caller can safely retry.
 func (f *Filter) tryAgents(ctx context.Context, x *rillreach.Exchange, try func(m *membership.Member, attempt int) error) error {
 	var tried []rillreach.InstanceID
 	mayHaveRun := false
 	for attempt := 1; ; attempt++ {
 		m, err := f.choose(x, tried, attempt)
 		if err != nil && mayHaveRun {
-			m, err = f.awaitNewcomer(ctx, x, tried, attempt)
+			m, err = f.awaitNewAgent(ctx, x, tried, attempt)
 		}
 		if err != nil {
-			return ofAll(asRefusal(err), mayHaveRun)
+			return overallRefusal(asRefusal(err), mayHaveRun)
 		}
 		if err = try(m, attempt); err == nil {
 			return nil
 		}
 		tried = append(tried, m.ID)
 		refusal := asRefusal(err)
-		f.believe(m, refusal)
+		f.applyRefusal(m, refusal)
 		mayHaveRun = mayHaveRun || refusal.Outcome == rillreach.OutcomeUnknown
-		verdict := f.decide(ctx, x, refusal, attempt)
-		f.logAttempt(x, m, attempt, refusal, verdict)
+		verdict := f.decideRetry(ctx, x, refusal, attempt)
+		f.recordFailedAttempt(x, m, attempt, refusal, verdict)
 		if verdict != retry.VerdictRetry {
-			return ofAll(refusal, mayHaveRun)
+			return overallRefusal(refusal, mayHaveRun)
 		}
 	}
 }
 
-// ofAll is the refusal of a request whose last attempt was refused: that this attempt has not run says nothing of an earlier
-// one whose outcome is unknown.
-func ofAll(last *rillreach.Refusal, mayHaveRun bool) *rillreach.Refusal {
+// overallRefusal returns the refusal of the request, given that of its last attempt and whether any attempt may have
+// run. If one may have run, the outcome is unknown even if the last attempt was not run.
+func overallRefusal(last *rillreach.Refusal, mayHaveRun bool) *rillreach.Refusal {
 	if !mayHaveRun || last.Outcome == rillreach.OutcomeUnknown {
 		return last
 	}
 	return rillreach.MayHaveRun(last.Reason, last.Message).WithRetryAfter(last.RetryAfter)
 }
 
-func (f *Filter) decide(ctx context.Context, x *rillreach.Exchange, refusal *rillreach.Refusal, attempt int) retry.Verdict {
+func (f *Filter) decideRetry(ctx context.Context, x *rillreach.Exchange, refusal *rillreach.Refusal, attempt int) retry.Verdict {
 	if ctx.Err() != nil {
 		return retry.VerdictDeadlineExceeded
 	}
@@ -120,7 +120,7 @@
 	})
 }
 
-func (f *Filter) logAttempt(x *rillreach.Exchange, m *membership.Member, attempt int, refusal *rillreach.Refusal, verdict retry.Verdict) {
+func (f *Filter) recordFailedAttempt(x *rillreach.Exchange, m *membership.Member, attempt int, refusal *rillreach.Refusal, verdict retry.Verdict) {
 	f.Node.Metrics.Attempt(string(verdict))
 	f.Log.Info("attempt failed", "decision", verdict, "reason", refusal.Reason, "outcome", refusal.Outcome,
 		"request", x.Request.ID, "account", x.Request.Account, "chosen", m.ID, "attempt", attempt, "cause", refusal.Message)
--- a/filter/dispatch/dispatch_test.go
+++ b/filter/dispatch/dispatch_test.go
@@ -19,26 +19,26 @@
 )
 
 var (
-	errDied  = rillreach.MayHaveRun(rillreach.ReasonInterrupted, "backend server broke off")
-	errFull  = rillreach.NotRun(rillreach.ReasonOverload, "queue is full")
-	errNoOne = rillreach.NotRun(rillreach.ReasonNoBackend, "backend server is out of reach")
+	errInterrupted = rillreach.MayHaveRun(rillreach.ReasonInterrupted, "backend server closed the connection")
+	errOverloaded  = rillreach.NotRun(rillreach.ReasonOverload, "queue is full")
+	errNoBackend   = rillreach.NotRun(rillreach.ReasonNoBackend, "backend server is out of reach")
 )
 
-// smallFleet knows some agents of one model, and has a caller who waits for ten minutes.
-type smallFleet struct {
+// testFleet is a filter that knows a few agents of one model, and a request with a deadline in ten minutes.
+type testFleet struct {
 	*Filter
-	x     *rillreach.Exchange
-	tries int
+	x        *rillreach.Exchange
+	attempts int
 }
 
-func newSmallFleet(t *testing.T, agents int) *smallFleet {
+func newTestFleet(t *testing.T, agents int) *testFleet {
 	t.Helper()
-	f := &smallFleet{
+	f := &testFleet{
 		Filter: &Filter{
 			Log: logr.Discard(), Budget: &retry.Budget{},
 			Node: &node.Node{Members: membership.New(), Clock: rillreach.ClockFunc(time.Now)},
 		},
-		x: &rillreach.Exchange{Request: *promptFor("m")},
+		x: &rillreach.Exchange{Request: *newPromptRequest("m")},
 	}
 	f.x.Request.Deadline = time.Now().Add(10 * time.Minute)
 	for i := range agents {
@@ -47,26 +47,26 @@
 	return f
 }
 
-func (f *smallFleet) announce(i int) {
+func (f *testFleet) announce(i int) {
 	f.Node.Members.Upsert(rillreach.Instance{
 		ID: rillreach.InstanceID(fmt.Sprint("agent-", i)), Role: rillreach.RoleAgent, Incarnation: "1",
 		Address: netip.MustParseAddrPort("127.0.0.1:1"), Side: rillreach.SideOld, Model: "m", Versions: []rillreach.VersionID{"v1"},
 	})
 }
 
-// announceLater announces an agent after longer than a watcher pauses.
-func (f *smallFleet) announceLater(i int) {
+// announceDelayed announces an agent after longer than the pause between two watches (watchGap in controller/spread).
+func (f *testFleet) announceDelayed(i int) {
 	time.AfterFunc(300*time.Millisecond, func() { f.announce(i) })
 }
 
-// ask has the attempts end one after another as given, each later one with an answer.
-func (f *smallFleet) ask(ctx context.Context, ends ...error) error {
+// runAttempts processes the request. Its attempts have the given results in order, and any further attempt succeeds.
+func (f *testFleet) runAttempts(ctx context.Context, results ...error) error {
 	return f.tryAgents(ctx, f.x, func(*membership.Member, int) error {
-		f.tries++
-		if f.tries > len(ends) {
+		f.attempts++
+		if f.attempts > len(results) {
 			return nil
 		}
-		return ends[f.tries-1]
+		return results[f.attempts-1]
 	})
 }
 
@@ -77,83 +77,84 @@
 	assert.Equal(t, outcome, refusal.Outcome, refusal.Message)
 }
 
-func TestRefusalCoversAllAttempts(t *testing.T) {
+func TestFinalRefusalCoversAllAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
 		agents  int
-		ends    []error
+		results []error
 		outcome rillreach.Outcome
 	}{
-		"none has run it":                                      {2, []error{errFull, errNoOne}, rillreach.OutcomeNotRun},
-		"one may have run it, then nobody is left":             {1, []error{errDied}, rillreach.OutcomeUnknown},
-		"one may have run it, the next has not":                {2, []error{errDied, errNoOne}, rillreach.OutcomeUnknown},
-		"one has not run it, the next may have":                {2, []error{errNoOne, errDied}, rillreach.OutcomeUnknown},
-		"one may have run it, and no further attempt is given": {5, []error{errDied, errFull, errFull, errFull}, rillreach.OutcomeUnknown},
+		"no attempt was run":                                  {2, []error{errOverloaded, errNoBackend}, rillreach.OutcomeNotRun},
+		"one may have run, then no agent is left":             {1, []error{errInterrupted}, rillreach.OutcomeUnknown},
+		"one may have run, the next was not run":              {2, []error{errInterrupted, errNoBackend}, rillreach.OutcomeUnknown},
+		"one was not run, the next may have run":              {2, []error{errNoBackend, errInterrupted}, rillreach.OutcomeUnknown},
+		"one may have run, and no further attempt is allowed": {5, []error{errInterrupted, errOverloaded, errOverloaded, errOverloaded}, rillreach.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				assertRefusal(t, newSmallFleet(t, c.agents).ask(t.Context(), c.ends...), c.outcome)
+				assertRefusal(t, newTestFleet(t, c.agents).runAttempts(t.Context(), c.results...), c.outcome)
 			})
 		})
 	}
 }
 
-// TestAgentThatIsNotKnownYet has the entry learn of an agent only after all others have failed; time is virtual.
-func TestAgentThatIsNotKnownYet(t *testing.T) {
-	t.Run("answers what the only known agent has broken off", func(t *testing.T) {
+// A request that may have run failed because the entry learned of an agent only after all others had failed. Time is
+// virtual.
+func TestWaitForUndiscoveredAgent(t *testing.T) {
+	t.Run("a new agent gets the request after the only known agent was interrupted", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newSmallFleet(t, 1)
-			f.announceLater(9)
-			require.NoError(t, f.ask(t.Context(), errDied))
-			assert.Equal(t, 2, f.tries)
+			f := newTestFleet(t, 1)
+			f.announceDelayed(9)
+			require.NoError(t, f.runAttempts(t.Context(), errInterrupted))
+			assert.Equal(t, 2, f.attempts)
 		})
 	})
-	t.Run("answers what one agent has broken off and another could not take, in either order", func(t *testing.T) {
-		for _, ends := range [][]error{{errDied, errNoOne}, {errNoOne, errDied}} {
+	t.Run("a new agent gets the request after one agent was interrupted and another was unreachable, in either order", func(t *testing.T) {
+		for _, results := range [][]error{{errInterrupted, errNoBackend}, {errNoBackend, errInterrupted}} {
 			synctest.Test(t, func(t *testing.T) {
-				f := newSmallFleet(t, 2)
-				f.announceLater(9)
-				require.NoError(t, f.ask(t.Context(), ends...))
-				assert.Equal(t, 3, f.tries)
+				f := newTestFleet(t, 2)
+				f.announceDelayed(9)
+				require.NoError(t, f.runAttempts(t.Context(), results...))
+				assert.Equal(t, 3, f.attempts)
 			})
 		}
 	})
-	t.Run("is asked at once where it is known before", func(t *testing.T) {
+	t.Run("no wait if another agent is already known", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, start := newSmallFleet(t, 3), time.Now()
-			require.NoError(t, f.ask(t.Context(), errDied, errNoOne))
+			f, start := newTestFleet(t, 3), time.Now()
+			require.NoError(t, f.runAttempts(t.Context(), errInterrupted, errNoBackend))
 			assert.Zero(t, time.Since(start))
 		})
 	})
-	t.Run("is not waited for by a request that certainly was not run", func(t *testing.T) {
+	t.Run("no wait if the request was certainly not run", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, start := newSmallFleet(t, 2), time.Now()
-			assertRefusal(t, f.ask(t.Context(), errFull, errNoOne), rillreach.OutcomeNotRun)
+			f, start := newTestFleet(t, 2), time.Now()
+			assertRefusal(t, f.runAttempts(t.Context(), errOverloaded, errNoBackend), rillreach.OutcomeNotRun)
 			assert.Zero(t, time.Since(start))
 		})
 	})
-	t.Run("is not waited for without a retry to spend", func(t *testing.T) {
+	t.Run("no wait if the retry budget is used up", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, start := newSmallFleet(t, 1), time.Now()
+			f, start := newTestFleet(t, 1), time.Now()
 			for f.Budget.TrySpend() {
 				continue
 			}
-			assertRefusal(t, f.ask(t.Context(), errDied), rillreach.OutcomeUnknown)
+			assertRefusal(t, f.runAttempts(t.Context(), errInterrupted), rillreach.OutcomeUnknown)
 			assert.Zero(t, time.Since(start))
 		})
 	})
-	t.Run("is waited for no longer than the caller would be told to stay away", func(t *testing.T) {
+	t.Run("the wait ends after the time that a caller would be told to wait before a retry", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			f, start := newSmallFleet(t, 1), time.Now()
-			assertRefusal(t, f.ask(t.Context(), errDied), rillreach.OutcomeUnknown)
-			assert.Equal(t, comeBackAfter, time.Since(start))
+			f, start := newTestFleet(t, 1), time.Now()
+			assertRefusal(t, f.runAttempts(t.Context(), errInterrupted), rillreach.OutcomeUnknown)
+			assert.Equal(t, defaultRetryAfter, time.Since(start))
 		})
 	})
-	t.Run("is not waited for by a caller who has gone", func(t *testing.T) {
+	t.Run("the wait ends if the caller disconnects", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			f, start := newSmallFleet(t, 1), time.Now()
+			f, start := newTestFleet(t, 1), time.Now()
 			time.AfterFunc(100*time.Millisecond, cancel)
-			assertRefusal(t, f.ask(ctx, errDied), rillreach.OutcomeUnknown)
+			assertRefusal(t, f.runAttempts(ctx, errInterrupted), rillreach.OutcomeUnknown)
 			assert.Equal(t, 100*time.Millisecond, time.Since(start))
 		})
 	})
--- a/filter/dispatch/once.go
+++ b/filter/dispatch/once.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// TicketLifetime is how long a ticket may be used.
+	// TicketLifetime is how long a ticket is valid.
 	TicketLifetime = 15 * time.Minute
 
-	sameOwnerPause = 100 * time.Millisecond
+	ownerRetryDelay = 100 * time.Millisecond
 )
 
-// runOnce has a request answered that must not run twice.
-func (f *Filter) runOnce(ctx context.Context, x *rillreach.Exchange) error {
+// runAtMostOnce processes a request that must not run twice.
+func (f *Filter) runAtMostOnce(ctx context.Context, x *rillreach.Exchange) error {
 	if x.Request.IdempotencyKey == "" && x.Request.Ticket == "" {
-		return f.runFresh(ctx, x)
+		return f.runWithNewTicket(ctx, x)
 	}
-	m, err := f.owner(x)
+	m, err := f.ownerMember(x)
 	if err != nil {
 		return err
 	}
 	return f.runAtOwner(ctx, x, m, false)
 }
 
-// runFresh mints a ticket for a request without an identity and hands it to the caller with whatever the answer is. As
-// long as nobody has been sent the ticket's request, another ticket may take its place.
-func (f *Filter) runFresh(ctx context.Context, x *rillreach.Exchange) error {
+// runWithNewTicket issues a ticket for a request that has neither a key nor a ticket. The caller receives the ticket
+// with the response or refusal. If the request was certainly not run with the ticket, it is retried with a new one.
+func (f *Filter) runWithNewTicket(ctx context.Context, x *rillreach.Exchange) error {
 	return f.tryAgents(ctx, x, func(m *membership.Member, _ int) error {
 		ticket, err := f.IssueTicket(x.Request.Account, x.Request.Service, m)
 		if err != nil {
 			return err
 		}
-		return f.runWithTicket(ctx, x, m, ticket)
+		return f.sendWithNewTicket(ctx, x, m, ticket)
 	})
 }
 
-// runWithTicket sends a request with a ticket that nobody else has been sent yet.
-func (f *Filter) runWithTicket(ctx context.Context, x *rillreach.Exchange, m *membership.Member, ticket string) error {
+// sendWithNewTicket sends a request with a ticket that has not been used before.
+func (f *Filter) sendWithNewTicket(ctx context.Context, x *rillreach.Exchange, m *membership.Member, ticket string) error {
 	x.Writer.Header().Set(rillreach.HeaderTicket, ticket)
 	x.Request.Ticket = ticket
 	defer func() { x.Request.Ticket = "" }()
-	refusal := f.tryOwner(ctx, x, m, 1)
+	refusal := f.attemptAtOwner(ctx, x, m, 1)
 	switch {
 	case refusal == nil:
 		return nil
@@ -62,47 +62,47 @@
 	}
 }
 
-// runAtOwner asks the one agent that may run the request, more than once if need be: it runs the request just once,
-// and gives the outcome to everyone who asks. That a later attempt was not run says nothing of an earlier one whose
-// outcome is unknown, unless it is the owner's own word.
-func (f *Filter) runAtOwner(ctx context.Context, x *rillreach.Exchange, m *membership.Member, unknownBefore bool) error {
-	refusal, unknown := f.askOwner(ctx, x, m)
+// runAtOwner sends the request to its owner, the only agent that may run it, and retries if necessary. The owner runs
+// it once and returns the same outcome to every attempt. If an earlier attempt may have run, a refusal of a later one
+// as not run counts only if it comes from the owner.
+func (f *Filter) runAtOwner(ctx context.Context, x *rillreach.Exchange, m *membership.Member, mayHaveRunBefore bool) error {
+	refusal, mayHaveRun := f.tryOwner(ctx, x, m)
 	if refusal == nil {
 		return nil
 	}
-	return ofAll(refusal, (unknown || unknownBefore) && !refusal.FromOwner)
+	return overallRefusal(refusal, (mayHaveRun || mayHaveRunBefore) && !refusal.FromOwner)
 }
 
-// askOwner makes the attempts, and reports whether any of them ended with an unknown outcome.
-func (f *Filter) askOwner(ctx context.Context, x *rillreach.Exchange, m *membership.Member) (refusal *rillreach.Refusal, unknown bool) {
+// tryOwner makes the attempts, and reports whether the outcome of any of them is unknown.
+func (f *Filter) tryOwner(ctx context.Context, x *rillreach.Exchange, m *membership.Member) (refusal *rillreach.Refusal, mayHaveRun bool) {
 	for attempt := 1; attempt <= retry.MaxAttempts; attempt++ {
-		if refusal = f.tryOwner(ctx, x, m, attempt); refusal == nil {
+		if refusal = f.attemptAtOwner(ctx, x, m, attempt); refusal == nil {
 			return nil, false
 		}
-		f.believe(m, refusal)
-		unknown = unknown || refusal.Outcome == rillreach.OutcomeUnknown
+		f.applyRefusal(m, refusal)
+		mayHaveRun = mayHaveRun || refusal.Outcome == rillreach.OutcomeUnknown
 		if refusal.FromOwner || refusal.Reason != rillreach.ReasonInterrupted || x.ResponseStarted || ctx.Err() != nil || !f.Budget.TrySpend() {
 			break
 		}
-		pause.For(ctx, sameOwnerPause)
+		pause.For(ctx, ownerRetryDelay)
 	}
-	return refusal, unknown
+	return refusal, mayHaveRun
 }
 
-func (f *Filter) tryOwner(ctx context.Context, x *rillreach.Exchange, m *membership.Member, attempt int) *rillreach.Refusal {
-	err := f.attempt(ctx, x, m, f.message(x, attempt), nil)
+func (f *Filter) attemptAtOwner(ctx context.Context, x *rillreach.Exchange, m *membership.Member, attempt int) *rillreach.Refusal {
+	err := f.attempt(ctx, x, m, f.newDispatch(x, attempt), nil)
 	if err == nil {
 		f.Budget.RecordSuccess()
 		return nil
 	}
 	refusal := asRefusal(err)
-	f.logAttempt(x, m, attempt, refusal, "ask-owner")
+	f.recordFailedAttempt(x, m, attempt, refusal, "ask-owner")
 	return refusal
 }
 
-// owner finds the one agent that may run a request with an identity.
-func (f *Filter) owner(x *rillreach.Exchange) (*membership.Member, error) {
-	owner, err := f.ownerOf(x)
+// ownerMember returns the only agent that may run a request with a key or a ticket.
+func (f *Filter) ownerMember(x *rillreach.Exchange) (*membership.Member, error) {
+	owner, err := f.findOwner(x)
 	if err != nil {
 		return nil, err
 	}
@@ -115,24 +115,24 @@
 	return m, nil
 }
 
-func (f *Filter) ownerOf(x *rillreach.Exchange) (once.Owner, error) {
+func (f *Filter) findOwner(x *rillreach.Exchange) (once.Owner, error) {
 	req := &x.Request
 	if req.Ticket != "" {
-		return f.ownerByTicket(req)
+		return f.ownerFromTicket(req)
 	}
-	minted, err := once.ParseKey(req.IdempotencyKey)
+	issuedAt, err := once.ParseKey(req.IdempotencyKey)
 	if err != nil {
 		return once.Owner{}, rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
 	}
-	owner, verdict := f.Node.Owners.FindOwner(req.Service, minted, once.KeyHash(req.Account, req.IdempotencyKey))
+	owner, verdict := f.Node.Owners.FindOwner(req.Service, issuedAt, once.KeyHash(req.Account, req.IdempotencyKey))
 	if verdict != once.VerdictOwned {
 		return once.Owner{}, rillreach.MayHaveRun(rillreach.ReasonStaleView, "owner of the key is not certain now: "+string(verdict)).
-			WithRetryAfter(comeBackAfter)
+			WithRetryAfter(defaultRetryAfter)
 	}
 	return owner, nil
 }
 
-func (f *Filter) ownerByTicket(req *rillreach.Request) (once.Owner, error) {
+func (f *Filter) ownerFromTicket(req *rillreach.Request) (once.Owner, error) {
 	ticket, err := f.Signer.Verify(req.Ticket)
 	if err != nil {
 		return once.Owner{}, rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
@@ -143,7 +143,7 @@
 	return ticket.Owner, nil
 }
 
-// IssueTicket makes a ticket for a member.
+// IssueTicket returns a new signed ticket whose owner is the given agent.
 func (f *Filter) IssueTicket(account rillreach.AccountID, service rillreach.ServiceID, m *membership.Member) (string, error) {
 	return f.Signer.Sign(once.Ticket{
 		ID:      uuid.NewString(),
@@ -154,7 +154,7 @@
 	})
 }
 
-// ChooseAgent decides on the agent that a ticket is minted for.
+// ChooseAgent chooses the agent to issue a ticket for.
 func (f *Filter) ChooseAgent(x *rillreach.Exchange) (*membership.Member, error) {
 	return f.choose(x, nil, 1)
 }
--- a/filter/dispatch/outcome_test.go
+++ b/filter/dispatch/outcome_test.go
@@ -8,14 +8,14 @@
 	"github.com/rillreach/rillreach"
 )
 
-// TestOutcomeOfAllAttempts: the last attempt's refusal speaks of that attempt alone, the caller asks about the request.
-func TestOutcomeOfAllAttempts(t *testing.T) {
-	notRun := rillreach.NotRun(rillreach.ReasonNoBackend, "nobody is there")
-	t.Run("a request that was never run was not run", func(t *testing.T) {
-		assert.Equal(t, rillreach.OutcomeNotRun, ofAll(notRun, false).Outcome)
+// The refusal of the last attempt describes only that attempt, but the caller needs the outcome of the request.
+func TestOverallRefusal(t *testing.T) {
+	notRun := rillreach.NotRun(rillreach.ReasonNoBackend, "no backend server")
+	t.Run("not run if no attempt may have run", func(t *testing.T) {
+		assert.Equal(t, rillreach.OutcomeNotRun, overallRefusal(notRun, false).Outcome)
 	})
-	t.Run("a request that an earlier attempt may have run may have run", func(t *testing.T) {
-		got := ofAll(notRun.WithRetryAfter(5), true)
+	t.Run("unknown if an earlier attempt may have run", func(t *testing.T) {
+		got := overallRefusal(notRun.WithRetryAfter(5), true)
 		assert.Equal(t, rillreach.OutcomeUnknown, got.Outcome)
 		assert.Equal(t, rillreach.ReasonNoBackend, got.Reason)
 		assert.Equal(t, notRun.RetryAfter, got.RetryAfter)
--- a/filter/dispatch/silent_test.go
+++ b/filter/dispatch/silent_test.go
@@ -20,8 +20,9 @@
 	"github.com/rillreach/rillreach/retry"
 )
 
-// listeningFleet is an entry that knows two agents of one model, which both answer as given.
-func listeningFleet(t *testing.T, serve peer.Handler) *Filter {
+// newListeningFleet returns the filter of an entry that knows two agents of one model, which both use the given
+// handler.
+func newListeningFleet(t *testing.T, serve peer.Handler) *Filter {
 	t.Helper()
 	entry := &node.Node{
 		Self: rillreach.Instance{ID: "entry", Role: rillreach.RoleEntry, Incarnation: "1", Address: netip.MustParseAddrPort("127.0.0.1:1")},
@@ -46,8 +47,8 @@
 	return &Filter{Node: entry, Budget: &retry.Budget{}, AckTimeout: 100 * time.Millisecond, Log: logr.Discard()}
 }
 
-// sendAnswer answers a call whole.
-func sendAnswer(ctx context.Context, call *peer.Call, body string) error {
+// sendResponse sends a complete response.
+func sendResponse(ctx context.Context, call *peer.Call, body string) error {
 	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{})
 	if err != nil {
 		return err
@@ -64,25 +65,26 @@
 	return nil
 }
 
-// An agent that says nothing for a while may only stand still: it is given up once another has taken the request.
-func TestSilentAgentIsKeptUntilAnotherAnswers(t *testing.T) {
-	var asked atomic.Int64
+// An agent that does not acknowledge a request in time may only be stalled. Its response was lost if the other agents
+// refused the request.
+func TestLateAckIsUsedIfOtherAgentRefuses(t *testing.T) {
+	var calls atomic.Int64
 	refused := make(chan struct{})
-	f := listeningFleet(t, func(ctx context.Context, call *peer.Call) error {
-		if asked.Add(1) > 1 {
+	f := newListeningFleet(t, func(ctx context.Context, call *peer.Call) error {
+		if calls.Add(1) > 1 {
 			defer close(refused)
 			return rillreach.NotRun(rillreach.ReasonOverload, "queue is full")
 		}
 		select {
 		case <-refused:
-			return sendAnswer(ctx, call, "late and whole")
+			return sendResponse(ctx, call, "late and whole")
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	})
 	w := httptest.NewRecorder()
-	x := &rillreach.Exchange{Writer: w, Request: *promptFor("m")}
+	x := &rillreach.Exchange{Writer: w, Request: *newPromptRequest("m")}
 	x.Request.Deadline = time.Now().Add(10 * time.Second)
-	require.NoError(t, f.Run(t.Context(), x), "the first agent's answer was thrown away for a refusal")
+	require.NoError(t, f.Run(t.Context(), x), "the first agent's response was discarded because of a refusal")
 	assert.Equal(t, "late and whole", w.Body.String())
 }
