--- a/agent/agent.go
+++ b/agent/agent.go
@@ -92,7 +92,7 @@
 	}
 	a.keeper = &kept.Keeper{
 		Self: a.Node.Self, Engine: a.Engine, Members: a.Node.Members, Clock: a.Node.Clock, Log: a.Node.Log,
-		Stores: &blockstore.Client{HTTP: backend.NewHTTP()},
+		Stores: &blockstore.Client{HTTP: backend.NewHTTPClient()},
 		Sealer: keep.NewSealer(a.Secret),
 	}
 	if events, ok := a.Engine.(kept.EventSource); ok {
--- a/backend/client.go
+++ b/backend/client.go
@@ -15,8 +15,8 @@
 
 // Client calls one backend server.
 type Client struct {
-	// Base is the server's address, such as http://127.0.0.1:8000.
-	Base string
+	// BaseURL is the server's address, such as http://127.0.0.1:8000.
+	BaseURL string
 	// HTTP does the calls; it must not follow redirects or repeat calls. NewHTTP makes one.
 	HTTP *http.Client
 }
@@ -28,8 +28,8 @@
 
 const maxIdle = 1024
 
-// NewHTTP makes an HTTP client that passes answers on as they are and sends every call just once.
-func NewHTTP() *http.Client {
+// NewHTTPClient makes an HTTP client that passes answers on as they are and sends every call just once.
+func NewHTTPClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{}).DialContext,
@@ -43,7 +43,7 @@
 
 // Do sends one call.
 func (c *Client) Do(ctx context.Context, call rillreach.Call) (rillreach.Answer, error) {
-	target := c.Base + (&url.URL{Path: call.Path, RawQuery: call.Query}).RequestURI()
+	target := c.BaseURL + (&url.URL{Path: call.Path, RawQuery: call.Query}).RequestURI()
 	req, err := http.NewRequestWithContext(ctx, call.Method, target, bytes.NewReader(call.Body))
 	if err != nil {
 		return rillreach.Answer{}, errors.Mark(errors.Wrap(err, "make call"), ErrNotSent)
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -87,7 +87,7 @@
 }
 
 func (e *Engine) control(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, method, e.Base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, e.BaseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "make request to engine")
 	}
--- a/blockstore/client.go
+++ b/blockstore/client.go
@@ -33,12 +33,12 @@
 // ErrFull says that a store has no room.
 var ErrFull = errors.New("store is full")
 
-// Held is a block that a store has.
-type Held struct {
+// HeldBlock is a block that a store has.
+type HeldBlock struct {
 	Key   string `json:"key"`
 	Bytes int64  `json:"bytes"`
-	// Disk says that the block is on disk, and not in memory.
-	Disk bool `json:"disk"`
+	// OnDisk says that the block is on disk, and not in memory.
+	OnDisk bool `json:"disk"`
 }
 
 // LookupRequest asks which of some blocks a store has.
@@ -46,9 +46,9 @@
 	Keys []string `json:"keys"`
 }
 
-// LookupAnswer lists those it has.
-type LookupAnswer struct {
-	Held []Held `json:"held"`
+// LookupResponse lists those it has.
+type LookupResponse struct {
+	Held []HeldBlock `json:"held"`
 }
 
 // Stripe names one part of a block among all its parts.
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var answer LookupAnswer
+	var answer LookupResponse
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return nil, errors.Wrap(err, "decode lookup")
 	}
--- a/cmd/agent.go
+++ b/cmd/agent.go
@@ -50,7 +50,7 @@
 		MaxWaiting: c.Int("max-waiting"),
 		Grace:      c.Duration("grace"),
 	}
-	setBackend(a, backend.Client{Base: base, HTTP: backend.NewHTTP()}, c.String("service") == "")
+	setBackend(a, backend.Client{BaseURL: base, HTTP: backend.NewHTTPClient()}, c.String("service") == "")
 	return runWithOps(ctx, common.ops, n, a.Run)
 }
 
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -74,7 +74,7 @@
 	log.Info("listening", "for", "peers", "address", self.Address)
 	return &node.Node{
 		Self:        self,
-		Store:       &objectstore.Client{Base: s.platform},
+		Store:       &objectstore.Client{BaseURL: s.platform},
 		TLS:         certificates,
 		Metrics:     metrics,
 		Listener:    listener,
--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -75,7 +75,7 @@
 func platformFlags() []cli.Flag {
 	return []cli.Flag{
 		stringFlag("log-level", "info", "least level that is logged: debug, info or error"),
-		&cli.StringFlag{Name: "settings-file", Usage: "path of the platform's settings file", Sources: cli.EnvVars(platform.SettingsVariable)},
+		&cli.StringFlag{Name: "settings-file", Usage: "path of the platform's settings file", Sources: cli.EnvVars(platform.SettingsEnvVar)},
 		intFlag("metrics-port", defaultMetricsPort, "port for metrics on the instance's own address, under /metrics"),
 	}
 }
@@ -83,7 +83,7 @@
 // platformProcess is what the processes on the users' platform share.
 type platformProcess struct {
 	settings *deployment.Settings
-	store    *platform.Store
+	store    *platform.ObjectStoreClient
 	log      logr.Logger
 	metrics  *telemetry.Metrics
 }
@@ -118,7 +118,7 @@
 	}
 	sink := logsink.New(os.Stdout)
 	p := &platformProcess{
-		settings: s, store: platform.NewStore(s.ObjectStoreAddress), metrics: metrics,
+		settings: s, store: platform.NewObjectStoreClient(s.ObjectStoreAddress), metrics: metrics,
 		log: sink.Logger(logLevels[c.String("log-level")]).WithValues("instance", s.Name, "role", name),
 	}
 	if err := metrics.Gauge("rillreach.store.calls", "calls that were made to the object store", func() float64 { return float64(p.store.Calls.Load()) }); err != nil {
@@ -198,7 +198,7 @@
 
 func newGateway(p *platformProcess, callers, readiness net.Listener) *gateway.Gateway {
 	return &gateway.Gateway{
-		Settings: p.settings, Configs: platform.Configs(p.store), Runners: platform.Runners(p.store), Weights: platform.Weights(p.store),
+		Settings: p.settings, Configs: platform.Configs(p.store), Runners: platform.Runners(p.store), Weights: platform.DesiredWeights(p.store),
 		Evacuations: platform.Evacuations(p.store),
 		Callers:     callers, Readiness: readiness, Log: p.log, Metrics: p.metrics,
 	}
@@ -213,8 +213,8 @@
 		return err
 	}
 	agent := &sidecar.Sidecar{
-		Settings: p.settings, Listener: listener, Configs: platform.Configs(p.store), Runners: platform.Runners(p.store), Weights: platform.Weights(p.store),
-		Runner: platform.NewRunner(p.settings.RunnerAddress), Log: p.log, Metrics: p.metrics,
+		Settings: p.settings, Listener: listener, Configs: platform.Configs(p.store), Runners: platform.Runners(p.store), Weights: platform.DesiredWeights(p.store),
+		Runner: platform.NewRunnerClient(p.settings.RunnerAddress), Log: p.log, Metrics: p.metrics,
 	}
 	return agent.Run(ctx)
 }
--- a/cmd/standin_store.go
+++ b/cmd/standin_store.go
@@ -62,7 +62,7 @@
 	announceListening(c, listener)
 	log := newLog(c)
 	group := pool.New().WithContext(ctx).WithCancelOnError()
-	group.Go((&register.Controller{Self: self, Store: &objectstore.Client{Base: base}, Log: log}).Run)
+	group.Go((&register.Controller{Self: self, Store: &objectstore.Client{BaseURL: base}, Log: log}).Run)
 	group.Go(func(ctx context.Context) error {
 		return standin.Serve(ctx, listener, store.New(int64(c.Int("store-memory")), int64(c.Int("store-disk"))))
 	})
--- a/cmd/table.go
+++ b/cmd/table.go
@@ -39,5 +39,5 @@
 	if err := faults.Err(); err != nil {
 		return nil, codedError{error: err, code: ExitUsage}
 	}
-	return &objectstore.Client{Base: base}, nil
+	return &objectstore.Client{BaseURL: base}, nil
 }
--- a/controller/spread/fleet_test.go
+++ b/controller/spread/fleet_test.go
@@ -148,7 +148,7 @@
 	f := &testFleet{t: tb, platform: standin.New(), network: newNetwork(), zones: zones}
 	server := httptest.NewServer(f.platform)
 	tb.Cleanup(server.Close)
-	f.store = &objectstore.Client{Base: server.URL}
+	f.store = &objectstore.Client{BaseURL: server.URL}
 	f.write("row-0", "first")
 	listeners := make([]net.Listener, count)
 	for i := range listeners {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	f.store = &objectstore.Client{Base: "http://" + base.Addr().String()}
+	f.store = &objectstore.Client{BaseURL: "http://" + base.Addr().String()}
 	f.Editor = &edit.Editor{Store: f.store}
 	for _, side := range []rillreach.Side{rillreach.SideOld, rillreach.SideNew} {
 		if err := f.startSide(side); err != nil {
@@ -199,7 +199,7 @@
 		return err
 	}
 	n.Self.Model, n.Self.Versions = Model, []rillreach.VersionID{Version}
-	client := &backend.Engine{Client: backend.Client{Base: base, HTTP: backend.NewHTTP()}}
+	client := &backend.Engine{Client: backend.Client{BaseURL: base, HTTP: backend.NewHTTPClient()}}
 	f.group.Go((&agent.Agent{Node: n, Backend: client, Engine: client, Secret: []byte(secret), Slots: f.Slots, Grace: time.Nanosecond}).Run)
 	return nil
 }
@@ -216,7 +216,7 @@
 		return err
 	}
 	n.Self.Service = Service
-	client := &backend.Client{Base: "http://" + listener.Addr().String(), HTTP: backend.NewHTTP()}
+	client := &backend.Client{BaseURL: "http://" + listener.Addr().String(), HTTP: backend.NewHTTPClient()}
 	f.group.Go((&agent.Agent{Node: n, Backend: client, Secret: []byte(secret), Grace: time.Nanosecond}).Run)
 	return nil
 }
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -119,7 +119,7 @@
 	url := "http://" + entry.address("callers") + chatPath
 	request := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("x", false)) }
 	serves(t, http.StatusOK, request)
-	client := &objectstore.Client{Base: f.platform}
+	client := &objectstore.Client{BaseURL: f.platform}
 	name := rillreach.RowName("kigali", "m", "v1")
 	object, err := client.Get(t.Context(), rillreach.KindRow, name)
 	require.NoError(t, err)
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Answer is a runner's answer, with its body still to be read.
-type Answer struct {
-	// Response is the head; its body is read by Read.
-	Response *http.Response
-	// Rest is how long the runner keeps the connection, zero where it does not say; it is set before the body is read.
-	Rest time.Duration
+// Response is a runner's answer, with its body still to be read.
+type Response struct {
+	// Head is the head; its body is read by Read.
+	Head *http.Response
+	// KeepAliveTimeout is how long the runner keeps the connection, zero where it does not say; it is set before the body is read.
+	KeepAliveTimeout time.Duration
 
 	pool    *Pool
 	conn    *conn
@@ -27,8 +27,8 @@
 }
 
 // Read reads the body; io.EOF says that it is whole, any other error that it is not.
-func (a *Answer) Read(buf []byte) (int, error) {
-	n, err := a.Response.Body.Read(buf)
+func (a *Response) Read(buf []byte) (int, error) {
+	n, err := a.Head.Body.Read(buf)
 	if errors.Is(err, io.EOF) {
 		a.ended = true
 	}
@@ -36,26 +36,26 @@
 }
 
 // Close gives the connection back where it is certainly clean, and closes it otherwise.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
 	undisturbed := a.stop()
-	if a.ended && undisturbed && a.written() && !a.tainted && !a.Response.Close && a.Framed() && a.conn.reader.Buffered() == 0 {
-		a.pool.park(a.to, a.conn, a.Rest)
+	if a.ended && undisturbed && a.written() && !a.tainted && !a.Head.Close && a.Framed() && a.conn.reader.Buffered() == 0 {
+		a.pool.park(a.to, a.conn, a.KeepAliveTimeout)
 		return
 	}
 	a.pool.drop(a.to, a.conn)
 }
 
 // Framed reports that the answer tells its own end, so that one that breaks off isn't taken for a whole one.
-func (a *Answer) Framed() bool {
-	return a.Response.ContentLength >= 0 || len(a.Response.TransferEncoding) > 0
+func (a *Response) Framed() bool {
+	return a.Head.ContentLength >= 0 || len(a.Head.TransferEncoding) > 0
 }
 
 // written reports that the whole request has been written.
-func (a *Answer) written() bool {
+func (a *Response) written() bool {
 	if a.writing == nil {
 		return true
 	}
--- a/forward/call.go
+++ b/forward/call.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Call is a request as it goes to a runner, byte for byte as the caller wrote method, target and body.
-type Call struct {
+// Request is a request as it goes to a runner, byte for byte as the caller wrote method, target and body.
+type Request struct {
 	Method string
 	// Target is the path with its query, as the caller wrote it.
 	Target string
@@ -18,7 +18,7 @@
 	HasBody bool
 }
 
-func (c *Call) writeHead(w *bufio.Writer) error {
+func (c *Request) writeHead(w *bufio.Writer) error {
 	for _, text := range []string{c.Method, " ", c.Target, " HTTP/1.1\r\nHost: ", c.Host, "\r\n"} {
 		if _, err := w.WriteString(text); err != nil {
 			return err
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -58,7 +58,7 @@
 }
 
 // send writes the request; a long body goes on being written while the answer is read, and the channel tells its end.
-func (c *conn) send(call *Call) (<-chan error, error) {
+func (c *conn) send(call *Request) (<-chan error, error) {
 	w := bufio.NewWriterSize(c.Conn, writeBuffer)
 	if err := call.writeHead(w); err != nil {
 		return nil, err
@@ -113,8 +113,8 @@
 	return nil, strays, errStray
 }
 
-// SetUserTimeout bounds how long sent bytes may stay without acknowledgement before the connection breaks.
-func SetUserTimeout(c net.Conn, timeout time.Duration) error {
+// SetTCPUserTimeout bounds how long sent bytes may stay without acknowledgement before the connection breaks.
+func SetTCPUserTimeout(c net.Conn, timeout time.Duration) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
--- a/forward/ended.go
+++ b/forward/ended.go
@@ -19,9 +19,9 @@
 // before another runner is asked.
 const probeTimeout = 50 * time.Millisecond
 
-// Refuses reports that nobody listens at the address: the process there has ended, and its machine runs. A connection that is taken is kept
+// RefusesConnections reports that nobody listens at the address: the process there has ended, and its machine runs. A connection that is taken is kept
 // for the next request.
-func (p *Pool) Refuses(ctx context.Context, to netip.AddrPort) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, to netip.AddrPort) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	nc, err := p.dial(ctx, to)
--- a/forward/ended_test.go
+++ b/forward/ended_test.go
@@ -17,13 +17,13 @@
 		address := netip.MustParseAddrPort(l.Addr().String())
 		require.NoError(t, l.Close())
 		p := &Pool{}
-		assert.True(t, p.Refuses(context.Background(), address))
+		assert.True(t, p.RefusesConnections(context.Background(), address))
 		assert.Empty(t, p.open)
 	})
 	t.Run("one that listens does not, and the connection serves the next request", func(t *testing.T) {
 		s := serve(t, func(_ int, c net.Conn, id string) { say(c, whole(id, "yes")) })
 		p := &Pool{}
-		assert.False(t, p.Refuses(context.Background(), s.address))
+		assert.False(t, p.RefusesConnections(context.Background(), s.address))
 		got, err := ask(context.Background(), p, s.address, "1", "")
 		require.NoError(t, err)
 		assert.Equal(t, "yes", got)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -85,7 +85,7 @@
 
 // ask sends one call and reads the whole answer.
 func ask(ctx context.Context, p *Pool, to netip.AddrPort, id, body string) (string, error) {
-	call := &Call{Method: "POST", Target: "/a%2F//b?x=%20&&", Host: "h", Header: http.Header{idHeader: {id}}, Body: []byte(body), HasBody: true}
+	call := &Request{Method: "POST", Target: "/a%2F//b?x=%20&&", Host: "h", Header: http.Header{idHeader: {id}}, Body: []byte(body), HasBody: true}
 	answer, err := p.Do(ctx, to, 0, call, func(resp *http.Response) bool { return resp.Header.Get(idHeader) == id })
 	if err != nil {
 		return "", err
@@ -168,7 +168,7 @@
 	})
 	t.Run("a connection that rested too long is not used again", func(t *testing.T) {
 		s := serve(t, func(_ int, c net.Conn, id string) { say(c, whole(id, "yes")) })
-		p := Pool{Rest: time.Nanosecond}
+		p := Pool{IdleTimeout: time.Nanosecond}
 		for range 2 {
 			_, err := ask(ctx, &p, s.address, "1", "")
 			require.NoError(t, err)
@@ -208,11 +208,11 @@
 		})
 		defer close(hold)
 		var p Pool
-		call := &Call{Method: "GET", Target: "/", Host: "h", Header: http.Header{}}
+		call := &Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{}}
 		first, err := p.Do(ctx, s.address, 1, call, func(*http.Response) bool { return true })
 		require.NoError(t, err)
 		_, err = p.Do(ctx, s.address, 1, call, func(*http.Response) bool { return true })
-		assert.True(t, errors.Is(err, ErrFull))
+		assert.True(t, errors.Is(err, ErrTooManyConns))
 		assert.True(t, errors.Is(err, ErrNotSent))
 		first.Close()
 		_, err = p.Do(ctx, s.address, 1, call, func(*http.Response) bool { return true })
--- a/forward/pool.go
+++ b/forward/pool.go
@@ -15,11 +15,11 @@
 const (
 	// DefaultDialTimeout is for a new connection: some fifty times what one takes between zones.
 	DefaultDialTimeout = 150 * time.Millisecond
-	// DefaultUserTimeout is how long a runner's machine may leave bytes without acknowledgement; it spans two losses of a
+	// DefaultTCPUserTimeout is how long a runner's machine may leave bytes without acknowledgement; it spans two losses of a
 	// packet in a row.
-	DefaultUserTimeout = 1200 * time.Millisecond
-	// DefaultRest is how long a kept connection may rest: under the shortest time that runners are known to keep one.
-	DefaultRest = 2 * time.Second
+	DefaultTCPUserTimeout = 1200 * time.Millisecond
+	// DefaultIdleTimeout is how long a kept connection may rest: under the shortest time that runners are known to keep one.
+	DefaultIdleTimeout = 2 * time.Second
 	// maxIdle is how many connections to one runner are kept.
 	maxIdle = 16
 )
@@ -27,15 +27,15 @@
 // ErrNotSent says that the request certainly did not reach the runner.
 var ErrNotSent = errors.New("request did not reach the runner")
 
-// ErrFull says that as many connections to the runner are open as it may have from this process.
-var ErrFull = errors.New("no connection to the runner is free")
+// ErrTooManyConns says that as many connections to the runner are open as it may have from this process.
+var ErrTooManyConns = errors.New("no connection to the runner is free")
 
 // Pool keeps connections to runners; its zero value is ready.
 type Pool struct {
 	// DialTimeout, UserTimeout and Rest are as the defaults say; zero means the default.
-	DialTimeout time.Duration
-	UserTimeout time.Duration
-	Rest        time.Duration
+	DialTimeout    time.Duration
+	TCPUserTimeout time.Duration
+	IdleTimeout    time.Duration
 	// Opened counts the connections that were made.
 	Opened atomic.Int64
 
@@ -46,7 +46,7 @@
 
 // Do sends the call once and returns once the head of its own answer is there. Whoever gets an answer must close its body.
 // A failure marked ErrNotSent left the runner untouched; after any other the request may have run.
-func (p *Pool) Do(ctx context.Context, to netip.AddrPort, maxConns int, call *Call, mine func(*http.Response) bool) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, to netip.AddrPort, maxConns int, call *Request, mine func(*http.Response) bool) (*Response, error) {
 	c, err := p.take(ctx, to, maxConns)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
@@ -68,14 +68,14 @@
 		p.drop(to, c)
 		return nil, errors.Wrap(err, "read answer")
 	}
-	return &Answer{Response: resp, pool: p, conn: c, to: to, stop: stop, writing: writing, tainted: strays > 0}, nil
+	return &Response{Head: resp, pool: p, conn: c, to: to, stop: stop, writing: writing, tainted: strays > 0}, nil
 }
 
 func (p *Pool) take(ctx context.Context, to netip.AddrPort, maxConns int) (*conn, error) {
 	for {
 		c, full := p.pop(to, maxConns)
 		if full {
-			return nil, ErrFull
+			return nil, ErrTooManyConns
 		}
 		if c == nil {
 			break
@@ -127,7 +127,7 @@
 		return nil, errors.Wrapf(err, "connect to runner")
 	}
 	p.Opened.Add(1)
-	if err := SetUserTimeout(c, orDefault(p.UserTimeout, DefaultUserTimeout)); err != nil {
+	if err := SetTCPUserTimeout(c, orDefault(p.TCPUserTimeout, DefaultTCPUserTimeout)); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 }
 
 func (p *Pool) park(to netip.AddrPort, c *conn, rest time.Duration) {
-	c.rest = orDefault(p.Rest, DefaultRest)
+	c.rest = orDefault(p.IdleTimeout, DefaultIdleTimeout)
 	if rest > 0 {
 		c.rest = min(c.rest, rest*3/5)
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-// Forget closes the resting connections to an address.
-func (p *Pool) Forget(to netip.AddrPort) {
+// CloseIdle closes the resting connections to an address.
+func (p *Pool) CloseIdle(to netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[to]
 	delete(p.idle, to)
@@ -184,8 +184,8 @@
 	}
 }
 
-// Sweep closes the connections that have rested too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes the connections that have rested too long.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -30,8 +30,8 @@
 
 	// sentAt is when the request was sent.
 	sentAt time.Time
-	answer *forward.Answer
-	head   platform.Answer
+	answer *forward.Response
+	head   platform.Response
 	// ahead is what was read of the answer before it is passed on, had the last event that the caller has from another attempt.
 	ahead bytes.Buffer
 	had   string
@@ -112,12 +112,12 @@
 func (a *attempt) send() bool {
 	g, x, t := a.gateway, a.exchange, a.target
 	call := x.call
-	call.Header = g.directions(x, t).Header(x.request.Header)
+	call.Header = g.directions(x, t).Merge(x.request.Header)
 	x.sends.add(t.view.ID)
 	a.sentAt = time.Now()
 	answer, err := g.pool.Do(a.waiting, t.view.Address, g.maxConns(x), &call, func(resp *http.Response) bool {
-		a.head = platform.DecodeAnswer(resp.StatusCode, resp.Header)
-		return a.head.Request == x.wire.ID || a.head.Request == "" && x.wire.ID == ""
+		a.head = platform.DecodeResponse(resp.StatusCode, resp.Header)
+		return a.head.RequestID == x.wire.ID || a.head.RequestID == "" && x.wire.ID == ""
 	})
 	if err != nil {
 		if errors.Is(err, forward.ErrNotSent) {
@@ -128,9 +128,9 @@
 		return false
 	}
 	a.answer = answer
-	answer.Rest = a.head.Rest
+	answer.KeepAliveTimeout = a.head.KeepAliveTimeout
 	a.believe(time.Now())
-	if a.head.NotRun {
+	if a.head.NotExecuted {
 		g.notRun(x, t, answer, a.head)
 		return false
 	}
@@ -226,10 +226,10 @@
 	x.reason = err.Error()
 	callerLeft := x.request.Context().Err() != nil
 	pause := time.Duration(0)
-	if !callerLeft && !a.spared.Load() && !errors.Is(err, forward.ErrFull) {
+	if !callerLeft && !a.spared.Load() && !errors.Is(err, forward.ErrTooManyConns) {
 		pause = t.runner.Eject(now)
 		if cause != causeClosed {
-			g.pool.Forget(t.view.Address)
+			g.pool.CloseIdle(t.view.Address)
 		}
 	}
 	g.Log.Info("attempt failed", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "notSent", notSent,
@@ -238,20 +238,20 @@
 }
 
 // notRun judges a runner's word that it has not run the request.
-func (g *Gateway) notRun(x *exchange, t *target, answer *forward.Answer, head platform.Answer) {
+func (g *Gateway) notRun(x *exchange, t *target, answer *forward.Response, head platform.Response) {
 	x.reason = "runner-refused"
 	x.untaken++
 	x.sends.refused(t.view.ID)
 	g.Log.Info("runner refused", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID,
-		"status", answer.Response.StatusCode, "began", x.began, "rest", head.RetryAfter.String(), "otherRunner", head.OtherRunner, "answeredBy", head.Instance, "weights", head.Weights)
+		"status", answer.Head.StatusCode, "began", x.began, "rest", head.RetryAfter.String(), "otherRunner", head.Misdirected, "answeredBy", head.Instance, "weights", head.Weights)
 	switch {
-	case head.OtherRunner && head.Instance != "" && head.Instance != t.view.ID:
+	case head.Misdirected && head.Instance != "" && head.Instance != t.view.ID:
 		t.runner.MarkLeaving() // another run has its address, so that this one is over, whatever the list says
 		select {
 		case g.restarted <- struct{}{}:
 		default: // the list is going to be asked for already
 		}
-	case head.OtherRunner && x.wire.Prompt != nil:
+	case head.Misdirected && x.wire.Prompt != nil:
 		g.noteWeights(x, t, head)
 	case head.RetryAfter == 0: // it has not said for how long it wants nothing
 		t.runner.Eject(time.Now())
@@ -259,7 +259,7 @@
 }
 
 // noteWeights takes from a refusal that the runner has other weights than were expected.
-func (g *Gateway) noteWeights(x *exchange, t *target, head platform.Answer) {
+func (g *Gateway) noteWeights(x *exchange, t *target, head platform.Response) {
 	version := head.Weights
 	if version == 0 {
 		named, _ := g.state.NamedWeights(x.wire.Prompt.Model)
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -15,7 +15,7 @@
 
 // believe takes over what the runner says of itself in the head of its answer, unless another run has answered in its place.
 func (a *attempt) believe(now time.Time) {
-	if a.head.OtherRunner && a.head.Instance != a.target.view.ID {
+	if a.head.Misdirected && a.head.Instance != a.target.view.ID {
 		return
 	}
 	a.noteBackpressure()
@@ -42,7 +42,7 @@
 }
 
 // asksOf are the kinds that an answer asks for.
-func asksOf(head *platform.Answer) []string {
+func asksOf(head *platform.Response) []string {
 	var asks []string
 	if head.Limit.Bounded {
 		asks = append(asks, askLimit)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -124,7 +124,7 @@
 }
 
 // directEngine adds what an engine is told.
-func (g *Gateway) directEngine(x *exchange, t *target, d *platform.Directions) {
+func (g *Gateway) directEngine(x *exchange, t *target, d *platform.RunnerHeaders) {
 	if t.kept == nil {
 		return
 	}
@@ -138,7 +138,7 @@
 	if len(t.plan.Sources) > 0 && !t.kept.until.IsZero() {
 		d.Fetch = make([]netip.AddrPort, len(x.wire.Prompt.Parts))
 		copy(d.Fetch, t.plan.Sources)
-		d.FetchUntil = t.kept.until
+		d.FetchDeadline = t.kept.until
 	}
 	d.Save = g.saves(x, t.kept, &t.view, time.Now())
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -16,7 +16,7 @@
 	writer  http.ResponseWriter
 	request *http.Request
 	wire    platform.Request
-	call    forward.Call
+	call    forward.Request
 	config  *deployment.Config
 	route   *deployment.Route
 	account *deployment.Account
--- a/gateway/failure.go
+++ b/gateway/failure.go
@@ -69,8 +69,8 @@
 	}
 	info := r.Info()
 	refuses, _, _ := g.probes.Do(info.Address.String(), func() (any, error) {
-		g.pool.Forget(info.Address) // before the question, whose connection is kept
-		return g.pool.Refuses(context.Background(), info.Address), nil
+		g.pool.CloseIdle(info.Address) // before the question, whose connection is kept
+		return g.pool.RefusesConnections(context.Background(), info.Address), nil
 	})
 	return refuses == true
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -243,6 +243,6 @@
 
 // Run sweeps until the context ends.
 func (s *sweeper) Run(ctx context.Context) error {
-	pause.Every(ctx, sweepEvery, func(context.Context) { s.pool.Sweep() })
+	pause.Every(ctx, sweepEvery, func(context.Context) { s.pool.CloseExpired() })
 	return nil
 }
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -61,8 +61,8 @@
 	}
 	x.regions, x.limited = deployment.AllowedRegions(x.route, x.account)
 	x.ends = x.arrived.Add(x.route.Timeout)
-	if x.wire.Patience > 0 && x.wire.Patience < x.route.Timeout {
-		x.ends = x.arrived.Add(x.wire.Patience)
+	if x.wire.Timeout > 0 && x.wire.Timeout < x.route.Timeout {
+		x.ends = x.arrived.Add(x.wire.Timeout)
 	}
 	x.service = x.config.Services[g.share(x)]
 	if x.service == nil {
@@ -102,7 +102,7 @@
 	if !x.config.NeedsKeys() {
 		return nil
 	}
-	x.account = x.config.AccountByKey(x.wire.Key)
+	x.account = x.config.AccountByKey(x.wire.APIKey)
 	if x.account == nil && !x.route.Public {
 		return unknownKey
 	}
@@ -142,7 +142,7 @@
 // read takes the body in and makes the call that goes to the runner.
 func (x *exchange) read() *refusal {
 	r := x.request
-	x.call = forward.Call{
+	x.call = forward.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host,
 		HasBody: r.ContentLength != 0 || len(r.Header["Content-Length"]) > 0,
 	}
@@ -266,13 +266,13 @@
 )
 
 // directions are what goes to the runner beside the caller's own header.
-func (g *Gateway) directions(x *exchange, t *target) *platform.Directions {
-	d := &platform.Directions{
-		Runner:    t.view.ID,
-		Account:   x.accountName(),
-		Remaining: time.Until(x.ends),
-		DropKey:   !x.route.Public || x.account != nil,
-		LastEvent: x.lastEvent,
+func (g *Gateway) directions(x *exchange, t *target) *platform.RunnerHeaders {
+	d := &platform.RunnerHeaders{
+		Runner:      t.view.ID,
+		Account:     x.accountName(),
+		Timeout:     time.Until(x.ends),
+		DropAPIKey:  !x.route.Public || x.account != nil,
+		LastEventID: x.lastEvent,
 	}
 	if x.service.Engine != nil {
 		d.Priority = x.priority()
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -234,7 +234,7 @@
 // answers reads as much of the answer as shows that it can be passed on in place of another: the first whole event of a stream, any other
 // answer whole, or as much as is held of one. It reports whether it can.
 func (a *attempt) answers() bool {
-	x, status := a.exchange, a.answer.Response.StatusCode
+	x, status := a.exchange, a.answer.Head.StatusCode
 	if status >= failureStatus || a.isStream() && !a.goesOn() {
 		x.maybeRan, x.reason = true, "runner-failed"
 		return false
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := forward.SetUserTimeout(c, callerTimeout); err != nil {
+	if err := forward.SetTCPUserTimeout(c, callerTimeout); err != nil {
 		d.log.Error(err, "caller's connection has no user time-out")
 	}
 	return &callerConn{Conn: c, idles: d.idles}, nil
--- a/gateway/poison_world_test.go
+++ b/gateway/poison_world_test.go
@@ -130,14 +130,14 @@
 // startAgent starts the agent beside the engine.
 func (s *sharedSite) startAgent(t *testing.T, l net.Listener) {
 	t.Helper()
-	client := platform.NewStore(netip.MustParseAddrPort(strings.TrimPrefix(s.server.URL, "http://")))
+	client := platform.NewObjectStoreClient(netip.MustParseAddrPort(strings.TrimPrefix(s.server.URL, "http://")))
 	agent := &sidecar.Sidecar{
 		Settings: &deployment.Settings{
 			Name: "side-1", Zone: "z1", Host: s.agent.Addr(), FirstPort: s.agent.Port(), LastPort: s.agent.Port(), RunnerAddress: s.engine.Address(), Service: "e",
 			Bounds: deployment.Bounds{WeightsRollout: weightsBound, SlowStartFactor: coldBound.Factor, SlowStartSlack: coldBound.Slack},
 		},
-		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.Weights(client),
-		Runner: platform.NewRunner(s.engine.Address()), Listener: l, Log: logr.Discard(),
+		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.DesiredWeights(client),
+		Runner: platform.NewRunnerClient(s.engine.Address()), Listener: l, Log: logr.Discard(),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -97,7 +97,7 @@
 func (g *Gateway) answer(x *exchange, status int, reason string, after time.Duration) {
 	h := x.writer.Header()
 	g.sayLeaving(h)
-	platform.OwnAnswer(h, x.wire.ID)
+	platform.SetRequestID(h, x.wire.ID)
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -30,7 +30,7 @@
 	if a.head.Weights != 0 && x.wire.Prompt != nil {
 		t.runner.SetWeights(x.wire.Prompt.Model, a.head.Weights)
 	}
-	status := a.answer.Response.StatusCode
+	status := a.answer.Head.StatusCode
 	if status >= failureStatus && a.head.RetryAfter == 0 { // one that asks for rest says by itself for how long it is to be left alone
 		share := t.runner.RecordFailure(time.Now())
 		g.Log.Info("runner failed the request", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "status", status, "failures", share)
@@ -46,11 +46,11 @@
 }
 
 // goesOn reports that the answer can go on with one that has begun.
-func (a *attempt) goesOn() bool { return a.answer.Response.StatusCode == http.StatusOK }
+func (a *attempt) goesOn() bool { return a.answer.Head.StatusCode == http.StatusOK }
 
 // passesEvents reports that the answer's events are passed on as they come.
 func (a *attempt) passesEvents() bool {
-	return a.isStream() && a.answer.Response.StatusCode < failureStatus && !a.exchange.buffered
+	return a.isStream() && a.answer.Head.StatusCode < failureStatus && !a.exchange.buffered
 }
 
 // isStream reports that the route's answers are streams of events.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return a.brokeOff(errors.Wrap(err, "answer broke off"))
 	}
-	status := a.answer.Response.StatusCode
+	status := a.answer.Head.StatusCode
 	if status >= failureStatus && a.replaceFailure() {
 		return false
 	}
@@ -119,10 +119,10 @@
 		return a.brokeOff(errStopping)
 	}
 	h := g.beginAnswer(x, a.answer)
-	if length := a.answer.Response.ContentLength; length >= 0 {
+	if length := a.answer.Head.ContentLength; length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	x.writer.WriteHeader(a.answer.Response.StatusCode)
+	x.writer.WriteHeader(a.answer.Head.StatusCode)
 	_, err := x.writer.Write(begun)
 	if err == nil {
 		_, err = io.Copy(x.writer, a)
@@ -143,9 +143,9 @@
 }
 
 // beginAnswer sets the runner's header on the answer to the caller, which from now on can be finished but not be replaced.
-func (g *Gateway) beginAnswer(x *exchange, answer *forward.Answer) http.Header {
+func (g *Gateway) beginAnswer(x *exchange, answer *forward.Response) http.Header {
 	h := x.writer.Header()
-	maps.Copy(h, platform.PassedHeader(answer.Response.Header))
+	maps.Copy(h, platform.EndToEndHeader(answer.Head.Header))
 	g.sayLeaving(h)
 	x.begin()
 	return h
@@ -166,7 +166,7 @@
 			return a.brokeOff(errStopping) // the entry is just giving it its last answer
 		}
 		g.beginAnswer(x, a.answer)
-		x.writer.WriteHeader(a.answer.Response.StatusCode)
+		x.writer.WriteHeader(a.answer.Head.StatusCode)
 	}
 	events := eventReader{from: a, whole: x.route.Resumable, had: a.had}
 	for {
@@ -232,7 +232,7 @@
 
 // answered records a request that has its whole answer.
 func (a *attempt) answered() {
-	g, x, t, status := a.gateway, a.exchange, a.target, a.answer.Response.StatusCode
+	g, x, t, status := a.gateway, a.exchange, a.target, a.answer.Head.StatusCode
 	if a.answer.Framed() { // any other may have ended with its runner
 		g.clearSuspicion(x)
 	}
--- a/gateway/restart.go
+++ b/gateway/restart.go
@@ -15,7 +15,7 @@
 func (g *Gateway) runnerRestarted(info deployment.Runner) {
 	now := time.Now()
 	g.stores.index.ObserveRun(info.Address, info.Run())
-	g.pool.Forget(info.Address)
+	g.pool.CloseIdle(info.Address)
 	g.line.changed()
 	delay, known := g.restartDelay(info.Generation, now)
 	g.Log.Info("runner started anew", "decision", "forget", "runner", info.ID, "generation", info.Generation, "address", info.Address,
--- a/gateway/second_attempt_test.go
+++ b/gateway/second_attempt_test.go
@@ -144,7 +144,7 @@
 // Two runners must not work on one stream for long, also where nothing of it goes out before it is whole.
 func TestSecondAttemptOfHeldStreamAnswersWithItsFirstEvent(t *testing.T) {
 	x := &exchange{route: &deployment.Route{Kind: deployment.EventStream, Resumable: true}, buffered: true}
-	a := &attempt{exchange: x, answer: &forward.Answer{Response: &http.Response{StatusCode: http.StatusOK}}}
+	a := &attempt{exchange: x, answer: &forward.Response{Head: &http.Response{StatusCode: http.StatusOK}}}
 	a.ahead.WriteString("id: 1\n")
 	assert.False(t, a.readEnough())
 	a.ahead.WriteString(namedPiece(2))
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -28,7 +28,7 @@
 // caller tells the request's caller apart from others: the client account, or the key that the runner is given where there is none.
 func (x *exchange) caller() string {
 	if x.account == nil {
-		return "key " + x.wire.Key
+		return "key " + x.wire.APIKey
 	}
 	return "account " + string(x.account.Name)
 }
--- a/gateway/world_test.go
+++ b/gateway/world_test.go
@@ -118,13 +118,13 @@
 	metrics, err := telemetry.New()
 	require.NoError(t, err)
 	callers, readiness := listener(t), listener(t)
-	client := platform.NewStore(netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
+	client := platform.NewObjectStoreClient(netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")))
 	w.gateway = &Gateway{
 		Settings: &deployment.Settings{
 			Name: "entry-1", Zone: "z1", Host: netip.MustParseAddr("127.0.0.1"), FirstPort: 1, LastPort: 1,
 			Bounds: deployment.Bounds{GracePeriod: 8 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100},
 		},
-		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.Weights(client),
+		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.DesiredWeights(client),
 		Evacuations: platform.Evacuations(client),
 		Callers:     callers, Readiness: readiness, Log: logOf(t), Metrics: metrics,
 	}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -51,10 +51,10 @@
 func New() *Server {
 	s := &Server{objects: map[rillreach.Kind]map[string]rillreach.Object{}, changed: make(chan struct{}), version: 1}
 	s.router = httprouter.New()
-	s.router.GET(client.Prefix+":kind", s.faulty(s.list))
-	s.router.GET(client.Prefix+":kind/*name", s.faulty(s.get))
-	s.router.PUT(client.Prefix+":kind/*name", s.faulty(s.put))
-	s.router.DELETE(client.Prefix+":kind/*name", s.faulty(s.put))
+	s.router.GET(client.PathObjects+":kind", s.faulty(s.list))
+	s.router.GET(client.PathObjects+":kind/*name", s.faulty(s.get))
+	s.router.PUT(client.PathObjects+":kind/*name", s.faulty(s.put))
+	s.router.DELETE(client.PathObjects+":kind/*name", s.faulty(s.put))
 	s.router.PUT("/faults", s.setFaults)
 	s.router.GET("/counts", s.getCounts)
 	return s
@@ -170,8 +170,8 @@
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	value, err := io.ReadAll(io.LimitReader(r.Body, client.MaxValue+1))
-	if err != nil || len(value) > client.MaxValue {
+	value, err := io.ReadAll(io.LimitReader(r.Body, client.MaxValueBytes+1))
+	if err != nil || len(value) > client.MaxValueBytes {
 		http.Error(w, "value is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -180,11 +180,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer := blockstore.LookupAnswer{Held: []blockstore.Held{}}
+	answer := blockstore.LookupResponse{Held: []blockstore.HeldBlock{}}
 	s.mu.Lock()
 	for _, name := range ask.Keys {
 		if e := s.blocks[name]; e != nil {
-			answer.Held = append(answer.Held, blockstore.Held{Key: name, Bytes: int64(len(e.Value.(block).data))})
+			answer.Held = append(answer.Held, blockstore.HeldBlock{Key: name, Bytes: int64(len(e.Value.(block).data))})
 		}
 	}
 	s.mu.Unlock()
--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// Prefix is the path under which objects are found.
-	Prefix = "/objects/"
-	// MaxValue is the largest value of an object, in bytes.
-	MaxValue = 1 << 20
+	// PathObjects is the path under which objects are found.
+	PathObjects = "/objects/"
+	// MaxValueBytes is the largest value of an object, in bytes.
+	MaxValueBytes = 1 << 20
 
 	callTimeout = 5 * time.Second
 	maxPage     = 64 << 20
@@ -27,8 +27,8 @@
 
 // Client calls the object API.
 type Client struct {
-	// Base is the API's address, such as http://127.0.0.1:7000.
-	Base string
+	// BaseURL is the API's address, such as http://127.0.0.1:7000.
+	BaseURL string
 	// HTTP does the calls; nil means http.DefaultClient.
 	HTTP *http.Client
 }
@@ -74,8 +74,8 @@
 
 // Put writes an object; an answer that is lost gives ErrUnsure.
 func (c *Client) Put(ctx context.Context, kind rillreach.Kind, name string, version uint64, value []byte) (rillreach.Object, error) {
-	if len(value) > MaxValue {
-		return rillreach.Object{}, errors.Newf("put %s %s: value has %d bytes, at most %d fit", kind, name, len(value), MaxValue)
+	if len(value) > MaxValueBytes {
+		return rillreach.Object{}, errors.Newf("put %s %s: value has %d bytes, at most %d fit", kind, name, len(value), MaxValueBytes)
 	}
 	var object rillreach.Object
 	err := c.write(ctx, http.MethodPut, kind, name, version, value, &object)
@@ -122,7 +122,7 @@
 }
 
 func (c *Client) request(ctx context.Context, method string, kind rillreach.Kind, name string, body io.Reader) (*http.Request, error) {
-	target := c.Base + Prefix + url.PathEscape(string(kind))
+	target := c.BaseURL + PathObjects + url.PathEscape(string(kind))
 	if name != "" {
 		target += "/" + name
 	}
--- a/sidecar/collector.go
+++ b/sidecar/collector.go
@@ -104,7 +104,7 @@
 	c.sidecar.Log.Info("store is this agent's", "decision", "follow", "store", place)
 	ctx, stop := context.WithCancel(ctx)
 	k := &kept{
-		holder: &holder{place: place, store: true, client: platform.NewRunner(place), log: c.sidecar.Log},
+		holder: &holder{place: place, store: true, client: platform.NewRunnerClient(place), log: c.sidecar.Log},
 		stop:   stop,
 		since:  time.Now(),
 	}
--- a/sidecar/holder.go
+++ b/sidecar/holder.go
@@ -29,7 +29,7 @@
 type holder struct {
 	place   netip.AddrPort
 	store   bool
-	client  *platform.Runner
+	client  *platform.RunnerClient
 	log     logr.Logger
 	tracker holdings.Tracker
 
@@ -67,7 +67,7 @@
 	if !h.listed.Load() && h.store {
 		return h.list(ctx)
 	}
-	events, err := h.client.Events(ctx, since, eventsWait)
+	events, err := h.client.WatchCache(ctx, since, eventsWait)
 	if err != nil {
 		return since, err
 	}
@@ -91,7 +91,7 @@
 
 // list asks for everything, since changes are missing.
 func (h *holder) list(ctx context.Context) (uint64, error) {
-	all, err := h.client.List(ctx)
+	all, err := h.client.ListCache(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -119,7 +119,7 @@
 
 // free has the store free parts; what it no longer holds is told by its events.
 func (h *holder) free(ctx context.Context, parts []holdings.Key) error {
-	err := h.client.Free(ctx, h.epoch.Load(), parts)
+	err := h.client.FreeParts(ctx, h.epoch.Load(), parts)
 	if errors.Is(err, platform.ErrRestarted) {
 		return nil // the parts went with the run that held them
 	}
--- a/sidecar/loader.go
+++ b/sidecar/loader.go
@@ -149,7 +149,7 @@
 func (l *loader) order(ctx context.Context, self deployment.Runner, load deployment.Load, named deployment.DesiredWeights) {
 	l.given = platform.Order{
 		Runner: self.ID, Model: named.Model, Weights: named.Version,
-		Holder: l.sidecar.Settings.Name, Fence: named.FencingToken(), After: load.OrdersTaken,
+		Issuer: l.sidecar.Settings.Name, FencingToken: named.FencingToken(), ExpectedOrdersTaken: load.OrdersTaken,
 	}
 	l.givenTo, l.givenAt = self.Run(), time.Now()
 	answer, err := l.sidecar.Runner.Order(ctx, l.given)
@@ -157,9 +157,9 @@
 		l.sidecar.Log.Error(err, "order without answer", "decision", "wait", "runner", self.ID, "weights", named.Version, "after", load.OrdersTaken)
 		return
 	}
-	l.sidecar.Log.Info("order given", "decision", answer.Verdict, "runner", self.ID, "generation", answer.Generation, "model", named.Model, "weights", named.Version,
+	l.sidecar.Log.Info("order given", "decision", answer.Status, "runner", self.ID, "generation", answer.Generation, "model", named.Model, "weights", named.Version,
 		"fence", named.FencingToken(), "after", load.OrdersTaken)
-	if answer.Verdict != platform.OrderRefused { // a refusal may be another runner's at the address
+	if answer.Status != platform.OrderRefused { // a refusal may be another runner's at the address
 		l.sidecar.state.ObserveRun(rillreach.InstanceRun{ID: self.ID, Generation: answer.Generation})
 	}
 }
--- a/sidecar/readers.go
+++ b/sidecar/readers.go
@@ -114,7 +114,7 @@
 // answers reports that the run at the address goes on or has ended: whatever comes back, be it a refusal or another process's answer, does
 // not come from a run that stands still.
 func answers(ctx context.Context, at netip.AddrPort) bool {
-	runner := platform.NewRunner(at)
+	runner := platform.NewRunnerClient(at)
 	defer runner.Close()
 	_, err := runner.Report(ctx)
 	var failure net.Error
--- a/sidecar/readers_test.go
+++ b/sidecar/readers_test.go
@@ -48,7 +48,7 @@
 		})
 	}
 	f.collector = &collector{sidecar: s}
-	f.kept = &kept{holder: &holder{place: addressOf(store.URL), store: true, client: platform.NewRunner(addressOf(store.URL)), log: s.Log}}
+	f.kept = &kept{holder: &holder{place: addressOf(store.URL), store: true, client: platform.NewRunnerClient(addressOf(store.URL)), log: s.Log}}
 	f.kept.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: expiredSalt, Part: "p"}, Tokens: 10}})
 	f.kept.expired.MayFree(expiredSalt, time.Now().Add(-time.Hour), 0)
 	return f
--- a/sidecar/restart_test.go
+++ b/sidecar/restart_test.go
@@ -113,7 +113,7 @@
 		e := &engine{version: 1}
 		runner := httptest.NewServer(e)
 		t.Cleanup(runner.Close)
-		s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t)}
+		s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunnerClient(addressOf(runner.URL)), Log: testr.New(t)}
 		l := &loader{sidecar: s}
 		for i, generation := range runs {
 			self := deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: generation}
@@ -138,7 +138,7 @@
 			_, _ = fmt.Fprintf(w, `{"born":%d}`, later)
 		}))
 		t.Cleanup(runner.Close)
-		s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t)}
+		s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunnerClient(addressOf(runner.URL)), Log: testr.New(t)}
 		self := deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: earlier}
 		s.state.Roster.Put(self)
 		(&loader{sidecar: s}).order(t.Context(), self, deployment.Load{}, deployment.DesiredWeights{Model: "m", Version: 2})
@@ -291,7 +291,7 @@
 	e := &site.Engine{Model: site.Model, Version: 1, Born: earlier}
 	runner := httptest.NewServer(e)
 	t.Cleanup(runner.Close)
-	s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t)}
+	s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunnerClient(addressOf(runner.URL)), Log: testr.New(t)}
 	s.publisher = &publisher{sidecar: s}
 	s.state.Roster.Put(deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: later})
 	(&loader{sidecar: s}).look(t.Context())
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -42,7 +42,7 @@
 	// Configs is what the platform's store holds of the configuration.
 	Configs rillreach.Source[*deployment.Config]
 	// Runner is the runner beside the agent.
-	Runner *platform.Runner
+	Runner *platform.RunnerClient
 	// Listener takes the connections of entries.
 	Listener net.Listener
 	// Clock counts the time for which the machine was suspended; nil means the system's.
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -136,14 +136,14 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	own := netip.MustParseAddrPort(listener.Addr().String())
-	client := platform.NewStore(addressOf(server.URL))
+	client := platform.NewObjectStoreClient(addressOf(server.URL))
 	agent := &Sidecar{
 		Settings: &deployment.Settings{
 			Name: "side-1", Zone: "z", Host: own.Addr(), FirstPort: own.Port(), LastPort: own.Port(), RunnerAddress: runner,
 			Bounds: deployment.Bounds{WeightsRollout: 10 * time.Second},
 		},
-		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.Weights(client),
-		Runner: platform.NewRunner(runner), Listener: listener, Log: testr.New(t),
+		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.DesiredWeights(client),
+		Runner: platform.NewRunnerClient(runner), Listener: listener, Log: testr.New(t),
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -208,7 +208,7 @@
 	runner := httptest.NewServer(&engine{version: 1})
 	t.Cleanup(runner.Close)
 	s := &Sidecar{
-		Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t),
+		Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunnerClient(addressOf(runner.URL)), Log: testr.New(t),
 	}
 	s.publisher = &publisher{sidecar: s}
 	s.state.Roster.Put(deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL)})
--- a/sidecar/turn_test.go
+++ b/sidecar/turn_test.go
@@ -28,7 +28,7 @@
 		t.Cleanup(runner.Close)
 		s := &Sidecar{
 			Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL), Bounds: deployment.Bounds{WeightsRollout: bound}},
-			Runner:   platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t),
+			Runner:   platform.NewRunnerClient(addressOf(runner.URL)), Log: testr.New(t),
 		}
 		self := deployment.Runner{ID: "r4", Service: "s", Address: addressOf(runner.URL)}
 		for _, id := range []rillreach.InstanceID{"r1", "r2", "r3"} {
