--- a/forward/answer.go
+++ b/forward/answer.go
@@ -9,58 +9,60 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Response is a runner's answer, with its body still to be read.
+// Response is a runner's response. Its body has not been read yet.
 type Response struct {
-	// Head is the head; its body is read by Read.
+	// Head contains the status and the headers. The body must be read with Response.Read.
 	Head *http.Response
-	// KeepAliveTimeout is how long the runner keeps the connection, zero where it does not say; it is set before the body is read.
+	// KeepAliveTimeout is how long the runner keeps the idle connection open, zero if it is not known. The caller of
+	// Pool.Do sets it before it closes the response.
 	KeepAliveTimeout time.Duration
 
-	pool    *Pool
-	conn    *conn
-	to      netip.AddrPort
-	stop    func() bool
-	writing <-chan error
-	tainted bool
-	ended   bool
-	closed  bool
+	pool      *Pool
+	conn      *conn
+	address   netip.AddrPort
+	stopWatch func() bool
+	writeDone <-chan error
+	hadStrays bool
+	sawEOF    bool
+	closed    bool
 }
 
-// Read reads the body; io.EOF says that it is whole, any other error that it is not.
-func (a *Response) Read(buf []byte) (int, error) {
-	n, err := a.Head.Body.Read(buf)
+// Read reads the body. It returns io.EOF at the end of a complete body; any other error means that it is incomplete.
+func (r *Response) Read(buf []byte) (int, error) {
+	n, err := r.Head.Body.Read(buf)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		r.sawEOF = true
 	}
 	return n, err
 }
 
-// Close gives the connection back where it is certainly clean, and closes it otherwise.
-func (a *Response) Close() {
-	if a.closed {
+// Close returns the connection to the pool if it can be reused, otherwise it closes it.
+func (r *Response) Close() {
+	if r.closed {
 		return
 	}
-	a.closed = true
-	undisturbed := a.stop()
-	if a.ended && undisturbed && a.written() && !a.tainted && !a.Head.Close && a.Framed() && a.conn.reader.Buffered() == 0 {
-		a.pool.park(a.to, a.conn, a.KeepAliveTimeout)
+	r.closed = true
+	notCancelled := r.stopWatch()
+	if r.sawEOF && notCancelled && r.requestWritten() && !r.hadStrays && !r.Head.Close && r.Framed() && r.conn.reader.Buffered() == 0 {
+		r.pool.putIdle(r.address, r.conn, r.KeepAliveTimeout)
 		return
 	}
-	a.pool.drop(a.to, a.conn)
+	r.pool.discard(r.address, r.conn)
 }
 
-// Framed reports that the answer tells its own end, so that one that breaks off isn't taken for a whole one.
-func (a *Response) Framed() bool {
-	return a.Head.ContentLength >= 0 || len(a.Head.TransferEncoding) > 0
+// Framed reports whether the response has a content length or a transfer encoding. Without either, the end of the
+// connection ends the body, and a truncated body can't be told from a complete one.
+func (r *Response) Framed() bool {
+	return r.Head.ContentLength >= 0 || len(r.Head.TransferEncoding) > 0
 }
 
-// written reports that the whole request has been written.
-func (a *Response) written() bool {
-	if a.writing == nil {
+// requestWritten reports whether the whole request has been written.
+func (r *Response) requestWritten() bool {
+	if r.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-a.writing:
+	case err := <-r.writeDone:
 		return err == nil
 	default:
 		return false
--- a/forward/call.go
+++ b/forward/call.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Request is a request as it goes to a runner, byte for byte as the caller wrote method, target and body.
+// Request is a request to a runner. Method, target and body are sent exactly as the caller wrote them.
 type Request struct {
 	Method string
 	// Target is the path with its query, as the caller wrote it.
@@ -14,21 +14,21 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody says that the request has a body, which may be empty.
+	// HasBody reports whether the request has a body, which may be empty.
 	HasBody bool
 }
 
-func (c *Request) writeHead(w *bufio.Writer) error {
-	for _, text := range []string{c.Method, " ", c.Target, " HTTP/1.1\r\nHost: ", c.Host, "\r\n"} {
+func (r *Request) writeHead(w *bufio.Writer) error {
+	for _, text := range []string{r.Method, " ", r.Target, " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
 		if _, err := w.WriteString(text); err != nil {
 			return err
 		}
 	}
-	if err := c.Header.Write(w); err != nil {
+	if err := r.Header.Write(w); err != nil {
 		return err
 	}
-	if c.HasBody {
-		if _, err := w.WriteString("Content-Length: " + strconv.Itoa(len(c.Body)) + "\r\n"); err != nil {
+	if r.HasBody {
+		if _, err := w.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n"); err != nil {
 			return err
 		}
 	}
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
-	// bodyInline is the largest body, in bytes, that is written before the answer is awaited: it fits the least of socket
-	// buffers. A longer one is written beside the reading, since a runner may answer before it has read it.
-	bodyInline = 4 << 10
+	readBufferSize  = 4 << 10
+	writeBufferSize = 4 << 10
+	// maxInlineBody is the size in bytes of the largest body that is written before the response is read. It fits into
+	// the smallest socket buffer. A larger body is written while the response is read, because a runner may respond
+	// before it has read the whole body.
+	maxInlineBody = 4 << 10
 )
 
-// conn is one connection to a runner; it carries one request at a time.
+// conn is a connection to a runner. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// parked is when the connection was last put aside, rest how long the runner keeps it so.
-	parked time.Time
-	rest   time.Duration
+	// idleSince is when the connection became idle, idleTimeout how long it may stay idle and be used again.
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize)}
 }
 
-// clean reports that the connection is open and holds no byte that nobody asked for.
-func (c *conn) clean() bool {
+// reusable reports whether the connection is open and has no unexpected data to read.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -49,22 +50,23 @@
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, got := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		open = errors.Is(got, unix.EAGAIN)
+		var buf [1]byte
+		_, _, peekErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		open = errors.Is(peekErr, unix.EAGAIN)
 		return true
 	})
 	return err == nil && open
 }
 
-// send writes the request; a long body goes on being written while the answer is read, and the channel tells its end.
-func (c *conn) send(call *Request) (<-chan error, error) {
-	w := bufio.NewWriterSize(c.Conn, writeBuffer)
-	if err := call.writeHead(w); err != nil {
+// writeRequest writes the request. A large body is still being written when it returns; the channel then receives the
+// result.
+func (c *conn) writeRequest(req *Request) (<-chan error, error) {
+	w := bufio.NewWriterSize(c.Conn, writeBufferSize)
+	if err := req.writeHead(w); err != nil {
 		return nil, err
 	}
-	if len(call.Body) <= bodyInline {
-		if _, err := w.Write(call.Body); err != nil {
+	if len(req.Body) <= maxInlineBody {
+		if _, err := w.Write(req.Body); err != nil {
 			return nil, err
 		}
 		return nil, w.Flush()
@@ -74,25 +76,26 @@
 	}
 	done := make(chan error, 1)
 	go func() {
-		_, err := c.Write(call.Body)
+		_, err := c.Write(req.Body)
 		done <- err
 	}()
 	return done, nil
 }
 
-// watchUntil closes the connection once the context ends, so that the runner hears of it though nobody reads or writes just then.
-func (c *conn) watchUntil(ctx context.Context) (stop func() bool) {
+// closeOnDone closes the connection once the context ends, so that the runner notices it even if no read or write is
+// in progress.
+func (c *conn) closeOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = c.Close() })
 }
 
-// maxStray is how many answers of earlier requests are read over before a connection is given up.
-const maxStray = 3
+// maxStrayResponses is the number of responses to earlier requests that are skipped before a connection is discarded.
+const maxStrayResponses = 3
 
-var errStray = errors.New("answers on the connection belong to other requests")
+var errStrayResponses = errors.New("responses on the connection belong to other requests")
 
-// readAnswer reads answers until the one that is mine; strays says how many came before it.
-func (c *conn) readAnswer(method string, mine func(*http.Response) bool) (resp *http.Response, strays int, err error) {
-	for strays <= maxStray {
+// readResponse reads responses until one matches the request, and returns it with the number of those skipped.
+func (c *conn) readResponse(method string, matches func(*http.Response) bool) (resp *http.Response, strays int, err error) {
+	for strays <= maxStrayResponses {
 		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, strays, err
@@ -100,20 +103,20 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if mine(resp) {
+		if matches(resp) {
 			return resp, strays, nil
 		}
 		strays++
 		_, err = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 		if err != nil || resp.Close {
-			return nil, strays, errors.CombineErrors(errStray, err)
+			return nil, strays, errors.CombineErrors(errStrayResponses, err)
 		}
 	}
-	return nil, strays, errStray
+	return nil, strays, errStrayResponses
 }
 
-// SetTCPUserTimeout bounds how long sent bytes may stay without acknowledgement before the connection breaks.
+// SetTCPUserTimeout sets how long sent data may remain unacknowledged before the connection is closed.
 func SetTCPUserTimeout(c net.Conn, timeout time.Duration) error {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -123,11 +126,11 @@
 	if err != nil {
 		return errors.Wrap(err, "reach socket")
 	}
-	var set error
+	var sockoptErr error
 	if err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	}); err != nil {
 		return errors.Wrap(err, "reach socket")
 	}
-	return errors.Wrap(set, "set user time-out")
+	return errors.Wrap(sockoptErr, "set TCP user timeout")
 }
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -1,3 +1,4 @@
-// Package forward sends one request over one connection to a runner and reads the answer. It sends every request once,
-// keeps connections that are certainly clean, and says of each failure whether the request may have reached the runner.
+// Package forward sends HTTP requests to runners and reads the responses. It sends each request at most once, reuses
+// only connections without unread or unexpected data, and reports with each error whether the request may have reached
+// the runner.
 package forward
--- a/forward/ended.go
+++ b/forward/ended.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ClosedByRunner reports that the runner's side closed the connection before the answer was whole.
+// ClosedByRunner reports whether the runner closed the connection before the response was complete.
 func ClosedByRunner(err error) bool {
 	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET)
 }
 
-// probeTimeout bounds the question whether anybody listens: some fifteen times what the answer takes between zones. Requests wait for it
-// before another runner is asked.
+// probeTimeout limits the connection attempt of RefusesConnections, for which requests wait before they are retried at
+// another runner. It is about fifteen times the duration of a connection attempt between zones.
 const probeTimeout = 50 * time.Millisecond
 
-// RefusesConnections reports that nobody listens at the address: the process there has ended, and its machine runs. A connection that is taken is kept
-// for the next request.
+// RefusesConnections reports whether nothing listens at the address, which means that the process has ended but its
+// machine is running. If the connection is accepted, it is kept for the next request.
 func (p *Pool) RefusesConnections(ctx context.Context, to netip.AddrPort) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -28,7 +28,7 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	p.count(to, 1)
-	p.park(to, newConn(nc), 0)
+	p.addOpen(to, 1)
+	p.putIdle(to, newConn(nc), 0)
 	return false
 }
--- a/forward/ended_test.go
+++ b/forward/ended_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRefuses(t *testing.T) {
-	t.Run("an address where nobody listens does", func(t *testing.T) {
+func TestRefusesConnections(t *testing.T) {
+	t.Run("an address without a listener refuses connections", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		address := netip.MustParseAddrPort(l.Addr().String())
@@ -20,11 +20,11 @@
 		assert.True(t, p.RefusesConnections(context.Background(), address))
 		assert.Empty(t, p.open)
 	})
-	t.Run("one that listens does not, and the connection serves the next request", func(t *testing.T) {
-		s := serve(t, func(_ int, c net.Conn, id string) { say(c, whole(id, "yes")) })
+	t.Run("an address with a listener does not, and the connection serves the next request", func(t *testing.T) {
+		s := startServer(t, func(_ int, c net.Conn, id string) { writeText(c, okResponse(id, "yes")) })
 		p := &Pool{}
 		assert.False(t, p.RefusesConnections(context.Background(), s.address))
-		got, err := ask(context.Background(), p, s.address, "1", "")
+		got, err := roundTrip(context.Background(), p, s.address, "1", "")
 		require.NoError(t, err)
 		assert.Equal(t, "yes", got)
 		conns, _ := s.counts()
@@ -33,24 +33,24 @@
 }
 
 func TestClosedByRunner(t *testing.T) {
-	t.Run("a connection that is closed without an answer is", func(t *testing.T) {
-		s := serve(t, func(_ int, c net.Conn, _ string) { _ = c.Close() })
-		_, err := ask(context.Background(), &Pool{}, s.address, "1", "")
+	t.Run("connection closed without a response", func(t *testing.T) {
+		s := startServer(t, func(_ int, c net.Conn, _ string) { _ = c.Close() })
+		_, err := roundTrip(context.Background(), &Pool{}, s.address, "1", "")
 		assert.True(t, ClosedByRunner(err), "%v", err)
 	})
-	t.Run("one that is closed inside an answer is", func(t *testing.T) {
-		s := serve(t, func(_ int, c net.Conn, id string) {
-			text := whole(id, "yes")
-			say(c, text[:len(text)-1])
+	t.Run("connection closed within a response", func(t *testing.T) {
+		s := startServer(t, func(_ int, c net.Conn, id string) {
+			text := okResponse(id, "yes")
+			writeText(c, text[:len(text)-1])
 			_ = c.Close()
 		})
-		_, err := ask(context.Background(), &Pool{}, s.address, "1", "")
+		_, err := roundTrip(context.Background(), &Pool{}, s.address, "1", "")
 		assert.True(t, ClosedByRunner(err), "%v", err)
 	})
-	t.Run("one that this side closes is not", func(t *testing.T) {
+	t.Run("connection closed by this side", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := serve(t, func(int, net.Conn, string) { cancel() })
-		_, err := ask(ctx, &Pool{}, s.address, "1", "")
+		s := startServer(t, func(int, net.Conn, string) { cancel() })
+		_, err := roundTrip(ctx, &Pool{}, s.address, "1", "")
 		require.Error(t, err)
 		assert.False(t, ClosedByRunner(err), "%v", err)
 	})
--- a/forward/pool.go
+++ b/forward/pool.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// DefaultDialTimeout is for a new connection: some fifty times what one takes between zones.
+	// DefaultDialTimeout is the timeout of a new connection, about fifty times the duration between zones.
 	DefaultDialTimeout = 150 * time.Millisecond
-	// DefaultTCPUserTimeout is how long a runner's machine may leave bytes without acknowledgement; it spans two losses of a
-	// packet in a row.
+	// DefaultTCPUserTimeout is how long sent data may remain unacknowledged. It is long enough to survive the loss of a
+	// packet twice in a row.
 	DefaultTCPUserTimeout = 1200 * time.Millisecond
-	// DefaultIdleTimeout is how long a kept connection may rest: under the shortest time that runners are known to keep one.
+	// DefaultIdleTimeout is how long a connection may stay idle. It is shorter than any runner's known keep-alive timeout.
 	DefaultIdleTimeout = 2 * time.Second
-	// maxIdle is how many connections to one runner are kept.
-	maxIdle = 16
+	// maxIdleConns is the maximum number of idle connections to one runner.
+	maxIdleConns = 16
 )
 
-// ErrNotSent says that the request certainly did not reach the runner.
+// ErrNotSent means that the request certainly did not reach the runner.
 var ErrNotSent = errors.New("request did not reach the runner")
 
-// ErrTooManyConns says that as many connections to the runner are open as it may have from this process.
-var ErrTooManyConns = errors.New("no connection to the runner is free")
+// ErrTooManyConns means that this process has its maximum number of connections to the runner open.
+var ErrTooManyConns = errors.New("too many connections to the runner")
 
-// Pool keeps connections to runners; its zero value is ready.
+// Pool sends requests over connections to runners and reuses the connections. Its zero value is ready to use.
 type Pool struct {
-	// DialTimeout, UserTimeout and Rest are as the defaults say; zero means the default.
+	// DialTimeout, TCPUserTimeout and IdleTimeout override the defaults unless they are zero.
 	DialTimeout    time.Duration
 	TCPUserTimeout time.Duration
 	IdleTimeout    time.Duration
-	// Opened counts the connections that were made.
+	// Opened is the number of connections opened so far.
 	Opened atomic.Int64
 
 	mu   sync.Mutex
@@ -44,67 +44,69 @@
 	open map[netip.AddrPort]int
 }
 
-// Do sends the call once and returns once the head of its own answer is there. Whoever gets an answer must close its body.
-// A failure marked ErrNotSent left the runner untouched; after any other the request may have run.
-func (p *Pool) Do(ctx context.Context, to netip.AddrPort, maxConns int, call *Request, mine func(*http.Response) bool) (*Response, error) {
-	c, err := p.take(ctx, to, maxConns)
+// Do sends the request once. It returns the response for which matches returns true as soon as its header has been
+// received. The caller must close the response. If the error is marked ErrNotSent, the runner has not received the
+// request; otherwise it may have run it. A positive maxConns limits the open connections to the runner.
+func (p *Pool) Do(ctx context.Context, to netip.AddrPort, maxConns int, req *Request, matches func(*http.Response) bool) (*Response, error) {
+	c, err := p.acquire(ctx, to, maxConns)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
-	if err := ctx.Err(); err != nil { // a resting connection is had without asking
-		p.drop(to, c)
+	if err := ctx.Err(); err != nil { // reusing an idle connection does not check the context
+		p.discard(to, c)
 		return nil, errors.Mark(errors.Wrap(err, "send request"), ErrNotSent)
 	}
-	stop := c.watchUntil(ctx)
-	writing, err := c.send(call)
+	stop := c.closeOnDone(ctx)
+	writeDone, err := c.writeRequest(req)
 	if err != nil {
 		stop()
-		p.drop(to, c)
+		p.discard(to, c)
 		return nil, errors.Wrap(err, "write request")
 	}
-	resp, strays, err := c.readAnswer(call.Method, mine) //nolint:bodyclose // the body is part of the answer, and its reader closes it
+	resp, strays, err := c.readResponse(req.Method, matches) //nolint:bodyclose // the caller closes the response
 	if err != nil {
 		stop()
-		p.drop(to, c)
-		return nil, errors.Wrap(err, "read answer")
+		p.discard(to, c)
+		return nil, errors.Wrap(err, "read response")
 	}
-	return &Response{Head: resp, pool: p, conn: c, to: to, stop: stop, writing: writing, tainted: strays > 0}, nil
+	return &Response{Head: resp, pool: p, conn: c, address: to, stopWatch: stop, writeDone: writeDone, hadStrays: strays > 0}, nil
 }
 
-func (p *Pool) take(ctx context.Context, to netip.AddrPort, maxConns int) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, to netip.AddrPort, maxConns int) (*conn, error) {
 	for {
-		c, full := p.pop(to, maxConns)
+		c, full := p.popIdle(to, maxConns)
 		if full {
 			return nil, ErrTooManyConns
 		}
 		if c == nil {
 			break
 		}
-		if c.clean() {
+		if c.reusable() {
 			return c, nil
 		}
-		p.drop(to, c)
+		p.discard(to, c)
 	}
 	nc, err := p.dial(ctx, to)
 	if err != nil {
-		p.count(to, -1)
+		p.addOpen(to, -1)
 		return nil, err
 	}
 	return newConn(nc), nil
 }
 
-// pop gives the connection that rested the least; where there is none it counts a new one, or says that none may be made.
-func (p *Pool) pop(to netip.AddrPort, maxConns int) (c *conn, full bool) {
+// popIdle returns the most recently used idle connection. If there is none, it counts a connection for the caller to
+// open, or reports that maxConns has been reached.
+func (p *Pool) popIdle(to netip.AddrPort, maxConns int) (c *conn, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.makeMaps()
+	p.initMaps()
 	list := p.idle[to]
 	now := time.Now()
 	for len(list) > 0 {
 		c = list[len(list)-1]
 		list = list[:len(list)-1]
 		p.idle[to] = list
-		if now.Sub(c.parked) < c.rest {
+		if now.Sub(c.idleSince) < c.idleTimeout {
 			return c, false
 		}
 		_ = c.Close()
@@ -134,16 +136,16 @@
 	return c, nil
 }
 
-func (p *Pool) park(to netip.AddrPort, c *conn, rest time.Duration) {
-	c.rest = orDefault(p.IdleTimeout, DefaultIdleTimeout)
-	if rest > 0 {
-		c.rest = min(c.rest, rest*3/5)
+func (p *Pool) putIdle(to netip.AddrPort, c *conn, keepAliveTimeout time.Duration) {
+	c.idleTimeout = orDefault(p.IdleTimeout, DefaultIdleTimeout)
+	if keepAliveTimeout > 0 {
+		c.idleTimeout = min(c.idleTimeout, keepAliveTimeout*3/5)
 	}
-	c.parked = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.makeMaps()
-	if len(p.idle[to]) >= maxIdle {
+	p.initMaps()
+	if len(p.idle[to]) >= maxIdleConns {
 		_ = c.Close()
 		p.open[to]--
 		return
@@ -151,40 +153,40 @@
 	p.idle[to] = append(p.idle[to], c)
 }
 
-func (p *Pool) drop(to netip.AddrPort, c *conn) {
+func (p *Pool) discard(to netip.AddrPort, c *conn) {
 	_ = c.Close()
-	p.count(to, -1)
+	p.addOpen(to, -1)
 }
 
-func (p *Pool) count(to netip.AddrPort, by int) {
+func (p *Pool) addOpen(to netip.AddrPort, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.makeMaps()
-	p.open[to] += by
+	p.initMaps()
+	p.open[to] += delta
 	if p.open[to] <= 0 {
 		delete(p.open, to)
 	}
 }
 
-// makeMaps makes the zero value ready; the lock is held.
-func (p *Pool) makeMaps() {
+// initMaps initializes the maps. The caller must hold the lock.
+func (p *Pool) initMaps() {
 	if p.open == nil {
 		p.open, p.idle = map[netip.AddrPort]int{}, map[netip.AddrPort][]*conn{}
 	}
 }
 
-// CloseIdle closes the resting connections to an address.
+// CloseIdle closes the idle connections to an address.
 func (p *Pool) CloseIdle(to netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[to]
 	delete(p.idle, to)
 	p.mu.Unlock()
 	for _, c := range list {
-		p.drop(to, c)
+		p.discard(to, c)
 	}
 }
 
-// CloseExpired closes the connections that have rested too long.
+// CloseExpired closes the connections that have been idle for too long.
 func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
@@ -192,7 +194,7 @@
 	for to, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.parked) < c.rest {
+			if now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 				continue
 			}
@@ -206,9 +208,9 @@
 	}
 }
 
-func orDefault(d, otherwise time.Duration) time.Duration {
+func orDefault(d, defaultValue time.Duration) time.Duration {
 	if d == 0 {
-		return otherwise
+		return defaultValue
 	}
 	return d
 }
