--- a/backend/doc.go
+++ b/backend/doc.go
@@ -1,2 +1,2 @@
-// Package backend does calls to backend servers over HTTP: to model engines and to plain services.
+// Package backend is an HTTP client of backend servers, which are model engines or plain services.
 package backend
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// PathLoad is where an engine reports its load.
+	// PathLoad is the path at which an engine reports its load.
 	PathLoad = "/load"
-	// PathExport is where an engine gives KV cache.
+	// PathExport is the path for exporting KV cache from an engine.
 	PathExport = "/kv/export"
-	// PathImport is where an engine takes KV cache.
+	// PathImport is the path for importing KV cache into an engine.
 	PathImport = "/kv/import"
-	// PathEvents is where an engine publishes what its cache drops.
+	// PathEvents is the path at which an engine publishes the eviction events of its cache.
 	PathEvents = "/kv/events"
-	// HeaderTokens says how many leading tokens of a prompt an exported state covers.
+	// HeaderTokens is the header with the number of leading tokens of a prompt that an exported state covers.
 	HeaderTokens = "Kv-Tokens"
 
-	maxState = 1 << 30
+	maxStateBytes = 1 << 30
 )
 
-// Engine calls one model engine.
+// Engine is a client of one model engine.
 type Engine struct {
 	Client
 }
@@ -39,61 +39,61 @@
 // Load returns the engine's report of its load.
 func (e *Engine) Load(ctx context.Context) (rillreach.EngineLoad, error) {
 	var load rillreach.EngineLoad
-	resp, err := e.control(ctx, http.MethodGet, PathLoad, nil)
+	resp, err := e.callControl(ctx, http.MethodGet, PathLoad, nil)
 	if err != nil {
 		return load, err
 	}
 	defer resp.Body.Close()
-	return load, errors.Wrap(json.NewDecoder(resp.Body).Decode(&load), "read engine's load")
+	return load, errors.Wrap(json.NewDecoder(resp.Body).Decode(&load), "decode load of engine")
 }
 
-// Export copies the state of a prompt's prefix out.
+// Export returns a copy of the KV cache state of a prompt's prefix.
 func (e *Engine) Export(ctx context.Context, ref rillreach.StateRef) (rillreach.State, error) {
 	body, err := json.Marshal(ref)
 	if err != nil {
-		return rillreach.State{}, errors.Wrap(err, "encode what to export")
+		return rillreach.State{}, errors.Wrap(err, "encode export request")
 	}
-	resp, err := e.control(ctx, http.MethodPost, PathExport, body)
+	resp, err := e.callControl(ctx, http.MethodPost, PathExport, body)
 	if err != nil {
 		return rillreach.State{}, err
 	}
 	defer resp.Body.Close()
 	tokens, err := strconv.Atoi(resp.Header.Get(HeaderTokens))
 	if err != nil {
-		return rillreach.State{}, errors.Wrap(err, "read number of exported tokens")
+		return rillreach.State{}, errors.Wrap(err, "decode number of exported tokens")
 	}
-	payload, err := io.ReadAll(io.LimitReader(resp.Body, maxState))
+	payload, err := io.ReadAll(io.LimitReader(resp.Body, maxStateBytes))
 	return rillreach.State{Tokens: tokens, Payload: payload}, errors.Wrap(err, "read exported state")
 }
 
-// Import takes a state in.
+// Import loads an exported state into the engine's KV cache.
 func (e *Engine) Import(ctx context.Context, state rillreach.State) error {
-	resp, err := e.control(ctx, http.MethodPost, PathImport, state.Payload)
+	resp, err := e.callControl(ctx, http.MethodPost, PathImport, state.Payload)
 	if err != nil {
 		return err
 	}
 	return resp.Body.Close()
 }
 
-// Events returns what the engine's cache has dropped, from a sequence on.
+// Events returns the eviction events of the engine's cache, starting at a sequence number.
 func (e *Engine) Events(ctx context.Context, from uint64) (keep.EventPage, error) {
 	var page keep.EventPage
-	resp, err := e.control(ctx, http.MethodGet, PathEvents+"?from="+strconv.FormatUint(from, 10), nil)
+	resp, err := e.callControl(ctx, http.MethodGet, PathEvents+"?from="+strconv.FormatUint(from, 10), nil)
 	if err != nil {
 		return page, err
 	}
 	defer resp.Body.Close()
-	return page, errors.Wrap(json.NewDecoder(resp.Body).Decode(&page), "read engine's events")
+	return page, errors.Wrap(json.NewDecoder(resp.Body).Decode(&page), "decode events of engine")
 }
 
-func (e *Engine) control(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
+func (e *Engine) callControl(ctx context.Context, method, path string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, e.BaseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request to engine")
+		return nil, errors.Wrap(err, "create request to engine")
 	}
 	resp, err := e.HTTP.Do(req)
 	if err != nil {
-		return nil, errors.Wrapf(err, "call engine's %s", path)
+		return nil, errors.Wrapf(err, "call %s of engine", path)
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
--- a/blockstore/doc.go
+++ b/blockstore/doc.go
@@ -1,2 +1,2 @@
-// Package blockstore does calls to store instances over HTTP, which keep sealed blocks in memory and on disk.
+// Package blockstore is an HTTP client of store instances, which keep sealed blocks in memory and on disk.
 package blockstore
--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// PathObjects is the path under which objects are found.
+	// PathObjects is the path prefix of objects.
 	PathObjects = "/objects/"
-	// MaxValueBytes is the largest value of an object, in bytes.
+	// MaxValueBytes is the maximum size of an object's value.
 	MaxValueBytes = 1 << 20
 
-	callTimeout = 5 * time.Second
-	maxPage     = 64 << 20
+	callTimeout      = 5 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
 // Client calls the object API.
 type Client struct {
-	// BaseURL is the API's address, such as http://127.0.0.1:7000.
+	// BaseURL is the URL of the API, such as http://127.0.0.1:7000.
 	BaseURL string
-	// HTTP does the calls; nil means http.DefaultClient.
+	// HTTP is the client used for calls. If it is nil, http.DefaultClient is used.
 	HTTP *http.Client
 }
 
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var object rillreach.Object
-	req, err := c.request(ctx, http.MethodGet, kind, name, nil)
+	req, err := c.newRequest(ctx, http.MethodGet, kind, name, nil)
 	if err != nil {
 		return object, err
 	}
@@ -52,19 +52,20 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var page rillreach.Page
-	req, err := c.request(ctx, http.MethodGet, kind, "", nil)
+	req, err := c.newRequest(ctx, http.MethodGet, kind, "", nil)
 	if err != nil {
 		return page, err
 	}
 	return page, errors.Wrapf(c.do(req, &page), "list %s", kind)
 }
 
-// Watch waits for changes of a kind after a version.
+// Watch returns the changes of a kind after a version. If there are none yet, it waits for them, at most for the given
+// time.
 func (c *Client) Watch(ctx context.Context, kind rillreach.Kind, after uint64, wait time.Duration) (rillreach.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	var page rillreach.Page
-	req, err := c.request(ctx, http.MethodGet, kind, "", nil)
+	req, err := c.newRequest(ctx, http.MethodGet, kind, "", nil)
 	if err != nil {
 		return page, err
 	}
@@ -72,17 +73,17 @@
 	return page, errors.Wrapf(c.do(req, &page), "watch %s after %d", kind, after)
 }
 
-// Put writes an object; an answer that is lost gives ErrUnsure.
+// Put writes an object. It returns ErrUnsure if the response is lost.
 func (c *Client) Put(ctx context.Context, kind rillreach.Kind, name string, version uint64, value []byte) (rillreach.Object, error) {
 	if len(value) > MaxValueBytes {
-		return rillreach.Object{}, errors.Newf("put %s %s: value has %d bytes, at most %d fit", kind, name, len(value), MaxValueBytes)
+		return rillreach.Object{}, errors.Newf("put %s %s: value has %d bytes, the maximum is %d", kind, name, len(value), MaxValueBytes)
 	}
 	var object rillreach.Object
 	err := c.write(ctx, http.MethodPut, kind, name, version, value, &object)
 	return object, errors.Wrapf(err, "put %s %s", kind, name)
 }
 
-// Delete removes an object; an answer that is lost gives ErrUnsure.
+// Delete deletes an object. It returns ErrUnsure if the response is lost.
 func (c *Client) Delete(ctx context.Context, kind rillreach.Kind, name string, version uint64) error {
 	var object rillreach.Object
 	err := c.write(ctx, http.MethodDelete, kind, name, version, nil, &object)
@@ -92,7 +93,7 @@
 func (c *Client) write(ctx context.Context, method string, kind rillreach.Kind, name string, version uint64, value []byte, object *rillreach.Object) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := c.request(ctx, method, kind, name, bytes.NewReader(value))
+	req, err := c.newRequest(ctx, method, kind, name, bytes.NewReader(value))
 	if err != nil {
 		return err
 	}
@@ -108,12 +109,12 @@
 	header.Set("If-Match", ETag(version))
 }
 
-// ETag is the entity tag of a version.
+// ETag returns the entity tag of a version.
 func ETag(version uint64) string {
 	return `"` + strconv.FormatUint(version, 10) + `"`
 }
 
-// markUnsure makes every failure of a write unsure that is not a clear no.
+// markUnsure marks the error of a write with ErrUnsure, unless it means that nothing was written.
 func markUnsure(err error) error {
 	if err == nil || errors.Is(err, rillreach.ErrConflict) || errors.Is(err, rillreach.ErrNotFound) || errors.Is(err, errRefused) {
 		return err
@@ -121,18 +122,18 @@
 	return errors.Mark(err, rillreach.ErrUnsure)
 }
 
-func (c *Client) request(ctx context.Context, method string, kind rillreach.Kind, name string, body io.Reader) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, method string, kind rillreach.Kind, name string, body io.Reader) (*http.Request, error) {
 	target := c.BaseURL + PathObjects + url.PathEscape(string(kind))
 	if name != "" {
 		target += "/" + name
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, body)
-	return req, errors.Wrap(err, "make request to platform")
+	return req, errors.Wrap(err, "create request to platform")
 }
 
 var errRefused = errors.New("platform refused the call")
 
-func (c *Client) do(req *http.Request, into any) error {
+func (c *Client) do(req *http.Request, result any) error {
 	client := c.HTTP
 	if client == nil {
 		client = http.DefaultClient
@@ -145,7 +146,7 @@
 	if err := statusError(resp.StatusCode); err != nil {
 		return err
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxPage)).Decode(into), "read platform's answer")
+	return errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(result), "read response of platform")
 }
 
 func statusError(status int) error {
--- a/objectstore/doc.go
+++ b/objectstore/doc.go
@@ -1,3 +1,3 @@
-// Package objectstore does calls to the platform's object API over HTTP: conditional requests by ETag,
-// and watches as requests that wait for changes.
+// Package objectstore is a client of the platform's object API over HTTP. Writes are conditional on an ETag, and
+// watches use long polling.
 package objectstore
