--- a/forward/conn.go
+++ b/forward/conn.go
@@ -124,13 +124,13 @@
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return errors.Wrap(err, "reach socket")
+		return errors.Wrap(err, "access socket")
 	}
 	var sockoptErr error
 	if err := raw.Control(func(fd uintptr) {
 		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	}); err != nil {
-		return errors.Wrap(err, "reach socket")
+		return errors.Wrap(err, "access socket")
 	}
 	return errors.Wrap(sockoptErr, "set TCP user timeout")
 }
