--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -8,29 +8,29 @@
 
 // Kinds of what runners ask for in their answers.
 const (
-	askLimit   = "limit"
-	askLeaving = "leaving"
-	askRest    = "rest"
+	signalLimit      = "limit"
+	signalLeaving    = "leaving"
+	signalRetryAfter = "rest"
 )
 
-// believe takes over what the runner says of itself in the head of its answer, unless another run has answered in its place.
-func (a *attempt) believe(now time.Time) {
-	if a.head.OtherRunner && a.head.Instance != a.target.view.ID {
+// applyRunnerState takes over what the runner says of itself in the head of its answer, unless another run has answered in its place.
+func (a *attempt) applyRunnerState(now time.Time) {
+	if a.headers.OtherRunner && a.headers.Instance != a.target.view.ID {
 		return
 	}
-	a.noteBackpressure()
+	a.recordBackpressure()
 	a.observeLimit(now)
-	if a.head.Leaving {
+	if a.headers.Leaving {
 		a.target.runner.MarkLeaving()
 	}
-	if a.head.RetryAfter > 0 {
-		a.target.runner.BackOff(now.Add(a.head.RetryAfter))
+	if a.headers.RetryAfter > 0 {
+		a.target.runner.BackOff(now.Add(a.headers.RetryAfter))
 	}
 }
 
-// noteBackpressure records what the runner asks for in the head of its answer.
-func (a *attempt) noteBackpressure() {
-	asks := asksOf(&a.head)
+// recordBackpressure records what the runner asks for in the head of its answer.
+func (a *attempt) recordBackpressure() {
+	asks := backpressureSignals(&a.headers)
 	if len(asks) == 0 {
 		return
 	}
@@ -38,20 +38,20 @@
 		a.gateway.Metrics.Backpressure(kind)
 	}
 	a.gateway.Log.Info("runner asks for less", "decision", "note", "request", a.exchange.wire.ID, "runner", a.target.view.ID, "asks", asks,
-		"perSecond", a.head.Limit.PerSecond, "retryAfter", a.head.RetryAfter.String())
+		"perSecond", a.headers.Limit.PerSecond, "retryAfter", a.headers.RetryAfter.String())
 }
 
-// asksOf are the kinds that an answer asks for.
-func asksOf(head *platform.Answer) []string {
+// backpressureSignals are the kinds that an answer asks for.
+func backpressureSignals(head *platform.Answer) []string {
 	var asks []string
 	if head.Limit.Bounded {
-		asks = append(asks, askLimit)
+		asks = append(asks, signalLimit)
 	}
 	if head.Leaving {
-		asks = append(asks, askLeaving)
+		asks = append(asks, signalLeaving)
 	}
 	if head.RetryAfter > 0 {
-		asks = append(asks, askRest)
+		asks = append(asks, signalRetryAfter)
 	}
 	return asks
 }
--- a/gateway/backpressure_test.go
+++ b/gateway/backpressure_test.go
@@ -19,34 +19,34 @@
 	// times the limit, and a few more.
 	limitPerSecond = 1.0
 	limitWindow    = 4 * time.Second
-	limitOver      = 1.5
+	limitFactor    = 1.5
 	limitSlack     = 5
-	// limitTold is how long after its first answer that names a limit an entry is held to it.
-	limitTold = 500 * time.Millisecond
-	// limitFor is how long the limit is named, limitEntries and limitEvery the load meanwhile.
-	limitFor     = 9 * time.Second
-	limitEntries = 4
-	limitEvery   = 16 * time.Millisecond
+	// limitGrace is how long after its first answer that names a limit an entry is held to it.
+	limitGrace = 500 * time.Millisecond
+	// limitDuration is how long the limit is named, limitEntries and limitEvery the load meanwhile.
+	limitDuration     = 9 * time.Second
+	limitEntries      = 4
+	limitSendInterval = 16 * time.Millisecond
 )
 
 // limitedRunner names a limit in its answers for as long as it is on, and counts what it gets.
 type limitedRunner struct {
-	on      atomic.Bool
-	reached arrivals
-	body    string
+	limiting atomic.Bool
+	arrivals arrivals
+	body     string
 }
 
 func (l *limitedRunner) handle(w http.ResponseWriter, req *http.Request) {
-	l.reached.add()
-	if l.on.Load() {
+	l.arrivals.add()
+	if l.limiting.Load() {
 		w.Header().Set("Server-Limit", fmt.Sprint(limitPerSecond))
 	}
 	site.Answer(w, req, l.body)
 }
 
-// mostWithin is how many arrivals after the moment fall into one window at the most.
-func mostWithin(a *arrivals, start time.Time, window time.Duration) int {
-	after, most := a.since(start), 0
+// maxInWindow is how many arrivals after the moment fall into one window at the most.
+func maxInWindow(a *arrivals, start time.Time, window time.Duration) int {
+	after, most := a.elapsedSince(start), 0
 	for i, first := range after {
 		n := 0
 		for _, at := range after[i:] {
@@ -61,8 +61,8 @@
 	return most
 }
 
-// load has requests come to each of the entries in turn, until it is stopped; stop waits for the last answer.
-func load(every time.Duration, entries []*world, send func(*world)) (stop func()) {
+// startLoad has requests come to each of the entries in turn, until it is stopped; stop waits for the last answer.
+func startLoad(every time.Duration, entries []*world, send func(*world)) (stop func()) {
 	var wg sync.WaitGroup
 	done := make(chan struct{})
 	wg.Go(func() {
@@ -83,8 +83,8 @@
 	}
 }
 
-// entries starts so many entries.
-func (s *sharedSite) entries(t *testing.T, n int) []*world {
+// startEntries starts so many startEntries.
+func (s *sharedSite) startEntries(t *testing.T, n int) []*world {
 	t.Helper()
 	var all []*world
 	for i := range n {
@@ -93,65 +93,65 @@
 	return all
 }
 
-// withPrompts adds a route for prompts to a site's configuration.
-func (s *sharedSite) withPrompts() {
+// addPromptRoute adds a route for prompts to a site's configuration.
+func (s *sharedSite) addPromptRoute() {
 	config := defaultConfig()
 	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "gap_aim_ms": 1000}))
 	config["services"] = append(config["services"].([]jsonMap), engineService())
 	s.store.Put("config", "main", config)
 }
 
-// assertLimitKept has a load come while the runner names a limit, and asserts that the runner gets no more than that allows, and is in use again
+// assertLimitHonored has a load come while the runner names a limit, and asserts that the runner gets no more than that allows, and is in use again
 // once it names none.
-func assertLimitKept(t *testing.T, l *limitedRunner, entries []*world, send func(*world), meanwhile func()) {
+func assertLimitHonored(t *testing.T, l *limitedRunner, entries []*world, send func(*world), meanwhile func()) {
 	t.Helper()
-	stop := load(limitEvery, entries, send)
+	stop := startLoad(limitSendInterval, entries, send)
 	defer stop()
-	require.Eventually(t, func() bool { return l.reached.len() >= limitEntries }, wait, time.Millisecond)
-	l.on.Store(true)
+	require.Eventually(t, func() bool { return l.arrivals.len() >= limitEntries }, wait, time.Millisecond)
+	l.limiting.Store(true)
 	began := time.Now()
-	time.Sleep(limitFor / 3)
+	time.Sleep(limitDuration / 3)
 	meanwhile()
-	time.Sleep(time.Until(began.Add(limitFor)))
-	l.on.Store(false)
-	lifted := l.reached.len()
+	time.Sleep(time.Until(began.Add(limitDuration)))
+	l.limiting.Store(false)
+	lifted := l.arrivals.len()
 	// While all its senders are in touch, each has been told within the first moments.
-	most := mostWithin(&l.reached, began.Add(2*limitTold), limitWindow)
-	assert.LessOrEqual(t, float64(most), limitPerSecond*limitOver*limitWindow.Seconds()+limitSlack)
+	most := maxInWindow(&l.arrivals, began.Add(2*limitGrace), limitWindow)
+	assert.LessOrEqual(t, float64(most), limitPerSecond*limitFactor*limitWindow.Seconds()+limitSlack)
 	assert.Positive(t, most, "what it takes is used")
-	require.Eventually(t, func() bool { return l.reached.len() > lifted+10*limitEntries }, wait, 5*time.Millisecond, "it is in use again")
+	require.Eventually(t, func() bool { return l.arrivals.len() > lifted+10*limitEntries }, wait, 5*time.Millisecond, "it is in use again")
 }
 
-// TestLimitOfRunnerIsKept: runners that name a limit got as many requests as before.
-func TestLimitOfRunnerIsKept(t *testing.T) {
+// TestRunnerLimitExceeded: runners that name a limit got as many requests as before.
+func TestRunnerLimitExceeded(t *testing.T) {
 	t.Run("a plain runner beside a sound one", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle}, &site.Runner{ID: "sound"})
-		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
+		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
 	})
 	t.Run("a plain runner alone", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
-		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
+		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
 	})
 	t.Run("a plain runner whose limit no agent shares out any more", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
-		entries := s.entries(t, limitEntries)
-		assertLimitKept(t, &limited, entries, func(w *world) { w.call(t, "POST", "/once/x", "body") }, s.stop)
+		entries := s.startEntries(t, limitEntries)
+		assertLimitHonored(t, &limited, entries, func(w *world) { w.call(t, "POST", "/once/x", "body") }, s.stop)
 	})
 	t.Run("an engine whose agent starts again meanwhile, and knows of no limit", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t)
-		s.withPrompts()
+		s.addPromptRoute()
 		s.engine.Handle = limited.handle
-		entries := s.entries(t, limitEntries)
+		entries := s.startEntries(t, limitEntries)
 		var n atomic.Int64
-		assertLimitKept(t, &limited, entries, func(w *world) {
+		assertLimitHonored(t, &limited, entries, func(w *world) {
 			read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
 		}, func() { s.restartAgent(t) })
 	})
@@ -159,10 +159,10 @@
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t)
-		s.withPrompts()
+		s.addPromptRoute()
 		s.engine.Handle = limited.handle
 		var n atomic.Int64
-		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) {
+		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) {
 			read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
 		}, func() {})
 	})
--- a/gateway/begin_test.go
+++ b/gateway/begin_test.go
@@ -12,9 +12,9 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// TestRequestBeforeTheConfiguration has requests come to an entry in its first moments, as they do after a loss of power, when no other entry is
+// TestRequestRefusedBeforeInitialSync has requests come to an entry in its first moments, as they do after a loss of power, when no other entry is
 // there.
-func TestRequestBeforeTheConfiguration(t *testing.T) {
+func TestRequestRefusedBeforeInitialSync(t *testing.T) {
 	begin := func(t *testing.T) (*world, *site.Store) {
 		t.Helper()
 		store := site.NewStore()
@@ -27,7 +27,7 @@
 	t.Run("one that comes soon before it waits", func(t *testing.T) {
 		w, store := begin(t)
 		defer w.stop()
-		time.AfterFunc(beginWithin/4, func() { store.Put("config", "main", defaultConfig()) })
+		time.AfterFunc(initialSyncTimeout/4, func() { store.Put("config", "main", defaultConfig()) })
 		assert.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status)
 	})
 	t.Run("where it doesn't come, one waits for a short time", func(t *testing.T) {
@@ -38,9 +38,9 @@
 	t.Run("later ones don't wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := &Gateway{began: time.Now()}
-			for _, waited := range []time.Duration{beginWithin, 0} {
+			for _, waited := range []time.Duration{initialSyncTimeout, 0} {
 				start := time.Now()
-				g.awaitState(t.Context())
+				g.awaitSync(t.Context())
 				assert.Equal(t, waited, time.Since(start))
 			}
 		})
--- a/gateway/begun_answer.go
+++ b/gateway/begun_answer.go
@@ -11,20 +11,20 @@
 // the rest, the request is sent again until one does, the caller's patience ends, or as many runners may have run it as the route allows.
 
 const (
-	// firstResendDelay and mostResendDelay bound the pause before a begun answer is sent on once more; it doubles with each send that no runner takes.
-	firstResendDelay = 25 * time.Millisecond
-	mostResendDelay  = 200 * time.Millisecond
-	// mostDoublings keeps the pause from overflowing.
-	mostDoublings = 8
-	// verdictNoBudget says that the retry budget is spent, verdictNoneInTime that no runner took the rest of a begun answer for as long as its caller stays.
-	verdictNoBudget   = "budget-spent"
-	verdictNoneInTime = "none-in-time"
+	// minResendDelay and mostResendDelay bound the pause before a begun answer is sent on once more; it doubles with each send that no runner takes.
+	minResendDelay = 25 * time.Millisecond
+	maxResendDelay = 200 * time.Millisecond
+	// maxDoublings keeps the pause from overflowing.
+	maxDoublings = 8
+	// verdictBudgetExhausted says that the retry budget is spent, verdictNoneInTime that no runner took the rest of a begun answer for as long as its caller stays.
+	verdictBudgetExhausted  = "budget-spent"
+	verdictNotResumedInTime = "none-in-time"
 )
 
 // isTransient reports that what keeps a request from runners may be over soon.
 func isTransient(verdict string) bool {
 	switch verdict {
-	case verdictNoRunner, verdictCold, verdictLimited, verdictResting, verdictEvacuated, verdictElsewhere, verdictBacklog, verdictNoBudget:
+	case verdictNoRunner, verdictCold, verdictLimited, verdictResting, verdictEvacuated, verdictElsewhere, verdictBacklog, verdictBudgetExhausted:
 		return true
 	default:
 		return false
@@ -42,12 +42,12 @@
 	if x.untaken < 2 {
 		return now
 	}
-	delay := firstResendDelay << min(x.untaken-2, mostDoublings)
-	return now.Add(min(delay, mostResendDelay))
+	delay := minResendDelay << min(x.untaken-2, maxDoublings)
+	return now.Add(min(delay, maxResendDelay))
 }
 
-// staysUntil is when the caller of a begun answer gives it up, or its time is over.
-func (x *exchange) staysUntil() time.Time {
+// callerGivesUpAt is when the caller of a begun answer gives it up, or its time is over.
+func (x *exchange) callerGivesUpAt() time.Time {
 	quiet := x.lastPassed().Add(x.route.CallerIdleTimeout())
 	if quiet.Before(x.ends) {
 		return quiet
@@ -68,8 +68,8 @@
 		}
 		now := time.Now()
 		at := x.resendAt(now)
-		if at.After(x.staysUntil()) {
-			return verdictNoneInTime
+		if at.After(x.callerGivesUpAt()) {
+			return verdictNotResumedInTime
 		}
 		x.exhausted = false
 		pause.For(ctx, at.Sub(now))
--- a/gateway/bulletins.go
+++ b/gateway/bulletins.go
@@ -58,7 +58,7 @@
 	if r.SetReport(roster.Report{ReceivedAt: now, Load: load, WeightLoadAt: loadsAt(b, now)}) {
 		g.state.MarkCold(r, now) // it may have started anew in its silence
 	}
-	g.line.changed()
+	g.line.notify()
 }
 
 // loadsAt is when the runner's next load of weights is scheduled, by this process's clock; zero where the bulletin does not tell.
--- a/gateway/bulletins_test.go
+++ b/gateway/bulletins_test.go
@@ -22,16 +22,16 @@
 	}
 	for name, load := range loads {
 		t.Run(name, func(t *testing.T) {
-			g, x := beforeEngines(0)
+			g, x := gatewayWithEngines(0)
 			g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s"})
 			g.applyBulletin(&bulletin.Bulletin{Runner: "r", Load: load}, now)
 			assert.False(t, g.state.Roster.Find("r").View(now).ReportFresh)
-			choice, _ := g.chooseWithRoom(x, g.options(x, g.viewsAt(now), now), roomQuery{senders: 1}, now)
+			choice, _ := g.chooseWithRoom(x, g.findOptions(x, g.viewsAt(now), now), roomQuery{senders: 1}, now)
 			assert.Equal(t, 0, choice.Index)
 		})
 	}
 	t.Run("one that makes sense counts", func(t *testing.T) {
-		g, _ := beforeEngines(0)
+		g, _ := gatewayWithEngines(0)
 		g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s"})
 		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Load: bulletin.Load{Running: 2, AwaitingFirstEvent: 1, UsedTokens: 100}}, now)
 		assert.Equal(t, 100, g.state.Roster.Find("r").View(now).Load.UsedTokens)
@@ -42,7 +42,7 @@
 func TestScheduledLoads(t *testing.T) {
 	now := time.Now()
 	viewAfter := func(b *bulletin.Bulletin) roster.View {
-		g, _ := beforeEngines(0)
+		g, _ := gatewayWithEngines(0)
 		g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s"})
 		b.Runner = "r"
 		g.applyBulletin(b, now)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -18,17 +18,17 @@
 	runner *roster.Runner
 	view   roster.View
 	choice place.Choice
-	// reading is how many tokens the runner is expected to read for the request, before how many it reads before that, and held how
+	// prefillTokens is how many tokens the runner is expected to read for the request, before how many it reads before that, and held how
 	// many the request takes there.
-	reading int
-	before  int
-	held    int
-	weights deployment.WeightVersion
-	// kept and plan say which parts of the prompt are where, and how the runner comes to them.
-	kept *promptState
-	plan fetch.Plan
-	// work counts the request as running at the runner until it ends.
-	work *work
+	prefillTokens       int
+	queuedPrefillTokens int
+	tokens              int
+	weights             deployment.WeightVersion
+	// prompt and plan say which parts of the prompt are where, and how the runner comes to them.
+	prompt *promptState
+	plan   fetch.Plan
+	// inflight counts the request as running at the runner until it ends.
+	inflight *inflightRequest
 	// cancelled says that the request was cancelled at the runner, since it had not begun when that was still allowed.
 	cancelled atomic.Bool
 }
@@ -37,11 +37,11 @@
 // left out by the next look.
 func (g *Gateway) choose(x *exchange, now time.Time) (*target, string) {
 	for {
-		o := g.options(x, g.viewsAt(now), now)
+		o := g.findOptions(x, g.viewsAt(now), now)
 		if len(o.views) == 0 {
-			return nil, o.leftOut.refuse(x)
+			return nil, o.exclusions.setRefusal(x)
 		}
-		choice := place.Choose(o.question, o.candidates, g.offset(len(o.views)))
+		choice := place.Choose(o.request, o.candidates, g.offset(len(o.views)))
 		if t := g.assign(x, o, choice, now); t != nil {
 			return t, ""
 		}
@@ -60,17 +60,17 @@
 		return nil
 	}
 	t := &target{
-		runner: o.runners[i], view: *o.views[i], choice: choice, held: o.question.Tokens, plan: o.plans[i],
-		reading: o.candidates[i].PrefillTokens, before: o.candidates[i].QueuedPrefillTokens,
+		runner: o.runners[i], view: *o.views[i], choice: choice, tokens: o.request.Tokens, plan: o.plans[i],
+		prefillTokens: o.candidates[i].PrefillTokens, queuedPrefillTokens: o.candidates[i].QueuedPrefillTokens,
 	}
 	if x.needsEngine() {
 		t.weights = t.view.Weights[x.wire.Prompt.Model]
-		t.kept = o.versions[t.weights].prompt
-		g.bookMoves(t, now)
-		g.reads.add(t.reading)
-		g.sizes.add(t.held)
+		t.prompt = o.versions[t.weights].prompt
+		g.reserveLinks(t, now)
+		g.reads.add(t.prefillTokens)
+		g.sizes.add(t.tokens)
 	}
-	t.work = g.begin(x, t)
+	t.inflight = g.beginRequest(x, t)
 	g.logChoice(x, t, o, now)
 	return t
 }
@@ -78,37 +78,37 @@
 // logChoice records what decided on the runner, for whoever has to explain what became of the request.
 func (g *Gateway) logChoice(x *exchange, t *target, o *options, now time.Time) {
 	fetchUntil := time.Time{}
-	if t.kept != nil && len(t.plan.Sources) > 0 {
-		fetchUntil = t.kept.until
+	if t.prompt != nil && len(t.plan.Sources) > 0 {
+		fetchUntil = t.prompt.until
 	}
 	g.Log.Info("runner chosen", "decision", "send", "request", x.wire.ID, "account", x.accountName(), "route", x.route.Name,
-		"chosen", t.view.ID, "candidates", len(o.candidates), "cost", t.choice.Cost, "estimate", t.choice.Estimate.String(), "attempt", x.sends.sent()+1,
-		"weights", t.weights, "replacedFor", g.replacedFor(x, t.weights, now).String(),
-		"held", now.Sub(x.arrived).String(), "before", t.before, "perToken", o.question.Latency.PerToken.String(), "base", o.question.Latency.Base.String(),
-		"missing", t.reading, "again", t.plan.RecomputedTokens, "fetched", t.plan.FetchedTokens, "fetchUntil", fetchUntil,
+		"chosen", t.view.ID, "candidates", len(o.candidates), "cost", t.choice.Cost, "estimate", t.choice.Estimate.String(), "attempt", x.sends.sendCount()+1,
+		"weights", t.weights, "replacedFor", g.sinceReplaced(x, t.weights, now).String(),
+		"held", now.Sub(x.arrived).String(), "before", t.queuedPrefillTokens, "perToken", o.request.Latency.PerToken.String(), "base", o.request.Latency.Base.String(),
+		"missing", t.prefillTokens, "again", t.plan.RecomputedTokens, "fetched", t.plan.FetchedTokens, "fetchUntil", fetchUntil,
 		"avoided", t.view.Ejected, "cold", t.view.Cold, "limited", t.view.Limit.Bounded, "reported", t.view.ReportFresh, "loading", t.view.Load.LoadingWeights, "reportAge", t.view.ReportAge.String(),
 		"listAge", g.listAge(now).String())
 }
 
-// replacedFor is for how long a newer version than the given weights of the request's model has been named, as far as this entry
+// sinceReplaced is for how long a newer version than the given weights of the request's model has been named, as far as this entry
 // knows; zero where there is none.
-func (g *Gateway) replacedFor(x *exchange, version deployment.WeightVersion, now time.Time) time.Duration {
-	return replacedFor(g.window(x, version), now)
+func (g *Gateway) sinceReplaced(x *exchange, version deployment.WeightVersion, now time.Time) time.Duration {
+	return sinceReplaced(g.startWindow(x, version), now)
 }
 
-// replacedFor is for how long newer weights than those of the window have been named; zero where there are none.
-func replacedFor(window weights.StartWindow, now time.Time) time.Duration {
+// sinceReplaced is for how long newer weights than those of the window have been named; zero where there are none.
+func sinceReplaced(window weights.StartWindow, now time.Time) time.Duration {
 	if window.ReplacedAt.IsZero() {
 		return 0
 	}
 	return now.Sub(window.ReplacedAt)
 }
 
-// oldFrom is how long after the naming of new weights answers on the old ones are as good as others.
-const oldFrom = 1200 * time.Millisecond
+// oldWeightsGrace is how long after the naming of new weights answers on the old ones are as good as others.
+const oldWeightsGrace = 1200 * time.Millisecond
 
-// salt keeps KV cache apart by model, weights, regions and, for an isolated account, the account.
-func salt(x *exchange, version deployment.WeightVersion) string {
+// cacheSalt keeps KV cache apart by model, weights, regions and, for an isolated account, the account.
+func cacheSalt(x *exchange, version deployment.WeightVersion) string {
 	s := deployment.Salt{Model: x.wire.Prompt.Model, Weights: version, Regions: x.regions}
 	if x.account != nil && x.account.Isolated {
 		s.Account = x.account.Name
@@ -116,29 +116,29 @@
 	return s.String()
 }
 
-// bookMoves records which links the chosen runner's fetches take.
-func (g *Gateway) bookMoves(t *target, now time.Time) {
+// reserveLinks records which links the chosen runner's fetches take.
+func (g *Gateway) reserveLinks(t *target, now time.Time) {
 	for _, m := range t.plan.Transfers {
 		g.stores.book(m.Source, m.Duration, now)
 	}
 }
 
-// directEngine adds what an engine is told.
-func (g *Gateway) directEngine(x *exchange, t *target, d *platform.Directions) {
-	if t.kept == nil {
+// setEngineDirections adds what an engine is told.
+func (g *Gateway) setEngineDirections(x *exchange, t *target, d *platform.Directions) {
+	if t.prompt == nil {
 		return
 	}
 	d.Weights = t.weights
-	d.Salt = t.kept.salt
+	d.Salt = t.prompt.salt
 	if d.Salt == "" {
 		// Without a known version nothing kept may be met: a salt of its own keeps the request to itself.
 		d.Salt = "request/" + string(x.wire.ID)
 		return
 	}
-	if len(t.plan.Sources) > 0 && !t.kept.until.IsZero() {
+	if len(t.plan.Sources) > 0 && !t.prompt.until.IsZero() {
 		d.Fetch = make([]netip.AddrPort, len(x.wire.Prompt.Parts))
 		copy(d.Fetch, t.plan.Sources)
-		d.FetchUntil = t.kept.until
+		d.FetchUntil = t.prompt.until
 	}
-	d.Save = g.saves(x, t.kept, &t.view, time.Now())
+	d.Save = g.saves(x, t.prompt, &t.view, time.Now())
 }
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -18,10 +18,10 @@
 // benchModel is what the engines of the benchmark serve.
 const benchModel = "m"
 
-// beforeEngines is an entry that knows so many engines, each with a report, and a request for one of them.
-func beforeEngines(engines int) (*Gateway, *exchange) {
+// gatewayWithEngines is an entry that knows so many engines, each with a report, and a request for one of them.
+func gatewayWithEngines(engines int) (*Gateway, *exchange) {
 	g := &Gateway{Settings: &deployment.Settings{Zone: "z0"}, Log: logr.Discard()}
-	g.line = newLine(g)
+	g.line = newAdmissionQueue(g)
 	now := time.Now()
 	for i := range engines {
 		info := deployment.Runner{
@@ -34,7 +34,7 @@
 		g.state.Roster.Find(info.ID).SetReport(roster.Report{ReceivedAt: now.Add(time.Hour), Load: load})
 	}
 	x := &exchange{
-		sends: &sends{}, progress: &progress{},
+		sends: &sendHistory{}, progress: &progress{},
 		service: &deployment.Service{Name: "s", Engine: &deployment.Engine{CapacityTokens: 70000, CacheBytesPerToken: 18432, LinkBitsPerSecond: 3e11}},
 		route:   &deployment.Route{Name: "r", TargetLatency: time.Second, Kind: deployment.EventStream},
 		config:  &deployment.Config{}, arrived: now, ends: now.Add(10 * time.Second),
@@ -43,9 +43,9 @@
 	return g, x
 }
 
-// holdParts has every engine hold the prompt's first part, as an opening that most prompts share, and three of them the second; a fifth
+// addPartHolders has every engine hold the prompt's first part, as an opening that most prompts share, and three of them the second; a fifth
 // as many stores hold both.
-func holdParts(g *Gateway, x *exchange, engines int) {
+func addPartHolders(g *Gateway, x *exchange, engines int) {
 	now := time.Now()
 	g.stores.clock.hear(now.UnixMilli(), now)
 	x.config.Services = map[rillreach.ServiceID]*deployment.Service{"s": x.service}
@@ -71,19 +71,19 @@
 	}
 }
 
-// BenchmarkDecision is one decision on a prompt, by the number of engines, where nobody holds its parts and where many do.
-func BenchmarkDecision(b *testing.B) {
+// BenchmarkChooseWithRoom is one decision on a prompt, by the number of engines, where nobody holds its parts and where many do.
+func BenchmarkChooseWithRoom(b *testing.B) {
 	for _, engines := range []int{9, 52, 300} {
 		for _, held := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d engines, parts held %t", engines, held), func(b *testing.B) {
-				g, x := beforeEngines(engines)
+				g, x := gatewayWithEngines(engines)
 				if held {
-					holdParts(g, x, engines)
+					addPartHolders(g, x, engines)
 				}
 				now := time.Now()
 				b.ReportAllocs()
 				for b.Loop() {
-					o := g.options(x, g.viewsAt(now), now)
+					o := g.findOptions(x, g.viewsAt(now), now)
 					if choice, _ := g.chooseWithRoom(x, o, roomQuery{senders: 1}, now); choice.Index < 0 {
 						b.Fatal("no engine has room")
 					}
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -13,8 +13,8 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// beginInZone starts and lists a runner of a zone, which answers with the zone's name.
-func beginInZone(t *testing.T, store *site.Store, zone string) *site.Runner {
+// startRunnerInZone starts and lists a runner of a zone, which answers with the zone's name.
+func startRunnerInZone(t *testing.T, store *site.Store, zone string) *site.Runner {
 	t.Helper()
 	r := &site.Runner{ID: "r-" + zone, Handle: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, zone) }}
 	r.Start()
@@ -33,7 +33,7 @@
 		store.Put("config", "main", defaultConfig())
 		var runners []*site.Runner
 		for _, zone := range zones {
-			runners = append(runners, beginInZone(t, store, zone))
+			runners = append(runners, startRunnerInZone(t, store, zone))
 		}
 		return beginWith(t, store, func(s *deployment.Settings) { s.Bounds.ZoneEvacuation = 5 * time.Second }), runners
 	}
@@ -79,6 +79,6 @@
 		assert.Contains(t, got.body, verdictEvacuated)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
-		assert.InDelta(t, evacuationComeBack.Seconds(), after, evacuationComeBack.Seconds()/2)
+		assert.InDelta(t, evacuationRetryAfter.Seconds(), after, evacuationRetryAfter.Seconds()/2)
 	})
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -28,7 +28,7 @@
 	// ends is when the final answer is due.
 	ends time.Time
 	// sends are where the request went, maybeRan says that one of these may have run it.
-	sends    *sends
+	sends    *sendHistory
 	maybeRan bool
 	// exhausted says that no runner is left to be asked.
 	exhausted bool
@@ -58,7 +58,7 @@
 // newExchange is a request that has just come.
 func newExchange(w http.ResponseWriter, r *http.Request) *exchange {
 	return &exchange{
-		writer: w, request: r, wire: platform.DecodeRequest(r.Header), arrived: time.Now(), sends: &sends{}, identity: &identity{}, progress: &progress{},
+		writer: w, request: r, wire: platform.DecodeRequest(r.Header), arrived: time.Now(), sends: &sendHistory{}, identity: &identity{}, progress: &progress{},
 	}
 }
 
@@ -119,7 +119,7 @@
 	if x.began {
 		return x.route.MaxRunners - len(x.sends.mayHaveRun())
 	}
-	return x.route.MaxRunners - len(x.sends.used())
+	return x.route.MaxRunners - len(x.sends.runnersUsed())
 }
 
 // needsEngine reports that the request has a prompt for a model engine.
--- a/gateway/failure.go
+++ b/gateway/failure.go
@@ -36,7 +36,7 @@
 
 // endedBy says why the entry ended the attempt, empty where it did not.
 func (a *attempt) endedBy() string {
-	if cause := context.Cause(a.waiting); cause != nil {
+	if cause := context.Cause(a.ctx); cause != nil {
 		return cause.Error()
 	}
 	return ""
@@ -48,7 +48,7 @@
 	case errors.Is(err, forward.ErrNotSent):
 		return causeNotSent
 	case !forward.ClosedByRunner(err):
-		if a.waiting.Err() != nil {
+		if a.ctx.Err() != nil {
 			return causeEnded
 		}
 		return causeOther
--- a/gateway/firsts.go
+++ b/gateway/firsts.go
@@ -8,14 +8,14 @@
 	"github.com/rillreach/rillreach/predict"
 )
 
-// firstTokens learns for each service how long prompts take to their first token; its zero value knows nothing.
-type firstTokens struct {
+// ttftEstimators learns for each service how long prompts take to their first token; its zero value knows nothing.
+type ttftEstimators struct {
 	mu        sync.Mutex
 	byService map[rillreach.ServiceID]*predict.TTFTEstimator
 }
 
-// of is how fast the service's engines are.
-func (f *firstTokens) of(service rillreach.ServiceID) predict.LatencyModel {
+// model is how fast the service's engines are.
+func (f *ttftEstimators) model(service rillreach.ServiceID) predict.LatencyModel {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known := f.byService[service]; known != nil {
@@ -25,7 +25,7 @@
 }
 
 // observe learns from a request that had its first token after the wait.
-func (f *firstTokens) observe(x *exchange, t *target, wait time.Duration) {
+func (f *ttftEstimators) observe(x *exchange, t *target, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.byService == nil {
@@ -36,5 +36,5 @@
 		known = &predict.TTFTEstimator{}
 		f.byService[x.service.Name] = known
 	}
-	known.Observe(t.before+t.reading, wait-t.plan.TransferTime)
+	known.Observe(t.queuedPrefillTokens+t.prefillTokens, wait-t.plan.TransferTime)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -86,10 +86,10 @@
 	relays notify.Tracker
 	local  localServices
 	stores storeBook
-	reads  sizeMean
-	sizes  sizeMean
-	firsts firstTokens
-	line   *line
+	reads  sizeBiasedMean
+	sizes  sizeBiasedMean
+	firsts ttftEstimators
+	line   *admissionQueue
 	pool   forward.Pool
 	probes singleflight.Group
 	// suspects are the crashes that this entry knows of, observed those that it has seen itself.
@@ -110,8 +110,8 @@
 	plan    drain.Shutdown
 	over    context.Context
 	// usual are the times to the whole answer, firstWaits those from a send to the first token beyond the time to read the prompt's own part.
-	usual      routeTimes
-	firstWaits routeTimes
+	usual      routeDurations
+	firstWaits routeDurations
 	// restarted is told when a runner turns out to be another run than the list says.
 	restarted chan struct{}
 	server    *http.Server
@@ -122,12 +122,12 @@
 // Run serves until the context ends, then stops in order within the grace.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.began = time.Now()
-	g.state.Log, g.state.Metrics, g.state.RunnerRestarted = g.Log, g.Metrics, g.runnerRestarted
+	g.state.Log, g.state.Metrics, g.state.RunnerRestarted = g.Log, g.Metrics, g.handleRunnerRestart
 	g.state.SuspendedTime = node.Suspended
 	g.state.Relays, g.state.NoticeTTL = &g.relays, g.trustRelays()
 	g.restarted = make(chan struct{}, 1)
 	g.suspects.TrialOffset = time.Duration(hash.String(g.Settings.Name) % uint64(trialSpread))
-	g.line = newLine(g)
+	g.line = newAdmissionQueue(g)
 	if g.Clock == nil {
 		g.Clock = node.SystemClock()
 	}
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -22,7 +22,7 @@
 	g.running.Add()
 	defer g.running.Done()
 	x := newExchange(w, r)
-	g.awaitState(r.Context())
+	g.awaitSync(r.Context())
 	refusal := g.admit(x)
 	if refusal == nil {
 		refusal = g.take(x)
@@ -184,7 +184,7 @@
 // serve tries runners until the request has its answer or none can give it.
 func (g *Gateway) serve(ctx context.Context, x *exchange) {
 	for {
-		done := g.attempt(ctx, x)
+		done := g.runAttempt(ctx, x)
 		if done {
 			return
 		}
@@ -241,16 +241,16 @@
 // allowed decides whether route and budget leave room for another attempt; it returns why not, or nothing.
 func (g *Gateway) allowed(x *exchange, now time.Time) string {
 	switch {
-	case x.sends.sent() == 0 && (now.Sub(x.arrived) > connectFor || len(x.sends.asked()) >= maxTried):
+	case x.sends.sendCount() == 0 && (now.Sub(x.arrived) > connectFor || len(x.sends.runnersTried()) >= maxTried):
 		return "no-connection"
-	case x.sends.sent() == 0:
+	case x.sends.sendCount() == 0:
 		return ""
 	case !x.mayMove():
 		return "runners-used"
 	case g.isQuarantined(x):
 		return verdictCrashesRunners
 	case !g.budgets.TrySpend(now, x.service.Name):
-		return verdictNoBudget
+		return verdictBudgetExhausted
 	default:
 		return ""
 	}
@@ -277,6 +277,6 @@
 	if x.service.Engine != nil {
 		d.Priority = x.priority()
 	}
-	g.directEngine(x, t, d)
+	g.setEngineDirections(x, t, d)
 	return d
 }
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -14,14 +14,14 @@
 // The first goes on until the second answers, and beyond where that is refused or fails: a runner that works is given up for one that has
 // taken the request, never for one that is expected to.
 type hedge struct {
-	// first is the attempt that runs, attempt the one beside it, which works on a copy of the request.
-	first   *attempt
-	attempt *attempt
+	// primary is the attempt that runs, attempt the one beside it, which works on a copy of the request.
+	primary   *attempt
+	secondary *attempt
 	// result is the attempt that answers: the second, or a third that was begun beside it and took its place.
 	result *attempt
 	reason hedgeReason
-	// patience ends the second attempt where it takes too long; nil where the first isn't known to work.
-	patience *time.Timer
+	// timeout ends the second attempt where it takes too long; nil where the first isn't known to work.
+	timeout *time.Timer
 
 	wg    conc.WaitGroup
 	state atomic.Int32
@@ -42,21 +42,21 @@
 const (
 	hedgePending int32 = iota
 	hedgeWon
-	hedgeDropped
-	hedgeOver
+	hedgeCancelled
+	hedgeClosed
 )
 
-// hedgePatience is how long a stream that its runner works on waits for the first event of another runner. One with room reads a prompt in
+// hedgeTimeout is how long a stream that its runner works on waits for the first event of another runner. One with room reads a prompt in
 // some 0.1 s; one that has not begun by then has a queue, and would have the request worked on twice meanwhile.
-const hedgePatience = 350 * time.Millisecond
+const hedgeTimeout = 350 * time.Millisecond
 
-// beginHedge begins another attempt beside this one, and reports whether it did: not where one is being made, where the route or the
+// startHedge begins another attempt beside this one, and reports whether it did: not where one is being made, where the route or the
 // retry budget allows none, or where no other runner would begin on the request now. A runner that works has one other asked, one that
 // says nothing each that the route allows.
-func (a *attempt) beginHedge(reason hedgeReason) bool {
+func (a *attempt) startHedge(reason hedgeReason) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.closed || a.hedge != nil && (reason == hedgeLoading || !a.hedge.over()) {
+	if a.hedgingClosed || a.hedge != nil && (reason == hedgeLoading || !a.hedge.closed()) {
 		return false
 	}
 	g, now := a.gateway, time.Now()
@@ -64,8 +64,8 @@
 	if !x.mayMove() || g.mayEndMore(x) || !g.budgets.Allows(now, x.service.Name) { // asked first: a stream of a busy runner comes here with each event
 		return false
 	}
-	o := g.options(x, g.viewsAt(now), now)
-	choice := g.chooseFree(x, o, now)
+	o := g.findOptions(x, g.viewsAt(now), now)
+	choice := g.chooseAvailable(x, o, now)
 	if choice.Index < 0 || !g.budgets.TrySpend(now, x.service.Name) {
 		return false
 	}
@@ -73,20 +73,20 @@
 	if t == nil {
 		return false
 	}
-	h := &hedge{first: a, reason: reason, attempt: g.newAttempt(a.parent, x, t)}
+	h := &hedge{primary: a, reason: reason, secondary: g.newAttempt(a.requestCtx, x, t)}
 	if reason == hedgeLoading {
-		h.patience = time.AfterFunc(hedgePatience, h.drop)
+		h.timeout = time.AfterFunc(hedgeTimeout, h.cancel)
 	}
 	a.retireHedge()
 	a.hedge = h
 	g.Log.Info("second attempt begins", "decision", "hedge", "reason", reason, "request", x.wire.ID, "runner", a.target.view.ID,
-		"chosen", h.attempt.target.view.ID, "lastEvent", x.lastEvent)
+		"chosen", h.secondary.target.view.ID, "lastEvent", x.lastEvent)
 	h.wg.Go(h.run)
 	return true
 }
 
-// chooseFree chooses a runner that would begin on the request now and that nothing speaks against, an index of -1 where there is none.
-func (g *Gateway) chooseFree(x *exchange, o *options, now time.Time) place.Choice {
+// chooseAvailable chooses a runner that would begin on the request now and that nothing speaks against, an index of -1 where there is none.
+func (g *Gateway) chooseAvailable(x *exchange, o *options, now time.Time) place.Choice {
 	choice := place.Choice{Index: -1}
 	switch {
 	case len(o.views) == 0:
@@ -94,7 +94,7 @@
 	case x.needsEngine():
 		choice, _ = g.chooseWithRoom(x, o, roomQuery{senders: g.budgets.Entries()}, now)
 	default:
-		choice = place.Choose(o.question, o.candidates, g.offset(len(o.views)))
+		choice = place.Choose(o.request, o.candidates, g.offset(len(o.views)))
 	}
 	if choice.Index >= 0 && !o.candidates[choice.Index].Preferred() {
 		choice.Index = -1
@@ -104,70 +104,70 @@
 
 // run makes the second attempt, and ends the first once the second answers.
 func (h *hedge) run() {
-	answers := h.answers() && h.result.joins(h.first.request().snapshot().lastEvent)
+	answers := h.awaitAnswer() && h.result.canContinueFrom(h.primary.currentExchange().snapshot().lastEvent)
 	if !answers || !h.state.CompareAndSwap(hedgePending, hedgeWon) {
-		h.drop()
+		h.cancel()
 		h.result.close() // at once: its runner is kept from others for as long as the request counts there
-		h.state.Store(hedgeOver)
+		h.state.Store(hedgeClosed)
 		return
 	}
 	if h.reason == hedgeLoading {
-		h.first.spared.Store(true)
+		h.primary.noEjection.Store(true)
 	}
-	h.first.cancel(errAnotherAnswers)
+	h.primary.cancel(errAnotherAnswers)
 }
 
-// answers has the request answered by the second attempt, or by a third in its place.
-func (h *hedge) answers() bool {
-	h.result = h.attempt
-	if h.attempt.send() && h.attempt.answers() {
+// awaitAnswer has the request answered by the second attempt, or by a third in its place.
+func (h *hedge) awaitAnswer() bool {
+	h.result = h.secondary
+	if h.secondary.send() && h.secondary.prefetch() {
 		return true
 	}
-	next := h.attempt.replacement()
+	next := h.secondary.replacement()
 	if next == nil {
 		return false
 	}
-	h.attempt.close()
+	h.secondary.close()
 	h.result = next
 	return true
 }
 
-// drop gives the second attempt up, unless it answers already.
-func (h *hedge) drop() {
-	if !h.state.CompareAndSwap(hedgePending, hedgeDropped) {
+// cancel gives the second attempt up, unless it answers already.
+func (h *hedge) cancel() {
+	if !h.state.CompareAndSwap(hedgePending, hedgeCancelled) {
 		return
 	}
-	h.attempt.spared.Store(true)
-	h.attempt.cancel(errNotNeeded)
+	h.secondary.noEjection.Store(true)
+	h.secondary.cancel(errNotNeeded)
 }
 
 // wait returns once the second attempt answers or is given up; it reports whether it answers.
 func (h *hedge) wait() bool {
-	if h.patience != nil {
-		h.patience.Stop()
+	if h.timeout != nil {
+		h.timeout.Stop()
 	}
 	h.wg.Wait()
 	return h.state.Load() == hedgeWon
 }
 
-// over reports that nothing is left of the second attempt.
-func (h *hedge) over() bool { return h.state.Load() == hedgeOver }
+// closed reports that nothing is left of the second attempt.
+func (h *hedge) closed() bool { return h.state.Load() == hedgeClosed }
 
-// end closes a second attempt that the request does not go on with.
-func (h *hedge) end() {
-	h.drop()
+// close closes a second attempt that the request does not go on with.
+func (h *hedge) close() {
+	h.cancel()
 	if h.wait() {
 		h.result.close()
 	}
-	h.note("unused")
+	h.recordOutcome("unused")
 }
 
-// note records what became of the second attempt.
-func (h *hedge) note(outcome string) {
-	x := h.attempt.exchange
-	h.first.gateway.Log.Info("second attempt ended", "decision", outcome, "reason", h.reason, "request", x.wire.ID,
-		"runner", h.first.target.view.ID, "chosen", h.attempt.target.view.ID, "cause", x.reason)
-	h.first.gateway.Metrics.Hedge(string(h.reason), outcome)
+// recordOutcome records what became of the second attempt.
+func (h *hedge) recordOutcome(outcome string) {
+	x := h.secondary.exchange
+	h.primary.gateway.Log.Info("second attempt ended", "decision", outcome, "reason", h.reason, "request", x.wire.ID,
+		"runner", h.primary.target.view.ID, "chosen", h.secondary.target.view.ID, "cause", x.reason)
+	h.primary.gateway.Metrics.Hedge(string(h.reason), outcome)
 }
 
 // retireHedge makes room for another second attempt where one is over; the lock is held.
@@ -175,47 +175,47 @@
 	if a.hedge == nil {
 		return
 	}
-	a.hedge.note("unused")
-	a.ranBeside = a.ranBeside || a.hedge.attempt.exchange.maybeRan
+	a.hedge.recordOutcome("unused")
+	a.hedgeMayHaveRun = a.hedgeMayHaveRun || a.hedge.secondary.exchange.maybeRan
 }
 
 // awaitHedge waits for the second attempt, lets no other be begun, and reports whether it answers.
 func (a *attempt) awaitHedge() bool {
 	a.mu.Lock()
 	h := a.hedge
-	a.closed = true
+	a.hedgingClosed = true
 	a.mu.Unlock()
 	return h != nil && h.wait()
 }
 
-// releaseHedge takes the second attempt away, and lets none be begun any more.
-func (a *attempt) releaseHedge() *hedge {
+// takeHedge takes the second attempt away, and lets none be begun any more.
+func (a *attempt) takeHedge() *hedge {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h := a.hedge
-	a.hedge, a.closed = nil, true
+	a.hedge, a.hedgingClosed = nil, true
 	return h
 }
 
 // replacement is the second attempt where that goes on in place of this one, which has failed; nil where there is none.
 func (a *attempt) replacement() *attempt {
-	h, x := a.releaseHedge(), a.exchange
-	x.maybeRan = x.maybeRan || a.ranBeside
+	h, x := a.takeHedge(), a.exchange
+	x.maybeRan = x.maybeRan || a.hedgeMayHaveRun
 	if h == nil {
 		return nil
 	}
 	if x.mayMove() {
-		h.attempt.silence.begin(firstWordAfter(x.route)) // nobody else bounds its silence any more
+		h.secondary.watchdog.start(firstByteTimeout(x.route)) // nobody else bounds its silence any more
 	}
 	won := h.wait()
-	x.maybeRan = x.maybeRan || h.attempt.exchange.maybeRan
+	x.maybeRan = x.maybeRan || h.secondary.exchange.maybeRan
 	next := h.result
-	if !won || !next.joins(x.lastEvent) {
-		h.end()
+	if !won || !next.canContinueFrom(x.lastEvent) {
+		h.close()
 		return nil
 	}
-	h.note("used")
-	next.takeOver(x)
+	h.recordOutcome("used")
+	next.adoptExchange(x)
 	return next
 }
 
@@ -223,71 +223,71 @@
 func (a *attempt) commit() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.closed = true
+	a.hedgingClosed = true
 	if a.hedge == nil {
 		return true
 	}
-	a.hedge.drop()
+	a.hedge.cancel()
 	return a.hedge.state.Load() != hedgeWon
 }
 
-// answers reads as much of the answer as shows that it can be passed on in place of another: the first whole event of a stream, any other
+// prefetch reads as much of the answer as shows that it can be passed on in place of another: the first whole event of a stream, any other
 // answer whole, or as much as is held of one. It reports whether it can.
-func (a *attempt) answers() bool {
+func (a *attempt) prefetch() bool {
 	x, status := a.exchange, a.answer.Response.StatusCode
 	if status >= failureStatus || a.isStream() && !a.goesOn() {
 		x.maybeRan, x.reason = true, "runner-failed"
 		return false
 	}
 	buf := make([]byte, relayBuffer)
-	for !a.readEnough() {
+	for !a.prefetchedEnough() {
 		n, err := a.readAnswer(buf)
-		a.ahead.Write(buf[:n])
+		a.prefetched.Write(buf[:n])
 		if isEnd(err) {
 			break
 		}
-		if err == nil && a.ahead.Len() > maxEvent && !a.readEnough() {
+		if err == nil && a.prefetched.Len() > maxEvent && !a.prefetchedEnough() {
 			err = errEventTooLarge
 		}
 		if err != nil {
-			a.failed(err)
+			a.handleFailure(err)
 			return false
 		}
 	}
 	return true
 }
 
-// readEnough reports that what was read of the answer shows that it can be passed on. A stream's first event does, also where nothing
+// prefetchedEnough reports that what was read of the answer shows that it can be passed on. A stream's first event does, also where nothing
 // goes out before the stream is whole: two runners must not work on it for long.
-func (a *attempt) readEnough() bool {
+func (a *attempt) prefetchedEnough() bool {
 	if a.isStream() {
-		return bytes.Contains(a.ahead.Bytes(), eventEnd)
+		return bytes.Contains(a.prefetched.Bytes(), eventEnd)
 	}
-	return a.ahead.Len() > maxHeld
+	return a.prefetched.Len() > maxHeld
 }
 
-// request is the request that the attempt answers: a second attempt takes over the first's.
-func (a *attempt) request() *exchange {
+// currentExchange is the currentExchange that the attempt answers: a second attempt takes over the first's.
+func (a *attempt) currentExchange() *exchange {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.exchange
 }
 
-// joins reports that the stream can go on with this attempt's events: it is known which of them a caller has who has those up to the given.
-func (a *attempt) joins(lastEvent string) bool {
+// canContinueFrom reports that the stream can go on with this attempt's events: it is known which of them a caller has who has those up to the given.
+func (a *attempt) canContinueFrom(lastEvent string) bool {
 	return a.exchange.lastEvent == lastEvent || isNumber(lastEvent)
 }
 
-// takeOver has the attempt answer the request that it worked on a copy of.
-func (a *attempt) takeOver(x *exchange) {
+// adoptExchange has the attempt answer the request that it worked on a copy of.
+func (a *attempt) adoptExchange(x *exchange) {
 	if a.exchange.lastEvent != x.lastEvent {
-		a.had = x.lastEvent
+		a.resumeAfter = x.lastEvent
 	}
 	x.waited = a.exchange.waited
 	a.mu.Lock()
 	a.exchange = x
 	a.mu.Unlock()
 	if x.mayMove() {
-		a.silence.begin(a.silence.allowed)
+		a.watchdog.start(a.watchdog.timeout)
 	}
 }
--- a/gateway/hedge_test.go
+++ b/gateway/hedge_test.go
@@ -26,48 +26,48 @@
 //
 // It happened to 3 requests in six runs of 30 s. However fresh its knowledge, an entry can't know that another runner will accept: what
 // works is given up only once its replacement answers.
-func TestStreamIsKeptUntilAnotherRunnerAnswers(t *testing.T) {
+func TestStreamCutBeforeHedgeAnswers(t *testing.T) {
 	t.Run("the other refuses it", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
 	t.Run("the other fails", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
 	t.Run("the other takes it and refuses it after a while", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(4 * eventPace)
+			time.Sleep(4 * eventInterval)
 			site.Refuse(w, r)
 		})
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
 	t.Run("the other begins, and goes on from the last event that the caller has", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, streamed, 0) })
+		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, streamEvents, 0) })
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
 }
 
 // A runner that had fallen silent was taken for dead, and its stream closed before another runner was asked; that one refused it, while the
 // first went on 1.2 s later, with nobody left to take its answer.
-func TestSilentRunnerIsKeptUntilAnotherAnswers(t *testing.T) {
+func TestSilentRunnerDroppedBeforeHedgeAnswers(t *testing.T) {
 	pauses := func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
 		select {
-		case <-time.After(4 * leastSilence):
+		case <-time.After(4 * minSilence):
 		case <-r.Context().Done():
 			return
 		}
 		r.Header.Set("Last-Event-Id", "4")
-		site.Events(w, r, streamed, 0)
+		site.Events(w, r, streamEvents, 0)
 	}
 	sleeps := func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-time.After(4 * leastSilence):
+		case <-time.After(4 * minSilence):
 			site.Answer(w, r, "late and whole")
 		case <-r.Context().Done():
 		}
@@ -84,7 +84,7 @@
 			defer w.stop()
 			got := w.call(t, "POST", "/stream/x", "prompt")
 			require.NoError(t, got.err, "the answer of a runner that was only slow was cut")
-			assert.Equal(t, pieces(streamed), got.body)
+			assert.Equal(t, pieces(streamEvents), got.body)
 		})
 		t.Run("a request without an answer so far, where "+other.name, func(t *testing.T) {
 			w := silentWorld(t, sleeps, other.answers)
@@ -97,7 +97,7 @@
 }
 
 // A second attempt costs a place at its runner, which nobody must hold in vain.
-func TestSecondAttemptEnds(t *testing.T) {
+func TestHedgeNotCancelled(t *testing.T) {
 	left := make(chan struct{}, 2)
 	waits := func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -116,20 +116,20 @@
 	t.Run("where the first one's answer is whole before", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, waits)
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 		assertLeft(t, 1)
 	})
 	t.Run("where its runner takes longer than a stream that is being answered waits", func(t *testing.T) {
 		w, loads, _ := loadingWorld(t, waits)
 		defer w.stop()
 		holds := make(chan struct{})
-		loads.Handle = pausesAfterFive(w, holds)
+		loads.Handle = pauseAfterFifthEvent(w, holds)
 		conn := w.prompt(t, "/prompt/x")
 		assertLeft(t, 1)
 		close(holds)
 		got := read(t, conn, "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, pieces(streamEvents), got.body)
 	})
 	t.Run("at both runners, where the caller leaves", func(t *testing.T) {
 		var asked atomic.Int64
@@ -147,17 +147,17 @@
 }
 
 // A request gets no second attempt that its route or the retry budget doesn't allow, and only one.
-func TestSecondAttemptIsBounded(t *testing.T) {
+func TestHedgeExceedsLimits(t *testing.T) {
 	t.Run("one that was refused is the last", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
 		third := &site.Engine{Model: site.Model, Version: 1}
 		third.ID, third.Handle = "third", site.Refuse
 		w.addEngine(t, third)
-		report(w, "third", deployment.Load{Running: 60, UsedTokens: 3000})
+		setReport(w, "third", deployment.Load{Running: 60, UsedTokens: 3000})
 		got := read(t, w.prompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, pieces(streamEvents), got.body)
 		assert.Len(t, loads.Runs(), 1)
 		assert.LessOrEqual(t, len(other.Runs())+len(third.Runs()), 1, "the route allows two runners")
 	})
@@ -174,7 +174,7 @@
 	})
 	t.Run("none is begun for a request that must not run twice", func(t *testing.T) {
 		late := func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(3 * leastSilence)
+			time.Sleep(3 * minSilence)
 			site.Answer(w, r, "once")
 		}
 		var second atomic.Int64
@@ -187,8 +187,8 @@
 	})
 }
 
-// TestConnectionIsKept: a connection to a runner costs it a place, and a caller a round trip.
-func TestConnectionIsKept(t *testing.T) {
+// TestConnectionNotReused: a connection to a runner costs it a place, and a caller a round trip.
+func TestConnectionNotReused(t *testing.T) {
 	w := begin(t, defaultConfig(), &site.Runner{ID: "a"})
 	defer w.stop()
 	for range 5 {
@@ -199,10 +199,10 @@
 }
 
 const (
-	// streamed is how many events the streams of these tests have.
-	streamed = 9
-	// eventPace is how long a runner that loads soon takes for each event.
-	eventPace = 40 * time.Millisecond
+	// streamEvents is how many events the streams of these tests have.
+	streamEvents = 9
+	// eventInterval is how long a runner that loads soon takes for each event.
+	eventInterval = 40 * time.Millisecond
 )
 
 // loadingWorld is an entry before an engine that reports a load after the fourth event of its stream and ends what it has begun, and
@@ -216,10 +216,10 @@
 	other.Handle = answers
 	loads.Handle = func(rw http.ResponseWriter, r *http.Request) {
 		site.Events(rw, r, 4, 0)
-		report(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
-		for last := 5; last <= streamed; last++ {
+		setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
+		for last := 5; last <= streamEvents; last++ {
 			select {
-			case <-time.After(eventPace):
+			case <-time.After(eventInterval):
 			case <-r.Context().Done():
 				return
 			}
@@ -228,34 +228,34 @@
 		}
 	}
 	w = enginesWorld(t, loads, other)
-	report(w, "other", deployment.Load{Running: 60, UsedTokens: 3000})
+	setReport(w, "other", deployment.Load{Running: 60, UsedTokens: 3000})
 	return w, loads, other
 }
 
-// pausesAfterFive has the engine that loads soon report it after the fourth event of its stream, and go on after the fifth once it may.
-func pausesAfterFive(w *world, goOn <-chan struct{}) http.HandlerFunc {
+// pauseAfterFifthEvent has the engine that loads soon report it after the fourth event of its stream, and go on after the fifth once it may.
+func pauseAfterFifthEvent(w *world, goOn <-chan struct{}) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		site.Events(rw, r, 4, 0)
-		report(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
+		setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 		r.Header.Set("Last-Event-Id", "4")
-		time.Sleep(eventPace)
+		time.Sleep(eventInterval)
 		site.Events(rw, r, 5, 0)
 		<-goOn
 		r.Header.Set("Last-Event-Id", "5")
-		site.Events(rw, r, streamed, 0)
+		site.Events(rw, r, streamEvents, 0)
 	}
 }
 
-func report(w *world, id rillreach.InstanceID, load deployment.Load) {
+func setReport(w *world, id rillreach.InstanceID, load deployment.Load) {
 	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
 }
 
-// assertWholeBeside checks that a stream of the first engine is whole though the other was asked to go on with it.
-func assertWholeBeside(t *testing.T, w *world, loads, other *site.Engine) {
+// assertStreamCompleteWithHedge checks that a stream of the first engine is whole though the other was asked to go on with it.
+func assertStreamCompleteWithHedge(t *testing.T, w *world, loads, other *site.Engine) {
 	t.Helper()
 	got := read(t, w.prompt(t, "/prompt/x"), "POST")
 	require.NoError(t, got.err, "the answer was cut though its runner was answering it")
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, pieces(streamEvents), got.body)
 	assert.Len(t, loads.Runs(), 1)
 	require.Len(t, other.Runs(), 1, "the other runner was not asked")
 }
@@ -263,11 +263,11 @@
 // silentWorld is an entry before a runner that answers as given and isn't known to live, and another that is listed once that is asked.
 func silentWorld(t *testing.T, first, second http.HandlerFunc) *world {
 	t.Helper()
-	return silentWorldAt(t, defaultConfig(), first, second)
+	return silentWorldWithConfig(t, defaultConfig(), first, second)
 }
 
-// silentWorldAt is the same with a configuration.
-func silentWorldAt(t *testing.T, config jsonMap, first, second http.HandlerFunc) *world {
+// silentWorldWithConfig is the same with a configuration.
+func silentWorldWithConfig(t *testing.T, config jsonMap, first, second http.HandlerFunc) *world {
 	t.Helper()
 	a, b := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: second}
 	w := begin(t, config, a)
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -48,7 +48,7 @@
 // promptStateOf looks up who holds the shared parts of the request's prompt.
 func (g *Gateway) promptStateOf(x *exchange, weights deployment.WeightVersion, views []*roster.View, now time.Time) *promptState {
 	p := &promptState{
-		salt: salt(x, weights), shared: x.wire.Prompt.SharedParts(), places: map[netip.AddrPort]placeInfo{}, near: map[rillreach.ZoneID][][]fetch.Holder{},
+		salt: cacheSalt(x, weights), shared: x.wire.Prompt.SharedParts(), places: map[netip.AddrPort]placeInfo{}, near: map[rillreach.ZoneID][][]fetch.Holder{},
 	}
 	if p.salt == "" {
 		return p
@@ -77,7 +77,7 @@
 	}
 	p.until = clock.Add(fetchWithin)
 	for _, s := range x.config.CacheStores() {
-		if !g.allows(x, s.Zone) {
+		if !g.allowsZone(x, s.Zone) {
 			continue
 		}
 		until, busy, ok := g.stores.usable(s.Address, p.salt, now)
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -15,40 +15,40 @@
 const (
 	// leavingBound is how long after its word an entry that was told may still send requests to a runner that leaves, leavingFor how long the load
 	// goes on after that.
-	leavingBound = 2 * time.Second
-	leavingFor   = time.Second
-	leavingEvery = 10 * time.Millisecond
+	leavingBound        = 2 * time.Second
+	leavingDuration     = time.Second
+	leavingSendInterval = 10 * time.Millisecond
 )
 
 // leavingRunner says in its answers alone that it leaves, once it does, and counts what it gets.
 type leavingRunner struct {
-	leaves  atomic.Bool
-	told    atomic.Int64
-	reached arrivals
-	answer  http.HandlerFunc
+	leaving     atomic.Bool
+	announcedAt atomic.Int64
+	arrivals    arrivals
+	answer      http.HandlerFunc
 }
 
 func (l *leavingRunner) handle(w http.ResponseWriter, req *http.Request) {
-	l.reached.add()
-	if l.leaves.Load() {
+	l.arrivals.add()
+	if l.leaving.Load() {
 		w.Header().Set("Server-Leaving", "1")
-		l.told.CompareAndSwap(0, time.Now().UnixNano())
+		l.announcedAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
 	l.answer(w, req)
 }
 
-// assertLeft has a load come while the runner leaves, and asserts that nothing reaches it once the bound is over.
-func assertLeft(t *testing.T, l *leavingRunner, w *world, send func(*world), meanwhile func()) {
+// assertNoLateRequests has a load come while the runner leaves, and asserts that nothing reaches it once the bound is over.
+func assertNoLateRequests(t *testing.T, l *leavingRunner, w *world, send func(*world), meanwhile func()) {
 	t.Helper()
-	stop := load(leavingEvery, []*world{w}, send)
+	stop := startLoad(leavingSendInterval, []*world{w}, send)
 	defer stop()
-	require.Eventually(t, func() bool { return l.reached.len() > 0 }, wait, time.Millisecond)
-	l.leaves.Store(true)
-	require.Eventually(t, func() bool { return l.told.Load() != 0 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return l.arrivals.len() > 0 }, wait, time.Millisecond)
+	l.leaving.Store(true)
+	require.Eventually(t, func() bool { return l.announcedAt.Load() != 0 }, wait, time.Millisecond)
 	meanwhile()
-	time.Sleep(leavingBound + leavingFor)
+	time.Sleep(leavingBound + leavingDuration)
 	late := 0
-	for _, after := range l.reached.since(time.Unix(0, l.told.Load())) {
+	for _, after := range l.arrivals.elapsedSince(time.Unix(0, l.announcedAt.Load())) {
 		if after > leavingBound {
 			late++
 		}
@@ -56,8 +56,8 @@
 	assert.Zero(t, late, "requests that reached it after the bound")
 }
 
-// TestNothingReachesRunnerThatSaysItLeaves: requests went on to a runner whose answers said that it leaves while the store's record did not.
-func TestNothingReachesRunnerThatSaysItLeaves(t *testing.T) {
+// TestRequestsSentToLeavingRunner: requests went on to a runner whose answers said that it leaves while the store's record did not.
+func TestRequestsSentToLeavingRunner(t *testing.T) {
 	whole := func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "leaves") }
 	call := func(t *testing.T, path string) func(*world) {
 		t.Helper()
@@ -68,14 +68,14 @@
 		l := leavingRunner{answer: whole}
 		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
-		assertLeft(t, &l, w, call(t, "/once/x"), func() {})
+		assertNoLateRequests(t, &l, w, call(t, "/once/x"), func() {})
 	})
 	t.Run("by a refusal", func(t *testing.T) {
 		t.Parallel()
 		l := leavingRunner{answer: site.Refuse}
 		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
-		assertLeft(t, &l, w, call(t, "/repeat/x"), func() {})
+		assertNoLateRequests(t, &l, w, call(t, "/repeat/x"), func() {})
 	})
 	t.Run("by the head of a stream", func(t *testing.T) {
 		t.Parallel()
@@ -83,7 +83,7 @@
 		sound := &site.Runner{ID: "sound", Handle: func(w http.ResponseWriter, req *http.Request) { site.Events(w, req, 2, 0) }}
 		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, sound)
 		defer w.stop()
-		assertLeft(t, &l, w, call(t, "/flow/x"), func() {})
+		assertNoLateRequests(t, &l, w, call(t, "/flow/x"), func() {})
 	})
 	t.Run("though a record says after that that it is ready", func(t *testing.T) {
 		t.Parallel()
@@ -91,7 +91,7 @@
 		leaving := &site.Runner{ID: "leaves", Handle: l.handle}
 		w := begin(t, defaultConfig(), leaving, &site.Runner{ID: "sound"})
 		defer w.stop()
-		assertLeft(t, &l, w, call(t, "/once/x"), func() {
+		assertNoLateRequests(t, &l, w, call(t, "/once/x"), func() {
 			again := record(leaving, "ready")
 			again["slots"] = 7
 			w.store.Put("servers", leaving.ID, again)
@@ -104,16 +104,16 @@
 		w := begin(t, defaultConfig(), leaving)
 		defer w.stop()
 		listed := record(leaving, "ready")
-		listed["born"] = earlier
+		listed["born"] = earlierGeneration
 		w.store.Put("servers", leaving.ID, listed)
-		l.leaves.Store(true)
+		l.leaving.Store(true)
 		w.eventually(t, func() bool {
 			w.call(t, "POST", "/once/x", "body")
 			return w.gateway.state.Roster.Find("leaves").View(time.Now()).Leaving
 		})
-		l.leaves.Store(false)
+		l.leaving.Store(false)
 		restarted := record(leaving, "ready")
-		restarted["born"] = later
+		restarted["born"] = laterGeneration
 		w.store.Put("servers", leaving.ID, restarted)
 		w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
 	})
--- a/gateway/limit_reporter.go
+++ b/gateway/limit_reporter.go
@@ -73,7 +73,7 @@
 	g := l.gateway
 	for _, r := range runners {
 		if r.PaceLimitPermits(now, g.budgets.Entries(), rand.Float64()) {
-			g.line.changed()
+			g.line.notify()
 		}
 	}
 }
@@ -121,5 +121,5 @@
 		g.Log.Info("limits not reported", "decision", "retry", "agent", agent, "limits", len(report.Limits), "cause", err.Error())
 		return
 	}
-	g.limited.setReported(runners, now)
+	g.limited.markReported(runners, now)
 }
--- a/gateway/limited_runners.go
+++ b/gateway/limited_runners.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// limitLiftedFor is for how long a runner is kept that names no limit any more, so that an agent which can't be reached now hears of that.
-	limitLiftedFor = 3 * time.Second
-	// limitUntold is how long an agent may allot nothing under a limit before it is told of it once more.
-	limitUntold = time.Second
+	// liftedLimitRetention is for how long a runner is kept that names no limit any more, so that an agent which can't be reached now hears of that.
+	liftedLimitRetention = 3 * time.Second
+	// allocationTimeout is how long an agent may allot nothing under a limit before it is told of it once more.
+	allocationTimeout = time.Second
 )
 
 // limitedRunners are the runners that name a limit, or lately named one; the zero value has none.
@@ -26,32 +26,32 @@
 
 // limitState is when the limit of one runner changed and was reported.
 type limitState struct {
-	// changed is when its limit last changed.
-	changed time.Time
-	// observed is when there last was something to report, zero where there is nothing.
-	observed time.Time
+	// changedAt is when its limit last changedAt.
+	changedAt time.Time
+	// unreportedSince is when there last was something to report, zero where there is nothing.
+	unreportedSince time.Time
 }
 
-// noteChanged records that the limit of a runner has changed.
-func (l *limitedRunners) noteChanged(r *roster.Runner, now time.Time) {
+// recordChange records that the limit of a runner has changed.
+func (l *limitedRunners) recordChange(r *roster.Runner, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.of(r).changed = now
+	l.state(r).changedAt = now
 }
 
-// noteUnreported records that there is something to report of a runner.
-func (l *limitedRunners) noteUnreported(r *roster.Runner, now time.Time) {
+// markUnreported records that there is something to report of a runner.
+func (l *limitedRunners) markUnreported(r *roster.Runner, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.of(r)
-	known.observed = now
-	if known.changed.IsZero() {
-		known.changed = now // it is kept for as long as one whose limit was just lifted
+	known := l.state(r)
+	known.unreportedSince = now
+	if known.changedAt.IsZero() {
+		known.changedAt = now // it is kept for as long as one whose limit was just lifted
 	}
 }
 
-// of is what is known of a runner; the lock is held.
-func (l *limitedRunners) of(r *roster.Runner) *limitState {
+// state is what is known state a runner; the lock is held.
+func (l *limitedRunners) state(r *roster.Runner) *limitState {
 	if l.byRunner == nil {
 		l.byRunner = map[*roster.Runner]*limitState{}
 	}
@@ -67,7 +67,7 @@
 	defer l.mu.Unlock()
 	var all []*roster.Runner
 	for r, known := range l.byRunner {
-		lifted := !r.Limit().Limit.Bounded && now.Sub(known.changed) >= limitLiftedFor
+		lifted := !r.Limit().Limit.Bounded && now.Sub(known.changedAt) >= liftedLimitRetention
 		if lifted || list.Find(r.Info().ID) != r {
 			delete(l.byRunner, r)
 			continue
@@ -84,21 +84,21 @@
 	var all []*roster.Runner
 	for _, r := range runners {
 		known := l.byRunner[r]
-		untold := r.Limit().Limit.Bounded && r.SinceLimitGrant(now) >= limitUntold
-		if known != nil && (!known.observed.IsZero() || untold) {
+		untold := r.Limit().Limit.Bounded && r.SinceLimitGrant(now) >= allocationTimeout
+		if known != nil && (!known.unreportedSince.IsZero() || untold) {
 			all = append(all, r)
 		}
 	}
 	return all
 }
 
-// setReported records that all was reported that there was until the moment.
-func (l *limitedRunners) setReported(runners []*roster.Runner, until time.Time) {
+// markReported records that all was reported that there was until the moment.
+func (l *limitedRunners) markReported(runners []*roster.Runner, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range runners {
-		if known := l.byRunner[r]; known != nil && !known.observed.After(until) {
-			known.observed = time.Time{}
+		if known := l.byRunner[r]; known != nil && !known.unreportedSince.After(until) {
+			known.unreportedSince = time.Time{}
 		}
 	}
 }
--- a/gateway/limited_runners_test.go
+++ b/gateway/limited_runners_test.go
@@ -16,42 +16,42 @@
 	limit := backpressure.Limit{Bounded: true, PerSecond: 2}
 	begin := func() (*roster.Roster, *roster.Runner, *limitedRunners) {
 		list := &roster.Roster{}
-		list.Put(deployment.Runner{ID: "r", Service: "s", Address: enginePlace})
+		list.Put(deployment.Runner{ID: "r", Service: "s", Address: engineAddress})
 		return list, list.Find("r"), &limitedRunners{}
 	}
 	t.Run("an answer is reported once", func(t *testing.T) {
 		list, r, limited := begin()
 		r.ObserveLimit(now, backpressure.Observation{Limit: limit, Sent: now, Received: now})
-		limited.noteChanged(r, now)
-		limited.noteUnreported(r, now)
+		limited.recordChange(r, now)
+		limited.markUnreported(r, now)
 		assert.Len(t, limited.unreported(limited.current(list, now), now), 1)
-		limited.setReported([]*roster.Runner{r}, now)
+		limited.markReported([]*roster.Runner{r}, now)
 		assert.Empty(t, limited.unreported(limited.current(list, now), now))
 	})
 	t.Run("and one that comes while another is reported, too", func(t *testing.T) {
 		list, r, limited := begin()
-		limited.noteUnreported(r, now.Add(1))
-		limited.setReported([]*roster.Runner{r}, now)
+		limited.markUnreported(r, now.Add(1))
+		limited.markReported([]*roster.Runner{r}, now)
 		assert.Len(t, limited.unreported(limited.current(list, now), now), 1)
 	})
 	t.Run("a limit under which nothing is allotted is reported again", func(t *testing.T) {
 		list, r, limited := begin()
 		r.ObserveLimit(now, backpressure.Observation{Limit: limit, Sent: now, Received: now})
-		limited.noteChanged(r, now)
-		assert.Empty(t, limited.unreported(limited.current(list, now), now.Add(limitUntold-1)))
-		assert.Len(t, limited.unreported(limited.current(list, now), now.Add(limitUntold)), 1)
+		limited.recordChange(r, now)
+		assert.Empty(t, limited.unreported(limited.current(list, now), now.Add(allocationTimeout-1)))
+		assert.Len(t, limited.unreported(limited.current(list, now), now.Add(allocationTimeout)), 1)
 	})
 	t.Run("an agent that tells of a limit which was lifted long ago is told so", func(t *testing.T) {
 		list, r, limited := begin()
-		limited.noteUnreported(r, now)
+		limited.markUnreported(r, now)
 		assert.Len(t, limited.unreported(limited.current(list, now), now), 1)
 	})
 	t.Run("runners that are gone, or have named no limit for long, are left out", func(t *testing.T) {
 		list, r, limited := begin()
-		limited.noteChanged(r, now)
-		assert.Len(t, limited.current(list, now.Add(limitLiftedFor-1)), 1)
-		assert.Empty(t, limited.current(list, now.Add(limitLiftedFor)))
-		limited.noteChanged(r, now)
+		limited.recordChange(r, now)
+		assert.Len(t, limited.current(list, now.Add(liftedLimitRetention-1)), 1)
+		assert.Empty(t, limited.current(list, now.Add(liftedLimitRetention)))
+		limited.recordChange(r, now)
 		list.Remove(now, "r", time.Time{})
 		assert.Empty(t, limited.current(list, now))
 	})
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -18,8 +18,8 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// limited is the usual configuration with other limits.
-func limited(limits jsonMap) jsonMap {
+// configWithLimits is the usual configuration with other limits.
+func configWithLimits(limits jsonMap) jsonMap {
 	config := defaultConfig()
 	all := jsonMap{"max_header_bytes": 16384, "max_body_bytes": 65536, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
 	for name, value := range limits {
@@ -29,20 +29,20 @@
 	return config
 }
 
-func TestLimitsOfTheConfiguration(t *testing.T) {
+func TestConfiguredLimits(t *testing.T) {
 	large := "X-Large: " + strings.Repeat("x", 40<<10)
 	t.Run("a head that the configuration allows is served, however large", func(t *testing.T) {
-		w := begin(t, limited(jsonMap{"max_header_bytes": 64 << 10}))
+		w := begin(t, configWithLimits(jsonMap{"max_header_bytes": 64 << 10}))
 		defer w.stop()
 		assertOwn(t, w.call(t, "GET", "/repeat/", "", large), http.StatusServiceUnavailable) // there is no runner
 	})
 	t.Run("a head over the configuration's limit is refused", func(t *testing.T) {
-		w := begin(t, limited(nil))
+		w := begin(t, configWithLimits(nil))
 		defer w.stop()
 		assertOwn(t, w.call(t, "GET", "/repeat/", "", large), http.StatusRequestHeaderFieldsTooLarge)
 	})
 	t.Run("a connection that rests too long is closed", func(t *testing.T) {
-		w := begin(t, limited(jsonMap{"idle_timeout_ms": 1}))
+		w := begin(t, configWithLimits(jsonMap{"idle_timeout_ms": 1}))
 		defer w.stop()
 		conn, err := net.Dial("tcp", w.callers)
 		require.NoError(t, err)
@@ -55,7 +55,7 @@
 		assert.Contains(t, string(all), "503")
 	})
 	t.Run("a head that begins and does not end closes its connection", func(t *testing.T) {
-		w := begin(t, limited(jsonMap{"header_timeout_ms": 1}))
+		w := begin(t, configWithLimits(jsonMap{"header_timeout_ms": 1}))
 		defer w.stop()
 		conn := w.dial(t)
 		_, err := io.WriteString(conn, "GET /repeat/ HTTP/1.1\r\n")
@@ -65,7 +65,7 @@
 		assert.NoError(t, err, "the entry closes the connection")
 	})
 	t.Run("a few bytes after an answer do not keep a connection for good", func(t *testing.T) {
-		w := begin(t, limited(jsonMap{"header_timeout_ms": 1, "idle_timeout_ms": 1}), &site.Runner{ID: "r1"})
+		w := begin(t, configWithLimits(jsonMap{"header_timeout_ms": 1, "idle_timeout_ms": 1}), &site.Runner{ID: "r1"})
 		defer w.stop()
 		conn := w.dial(t)
 		w.ask(t, conn, "/repeat/x")
@@ -81,7 +81,7 @@
 		assert.NoError(t, err, "the entry closes the connection")
 	})
 	t.Run("a head may begin just before the rest is over", func(t *testing.T) {
-		w := begin(t, limited(jsonMap{"idle_timeout_ms": 1}), &site.Runner{ID: "r1"})
+		w := begin(t, configWithLimits(jsonMap{"idle_timeout_ms": 1}), &site.Runner{ID: "r1"})
 		defer w.stop()
 		conn := w.dial(t)
 		head := fmt.Sprintf("GET /repeat/ HTTP/1.1\r\nHost: %s\r\nX-Rillreach-Attempt-Id: a1\r\nAuthorization: Bearer %s\r\n\r\n", host, key)
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestConnectionInUseIsNotClosed(t *testing.T) {
+func TestIdleTimeoutClosesActiveConnection(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	hour := func() time.Duration { return time.Hour }
@@ -112,9 +112,9 @@
 	assert.NoError(t, ours.SetDeadline(time.Now().Add(time.Hour)), "the connection is still open")
 }
 
-// TestHungWatchIsNoticedInTime: a watch that the store swallowed at the end of its trouble must be given up before the entry
+// TestHungWatchNoticedTooLate: a watch that the store swallowed at the end of its trouble must be given up before the entry
 // counts as undisturbed again.
-func TestHungWatchIsNoticedInTime(t *testing.T) {
+func TestHungWatchNoticedTooLate(t *testing.T) {
 	const givenUpAfter = 700 * time.Millisecond // beyond its wait, by the client of the store
 	for _, contact := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
 		g := &Gateway{Settings: &deployment.Settings{Bounds: deployment.Bounds{Recovery: contact, RunnerDrainNotice: 2 * time.Second}}}
@@ -123,10 +123,10 @@
 	}
 }
 
-// TestRestUnderNewerConfiguration: a rest that began under a shorter limit is measured by the one in force when it ends, since
+// TestIdleTimeoutUsesOldConfig: a rest that began under a shorter limit is measured by the one in force when it ends, since
 // the caller goes by that one.
-func TestRestUnderNewerConfiguration(t *testing.T) {
-	w := begin(t, limited(jsonMap{"idle_timeout_ms": 200}), &site.Runner{ID: "r1"})
+func TestIdleTimeoutUsesOldConfig(t *testing.T) {
+	w := begin(t, configWithLimits(jsonMap{"idle_timeout_ms": 200}), &site.Runner{ID: "r1"})
 	defer w.stop()
 	conn := w.dial(t)
 	answers := bufio.NewReader(conn)
@@ -140,7 +140,7 @@
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
 	}
 	assertServed()
-	longer := limited(jsonMap{"idle_timeout_ms": 60000})
+	longer := configWithLimits(jsonMap{"idle_timeout_ms": 60000})
 	longer["version"] = 2
 	w.store.Put("config", "main", longer)
 	w.eventually(t, func() bool { return w.gateway.idleAllowed() > time.Minute })
--- a/gateway/line_test.go
+++ b/gateway/line_test.go
@@ -17,17 +17,17 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// fullEngine is a load that leaves no room in the memory of the stand-in's engines.
-var fullEngine = deployment.Load{Running: 5, UsedTokens: 39000}
+// fullEngineLoad is a load that leaves no room in the memory of the stand-in's engines.
+var fullEngineLoad = deployment.Load{Running: 5, UsedTokens: 39000}
 
-// TestPromptWaitsForRoom: a prompt for which no engine has room stays at the entry until one has, or until its caller would be gone.
-func TestPromptWaitsForRoom(t *testing.T) {
+// TestPromptSentToFullEngine: a prompt for which no engine has room stays at the entry until one has, or until its caller would be gone.
+func TestPromptSentToFullEngine(t *testing.T) {
 	begin := func(t *testing.T) (*world, *site.Engine) {
 		t.Helper()
 		engine := &site.Engine{Model: site.Model, Version: 1}
 		engine.ID = "e"
 		w := enginesWorld(t, engine)
-		w.report("e", fullEngine)
+		w.reportLoad("e", fullEngineLoad)
 		return w, engine
 	}
 	t.Run("it is sent once there is room", func(t *testing.T) {
@@ -36,7 +36,7 @@
 		conn := w.prompt(t, "/prompt/x")
 		w.eventually(t, func() bool { return w.gateway.line.len() == 1 })
 		assert.Empty(t, engine.Runs())
-		w.report("e", deployment.Load{})
+		w.reportLoad("e", deployment.Load{})
 		got := read(t, conn, "POST")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
@@ -48,7 +48,7 @@
 		w.eventually(t, func() bool { return w.gateway.line.len() == 1 })
 		require.NoError(t, conn.Close())
 		w.eventually(t, func() bool { return w.gateway.line.len() == 0 })
-		w.report("e", deployment.Load{})
+		w.reportLoad("e", deployment.Load{})
 		assert.Empty(t, engine.Runs())
 	})
 	t.Run("where no room comes it is refused as not run, with a time to come back", func(t *testing.T) {
@@ -63,20 +63,20 @@
 	})
 }
 
-// report has the engine's agent say how it is.
-func (w *world) report(id rillreach.InstanceID, load deployment.Load) {
+// reportLoad has the engine's agent say how it is.
+func (w *world) reportLoad(id rillreach.InstanceID, load deployment.Load) {
 	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
-	w.gateway.line.changed()
+	w.gateway.line.notify()
 }
 
-// TestBacklogRefusesAtOnce: what waits already keeps a prompt from an engine until its caller has gone, so that it isn't held.
-func TestBacklogRefusesAtOnce(t *testing.T) {
+// TestBacklogHoldsDoomedRequest: what waits already keeps a prompt from an engine until its caller has gone, so that it isn't held.
+func TestBacklogHoldsDoomedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, x := beforeEngines(1)
+		g, x := gatewayWithEngines(1)
 		g.state.Roster.Find("r0").SetReport(roster.Report{Load: deployment.Load{Running: 1, UsedTokens: 70000}, ReceivedAt: time.Now().Add(time.Hour)})
 		now := time.Now()
 		x.arrived, x.ends = now, now.Add(3*time.Second)
-		g.line.backlog.Record(now, 3000) // 1,000 tokens a second
+		g.line.admitRate.Record(now, 3000) // 1,000 tokens a second
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		first := make(chan string, 1)
@@ -96,10 +96,10 @@
 	})
 }
 
-// TestHeadOfLineKeepsItsEngine: small prompts don't take the room that comes back before a large one that waits first.
-func TestHeadOfLineKeepsItsEngine(t *testing.T) {
+// TestSmallPromptsStarveLargePrompt: small prompts don't take the room that comes back before a large one that waits first.
+func TestSmallPromptsStarveLargePrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, large := beforeEngines(1)
+		g, large := gatewayWithEngines(1)
 		report := func(used int) {
 			g.state.Roster.Find("r0").SetReport(roster.Report{Load: deployment.Load{Running: 1, UsedTokens: used}, ReceivedAt: time.Now().Add(time.Hour)})
 		}
@@ -120,11 +120,11 @@
 		synctest.Wait()
 		require.Equal(t, 2, g.line.len())
 		report(50000) // room for the small one alone
-		g.line.look(time.Now())
+		g.line.admitWaiting(time.Now())
 		synctest.Wait()
 		assert.Empty(t, admitted)
 		report(1000)
-		g.line.look(time.Now())
+		g.line.admitWaiting(time.Now())
 		assert.Equal(t, "large", <-admitted)
 	})
 }
--- a/gateway/loads_soon.go
+++ b/gateway/loads_soon.go
@@ -6,15 +6,15 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// beginsWithin is the least that a stream that moves is taken to wait at its new runner for its first token: streams waited 0.2 s to 1.6 s
+// minExpectedWait is the least that a stream that moves is taken to wait at its new runner for its first token: streams waited 0.2 s to 1.6 s
 // there before a load began and refused them.
-const beginsWithin = 1500 * time.Millisecond
+const minExpectedWait = 1500 * time.Millisecond
 
-// loadsSoon reports that the runner may begin to load newer weights before a stream that moves there has begun, and would then refuse it.
+// weightLoadImminent reports that the runner may begin to load newer weights before a stream that moves there has begun, and would then refuse it.
 // Where newer weights are named and the runner's agent has not told its start yet, that may be at any moment.
-func (g *Gateway) loadsSoon(x *exchange, v *roster.View) bool {
+func (g *Gateway) weightLoadImminent(x *exchange, v *roster.View) bool {
 	if v.WeightLoadScheduled {
-		return v.TimeToWeightLoad < max(v.ExpectedWait, beginsWithin)
+		return v.TimeToWeightLoad < max(v.ExpectedWait, minExpectedWait)
 	}
 	return !g.state.ReplacedAt(x.wire.Prompt.Model, v.Weights[x.wire.Prompt.Model]).IsZero()
 }
--- a/gateway/loads_soon_test.go
+++ b/gateway/loads_soon_test.go
@@ -16,10 +16,10 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// TestStreamStaysWhereOthersLoadSoon: an engine is about to load weights, and so is the only other one. A stream that moved there in
+// TestStreamMovesToEngineAboutToLoad: an engine is about to load weights, and so is the only other one. A stream that moved there in
 // the time between announcement and load waited for its first token, and was refused 0.21 to 0.28 s later when the load began: three
 // of three cut answers in ten plays had that shape.
-func TestStreamStaysWhereOthersLoadSoon(t *testing.T) {
+func TestStreamMovesToEngineAboutToLoad(t *testing.T) {
 	announced, last := make(chan struct{}), make(chan struct{})
 	loads := &site.Engine{Model: site.Model, Version: 1}
 	loads.ID = "loads"
@@ -59,16 +59,16 @@
 	assert.Empty(t, soon.Runs())
 }
 
-// TestRunnersThatLoadSoon: which runners a stream that moves leaves out as long as there are others.
-func TestRunnersThatLoadSoon(t *testing.T) {
+// TestAvoidsRunnersAboutToLoad: which runners a stream that moves leaves out as long as there are others.
+func TestAvoidsRunnersAboutToLoad(t *testing.T) {
 	avoids := func(change func(*Gateway, *exchange, *roster.Report)) bool {
-		g, x := beforeEngines(1)
+		g, x := gatewayWithEngines(1)
 		now := time.Now()
 		x.began = true
 		report := roster.Report{ReceivedAt: now}
 		change(g, x, &report)
 		g.state.Roster.Find("r0").SetReport(report)
-		return g.options(x, g.viewsAt(now), now).candidates[0].Avoided
+		return g.findOptions(x, g.viewsAt(now), now).candidates[0].Avoided
 	}
 	loadsIn := func(d time.Duration) func(*Gateway, *exchange, *roster.Report) {
 		return func(_ *Gateway, _ *exchange, r *roster.Report) { r.WeightLoadAt = r.ReceivedAt.Add(d) }
@@ -79,7 +79,7 @@
 		}
 	}
 	t.Run("one whose load may begin before the stream does", func(t *testing.T) {
-		assert.True(t, avoids(loadsIn(beginsWithin-time.Millisecond)))
+		assert.True(t, avoids(loadsIn(minExpectedWait-time.Millisecond)))
 	})
 	t.Run("one that is expected to have the stream wait until its load", func(t *testing.T) {
 		assert.True(t, avoids(func(g *Gateway, _ *exchange, r *roster.Report) {
@@ -88,7 +88,7 @@
 		}))
 	})
 	t.Run("not one whose load is far", func(t *testing.T) {
-		assert.False(t, avoids(loadsIn(beginsWithin)))
+		assert.False(t, avoids(loadsIn(minExpectedWait)))
 	})
 	t.Run("one with replaced weights whose agent has not told yet when it loads", func(t *testing.T) {
 		assert.True(t, avoids(name(2)))
--- a/gateway/local_zone_test.go
+++ b/gateway/local_zone_test.go
@@ -18,7 +18,7 @@
 
 // beforeLocalEngines is an entry whose zone has so many engines, as the two others have.
 func beforeLocalEngines(inZone int) (*Gateway, *exchange) {
-	g, x := beforeEngines(zones * inZone)
+	g, x := gatewayWithEngines(zones * inZone)
 	x.config.Services = map[rillreach.ServiceID]*deployment.Service{x.service.Name: x.service}
 	g.state.SetConfig(x.config)
 	g.local.update(g.engineGroups(), g.Settings.Zone)
--- a/gateway/move_test.go
+++ b/gateway/move_test.go
@@ -18,16 +18,16 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// TestStreamStaysWhereOthersHaveNoRoom: an engine is about to load weights, and the only other one is full. A stream that left would
+// TestStreamMovesToFullEngine: an engine is about to load weights, and the only other one is full. A stream that left would
 // wait there for room, with no engine left to be sent to.
-func TestStreamStaysWhereOthersHaveNoRoom(t *testing.T) {
+func TestStreamMovesToFullEngine(t *testing.T) {
 	empties, seen := make(chan struct{}), make(chan struct{})
 	loads := &site.Engine{Model: site.Model, Version: 1}
 	loads.ID = "loads"
 	loads.Handle = func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
-		passEvent(w, 5, empties)
-		passEvent(w, 6, seen)
+		writeEventAfter(w, 5, empties)
+		writeEventAfter(w, 6, seen)
 	}
 	full := &site.Engine{Model: site.Model, Version: 1}
 	full.ID = "full"
@@ -41,7 +41,7 @@
 	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
 	report("loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 	close(empties)
-	body := awaitPiece(t, conn, 5) // so that the entry has decided whether the stream moves
+	body := readThroughEvent(t, conn, 5) // so that the entry has decided whether the stream moves
 	close(seen)
 	rest, err := io.ReadAll(body.rest)
 	require.NoError(t, err)
@@ -49,25 +49,25 @@
 	assert.Empty(t, full.Runs())
 }
 
-// passEvent has a runner make an event once it is its turn.
-func passEvent(w http.ResponseWriter, id int, turn <-chan struct{}) {
+// writeEventAfter has a runner make an event once it is its turn.
+func writeEventAfter(w http.ResponseWriter, id int, turn <-chan struct{}) {
 	<-turn
 	_, _ = io.WriteString(w, site.Piece(id))
 	_ = http.NewResponseController(w).Flush()
 }
 
-// begunBody is an answer of which the caller has read a part.
-type begunBody struct {
+// partialBody is an answer of which the caller has read a part.
+type partialBody struct {
 	read string
 	rest io.Reader
 }
 
-// awaitPiece reads an answer up to the end of an event.
-func awaitPiece(t *testing.T, conn net.Conn, id int) begunBody {
+// readThroughEvent reads an answer up to the end of an event.
+func readThroughEvent(t *testing.T, conn net.Conn, id int) partialBody {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: http.MethodPost})
 	require.NoError(t, err)
-	b := begunBody{rest: resp.Body}
+	b := partialBody{rest: resp.Body}
 	buf := make([]byte, 256)
 	for !strings.HasSuffix(b.read, site.Piece(id)) {
 		n, err := resp.Body.Read(buf)
--- a/gateway/namings_test.go
+++ b/gateway/namings_test.go
@@ -19,7 +19,7 @@
 	g.state.SetWeights(deployment.DesiredWeights{Model: model, Version: 2, Revision: rillreach.Revision{Number: 2}})
 	x := &exchange{service: &deployment.Service{Engine: &deployment.Engine{}}}
 	x.wire.Prompt = &deployment.Prompt{Model: model}
-	admits := func() bool { return g.window(x, 1).Admits(now, 0) }
+	admits := func() bool { return g.startWindow(x, 1).Admits(now, 0) }
 	assert.True(t, admits(), "as far as it knows, they were named just now")
 	g.applyBulletin(&bulletin.Bulletin{Clock: 1_000_000, WeightsFirstSeen: []bulletin.WeightsFirstSeen{{Model: model, Version: 2, At: 1_000_000 - 9_000}}}, now)
 	assert.False(t, admits())
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -170,7 +170,7 @@
 			for i := range crashes {
 				w.gateway.suspects.Record(w.gateway.Clock.Now(), poison.Crash{Request: suspected.Fingerprint(), Runner: rillreach.InstanceID(fmt.Sprint("gone", i))})
 			}
-			time.AfterFunc(3*firstWordAfter(&deployment.Route{TargetLatency: 300 * time.Millisecond})/2, func() { close(release) })
+			time.AfterFunc(3*firstByteTimeout(&deployment.Route{TargetLatency: 300 * time.Millisecond})/2, func() { close(release) })
 			assert.Equal(t, http.StatusOK, w.call(t, "GET", "/repeat/x", "").status)
 			assert.Equal(t, attempts, len(a.Runs())+len(b.Runs()))
 		})
--- a/gateway/poison_world_test.go
+++ b/gateway/poison_world_test.go
@@ -134,7 +134,7 @@
 	agent := &sidecar.Sidecar{
 		Settings: &deployment.Settings{
 			Name: "side-1", Zone: "z1", Host: s.agent.Addr(), FirstPort: s.agent.Port(), LastPort: s.agent.Port(), RunnerAddress: s.engine.Address(), Service: "e",
-			Bounds: deployment.Bounds{WeightsRollout: weightsBound, SlowStartFactor: coldBound.Factor, SlowStartSlack: coldBound.Slack},
+			Bounds: deployment.Bounds{WeightsRollout: weightsBound, SlowStartFactor: coldLimits.Factor, SlowStartSlack: coldLimits.Slack},
 		},
 		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.Weights(client),
 		Runner: platform.NewRunner(s.engine.Address()), Listener: l, Log: logr.Discard(),
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -63,11 +63,11 @@
 		verdict = verdictLeft
 	}
 	g.Log.Error(ctx.Err(), "request given up", "decision", verdict, "request", x.wire.ID, "account", x.accountName(), "route", x.route.Name,
-		"reason", x.reason, "outcome", outcome, "status", status, "began", x.began, "sends", x.sends.sent(), "runners", x.sends.used(),
+		"reason", x.reason, "outcome", outcome, "status", status, "began", x.began, "sends", x.sends.sendCount(), "runners", x.sends.runnersUsed(),
 		"config", x.config.Version, "listAge", g.listAge(time.Now()).String(), "after", time.Since(x.arrived).String())
 	g.Metrics.Request(outcome, verdict)
 	if verdict == verdictTimedOut {
-		g.usual.add(x.route.Name, time.Since(x.arrived)) // it takes that long at the least
+		g.usual.observe(x.route.Name, time.Since(x.arrived)) // it takes that long at the least
 	}
 	if x.began || verdict == verdictLeft {
 		panic(http.ErrAbortHandler) // the connection is cut, so that nothing on it can be taken for a whole answer
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -22,7 +22,7 @@
 		routeOf("none", "non_idempotent", "plain", jsonMap{"allowed_regions": []string{"elsewhere"}}),
 	))
 	for _, zone := range []string{"z1", "z2"} {
-		beginInZone(t, store, zone)
+		startRunnerInZone(t, store, zone)
 	}
 	w := beginWith(t, store, func(s *deployment.Settings) {
 		s.Regions = map[rillreach.ZoneID]rillreach.RegionID{"z1": "here", "z2": "there"}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -27,11 +27,11 @@
 // relay passes the runner's answer on; it reports whether the request is done with.
 func (a *attempt) relay() bool {
 	g, x, t := a.gateway, a.exchange, a.target
-	if a.head.Weights != 0 && x.wire.Prompt != nil {
-		t.runner.SetWeights(x.wire.Prompt.Model, a.head.Weights)
+	if a.headers.Weights != 0 && x.wire.Prompt != nil {
+		t.runner.SetWeights(x.wire.Prompt.Model, a.headers.Weights)
 	}
 	status := a.answer.Response.StatusCode
-	if status >= failureStatus && a.head.RetryAfter == 0 { // one that asks for rest says by itself for how long it is to be left alone
+	if status >= failureStatus && a.headers.RetryAfter == 0 { // one that asks for rest says by itself for how long it is to be left alone
 		share := t.runner.RecordFailure(time.Now())
 		g.Log.Info("runner failed the request", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "status", status, "failures", share)
 	}
@@ -73,7 +73,7 @@
 	if status < failureStatus {
 		t.runner.RecordSuccess(time.Now())
 	}
-	if !a.head.Sealed && status == http.StatusServiceUnavailable {
+	if !a.headers.Sealed && status == http.StatusServiceUnavailable {
 		x.maybeRan, x.reason = true, "runner-unavailable"
 		return false // it promises nothing, while the same status from us would
 	}
@@ -90,7 +90,7 @@
 
 // brokeOff records that the answer broke off; the request isn't done with.
 func (a *attempt) brokeOff(cause error) bool {
-	a.failed(cause)
+	a.handleFailure(cause)
 	return false
 }
 
@@ -106,7 +106,7 @@
 // mayAskAnother reports that another runner may be asked once this one has ended.
 func (a *attempt) mayAskAnother() bool {
 	x := a.exchange
-	return !x.route.AtMostOnce() && x.mayMove() && a.parent.Err() == nil && a.gateway.budgets.Allows(time.Now(), x.service.Name)
+	return !x.route.AtMostOnce() && x.mayMove() && a.requestCtx.Err() == nil && a.gateway.budgets.Allows(time.Now(), x.service.Name)
 }
 
 // relayLarge passes on an answer that is too large to be held.
@@ -137,7 +137,7 @@
 
 // noteLost records why the rest of an answer can't be had, where it is the runner that ended it.
 func (a *attempt) noteLost() {
-	if a.lost != nil && a.cause(a.lost) == causeRunnerEnded {
+	if a.readErr != nil && a.cause(a.readErr) == causeRunnerEnded {
 		a.noteCrash()
 	}
 }
@@ -168,7 +168,7 @@
 		g.beginAnswer(x, a.answer)
 		x.writer.WriteHeader(a.answer.Response.StatusCode)
 	}
-	events := eventReader{from: a, whole: x.route.Resumable, had: a.had}
+	events := eventReader{from: a, whole: x.route.Resumable, had: a.resumeAfter}
 	for {
 		part, err := events.next()
 		if len(part) > 0 {
@@ -183,7 +183,7 @@
 			return a.brokeOff(errors.Wrap(err, "stream broke off"))
 		}
 		if a.shouldMove(time.Now()) {
-			a.beginHedge(hedgeLoading)
+			a.startHedge(hedgeLoading)
 		}
 	}
 }
@@ -195,9 +195,9 @@
 		x.first = time.Now()
 		g.Metrics.FirstToken(x.first.Sub(x.arrived))
 	}
-	a.passing.Store(true)
+	a.writingToCaller.Store(true)
 	err := x.write(part)
-	a.passing.Store(false)
+	a.writingToCaller.Store(false)
 	if err != nil {
 		g.cut(x, a.target, errors.Wrap(err, "caller takes no more"))
 	}
@@ -237,10 +237,10 @@
 		g.clearSuspicion(x)
 	}
 	took := time.Since(x.arrived)
-	g.Log.Info("answered", "decision", "done", "request", x.wire.ID, "route", x.route.Name, "runner", t.view.ID, "status", status, "sends", x.sends.sent(),
+	g.Log.Info("answered", "decision", "done", "request", x.wire.ID, "route", x.route.Name, "runner", t.view.ID, "status", status, "sends", x.sends.sendCount(),
 		"first", x.firstAfter().String(), "waited", x.waited.String(), "weights", t.weights, "took", took.String(), "buffered", x.buffered, "config", x.config.Version)
 	if status < failureStatus {
-		g.usual.add(x.route.Name, took)
+		g.usual.observe(x.route.Name, took)
 	}
 	g.Metrics.Request("answered", strings.ToLower(x.route.Kind.String()))
 	g.Metrics.Step(x.route.Kind.String(), took)
--- a/gateway/restart.go
+++ b/gateway/restart.go
@@ -7,16 +7,16 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// mostRestartDelay bounds what is taken for the time in which a new start gets around; beyond it the runner's clock and the runners'
+// maxRestartDelay bounds what is taken for the time in which a new start gets around; beyond it the runner's clock and the runners'
 // common one don't agree.
-const mostRestartDelay = time.Minute
+const maxRestartDelay = time.Minute
 
-// runnerRestarted forgets what a runner's earlier run held, and its connections, which ended with it.
-func (g *Gateway) runnerRestarted(info deployment.Runner) {
+// handleRunnerRestart forgets what a runner's earlier run held, and its connections, which ended with it.
+func (g *Gateway) handleRunnerRestart(info deployment.Runner) {
 	now := time.Now()
 	g.stores.index.ObserveRun(info.Address, info.Run())
 	g.pool.Forget(info.Address)
-	g.line.changed()
+	g.line.notify()
 	delay, known := g.restartDelay(info.Generation, now)
 	g.Log.Info("runner started anew", "decision", "forget", "runner", info.ID, "generation", info.Generation, "address", info.Address,
 		"delay", delay.String(), "delayKnown", known)
@@ -29,5 +29,5 @@
 func (g *Gateway) restartDelay(generation rillreach.Generation, now time.Time) (time.Duration, bool) {
 	clock, known := g.stores.clock.read(now)
 	delay := clock.Sub(generation.Started())
-	return delay, known && delay >= 0 && delay < mostRestartDelay
+	return delay, known && delay >= 0 && delay < maxRestartDelay
 }
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -17,97 +17,97 @@
 )
 
 const (
-	earlier = 1_790_000_000_000
-	later   = earlier + 5000
+	earlierGeneration = 1_790_000_000_000
+	laterGeneration   = earlierGeneration + 5000
 )
 
 var (
-	enginePlace = netip.MustParseAddrPort("10.0.0.1:80")
-	storePlace  = netip.MustParseAddrPort("10.0.0.9:80")
-	partKey     = holdings.Key{Salt: "1/m", Part: "p"}
+	engineAddress = netip.MustParseAddrPort("10.0.0.1:80")
+	storeAddress  = netip.MustParseAddrPort("10.0.0.9:80")
+	partKey       = holdings.Key{Salt: "1/m", Part: "p"}
 )
 
-// told is a bulletin of a run of the runner "r", with a load and a part that it holds.
-func told(generation rillreach.Generation, waiting, tokens int, whole bool) *bulletin.Bulletin {
+// runBulletin is a bulletin of a run of the runner "r", with a load and a part that it holds.
+func runBulletin(generation rillreach.Generation, waiting, tokens int, whole bool) *bulletin.Bulletin {
 	return &bulletin.Bulletin{
-		Runner: "r", Generation: generation, Clock: later + 100, Load: bulletin.Load{Waiting: waiting},
-		CacheUpdates: []bulletin.CacheUpdate{{Address: enginePlace, Snapshot: whole, Changes: []holdings.Change{{Key: partKey, Tokens: tokens}}}},
+		Runner: "r", Generation: generation, Clock: laterGeneration + 100, Load: bulletin.Load{Waiting: waiting},
+		CacheUpdates: []bulletin.CacheUpdate{{Address: engineAddress, Snapshot: whole, Changes: []holdings.Change{{Key: partKey, Tokens: tokens}}}},
 	}
 }
 
-// hearing is an entry that has heard of an earlier run of the runner "r", and left it alone since.
-func hearing(t *testing.T) *Gateway {
+// gatewayWithEarlierRun is an entry that has heard of an earlier run of the runner "r", and left it alone since.
+func gatewayWithEarlierRun(t *testing.T) *Gateway {
 	t.Helper()
-	g, _ := beforeEngines(0)
-	g.state.RunnerRestarted = g.runnerRestarted
-	g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s", Address: enginePlace, Generation: earlier})
-	g.applyBulletin(told(earlier, 7, 800, true), time.Now())
+	g, _ := gatewayWithEngines(0)
+	g.state.RunnerRestarted = g.handleRunnerRestart
+	g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s", Address: engineAddress, Generation: earlierGeneration})
+	g.applyBulletin(runBulletin(earlierGeneration, 7, 800, true), time.Now())
 	g.state.Roster.Find("r").Eject(time.Now())
-	require.Equal(t, map[netip.AddrPort]int{enginePlace: 800}, g.stores.index.Holders(partKey))
+	require.Equal(t, map[netip.AddrPort]int{engineAddress: 800}, g.stores.index.Holders(partKey))
 	return g
 }
 
-// assertForgotten asserts that nothing of the earlier run is believed.
-func assertForgotten(t *testing.T, g *Gateway) {
+// assertEarlierRunForgotten asserts that nothing of the earlier run is believed.
+func assertEarlierRunForgotten(t *testing.T, g *Gateway) {
 	t.Helper()
 	v := g.state.Roster.Find("r").View(time.Now())
-	assert.Equal(t, rillreach.Generation(later), v.Generation)
+	assert.Equal(t, rillreach.Generation(laterGeneration), v.Generation)
 	assert.Zero(t, v.Load.Waiting)
 	assert.False(t, v.Ejected)
 	assert.Empty(t, g.stores.index.Holders(partKey))
-	assert.Zero(t, g.stores.index.TotalTokens(enginePlace))
+	assert.Zero(t, g.stores.index.TotalTokens(engineAddress))
 }
 
-func TestRunnerStartsAgain(t *testing.T) {
-	record := deployment.Runner{ID: "r", Service: "s", Address: enginePlace, Generation: later}
-	empty := &bulletin.Bulletin{Runner: "r", Generation: later, Clock: later + 100}
+func TestStateKeptAfterRunnerRestart(t *testing.T) {
+	record := deployment.Runner{ID: "r", Service: "s", Address: engineAddress, Generation: laterGeneration}
+	empty := &bulletin.Bulletin{Runner: "r", Generation: laterGeneration, Clock: laterGeneration + 100}
 	t.Run("the word of its agent is enough", func(t *testing.T) {
-		g := hearing(t)
+		g := gatewayWithEarlierRun(t)
 		over := g.state.Roster.Find("r").Ended()
 		g.applyBulletin(empty, time.Now())
-		assertForgotten(t, g)
+		assertEarlierRunForgotten(t, g)
 		<-over
 	})
 	t.Run("a new start that is heard of twice does nothing the second time", func(t *testing.T) {
-		g := hearing(t)
-		g.applyBulletin(told(later, 3, 500, true), time.Now())
+		g := gatewayWithEarlierRun(t)
+		g.applyBulletin(runBulletin(laterGeneration, 3, 500, true), time.Now())
 		one := g.state.Roster.Find("r")
-		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Generation: later, Load: bulletin.Load{Waiting: 3}}, time.Now())
+		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Generation: laterGeneration, Load: bulletin.Load{Waiting: 3}}, time.Now())
 		assert.Same(t, one, g.state.Roster.Find("r"))
-		assert.Equal(t, map[netip.AddrPort]int{enginePlace: 500}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.stores.index.Holders(partKey))
 	})
 	t.Run("what its agent still says of the earlier run is late", func(t *testing.T) {
 		for name, whole := range map[string]bool{"everything": true, "a change": false} {
 			t.Run(name, func(t *testing.T) {
-				g := hearing(t)
+				g := gatewayWithEarlierRun(t)
 				g.applyBulletin(empty, time.Now())
-				g.applyBulletin(told(earlier, 9, 900, whole), time.Now())
-				assertForgotten(t, g)
+				g.applyBulletin(runBulletin(earlierGeneration, 9, 900, whole), time.Now())
+				assertEarlierRunForgotten(t, g)
 			})
 		}
 	})
 	t.Run("what it says of a store counts all the same", func(t *testing.T) {
-		g := hearing(t)
+		g := gatewayWithEarlierRun(t)
 		g.applyBulletin(empty, time.Now())
-		late := told(earlier, 9, 900, true)
-		late.CacheUpdates[0].Address, late.CacheUpdates[0].Store = storePlace, true
+		late := runBulletin(earlierGeneration, 9, 900, true)
+		late.CacheUpdates[0].Address, late.CacheUpdates[0].Store = storeAddress, true
 		g.applyBulletin(late, time.Now())
-		assert.Equal(t, map[netip.AddrPort]int{storePlace: 900}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{storeAddress: 900}, g.stores.index.Holders(partKey))
 	})
 	t.Run("the list may come after the agent's word, and leaves what the later run holds", func(t *testing.T) {
-		g := hearing(t)
-		g.applyBulletin(told(later, 3, 500, true), time.Now())
+		g := gatewayWithEarlierRun(t)
+		g.applyBulletin(runBulletin(laterGeneration, 3, 500, true), time.Now())
 		g.state.Roster.Put(record)
-		g.runnerRestarted(record) // as though the list had been the first to tell, and were only now done with
-		assert.Equal(t, map[netip.AddrPort]int{enginePlace: 500}, g.stores.index.Holders(partKey))
+		g.handleRunnerRestart(record) // as though the list had been the first to tell, and were only now done with
+		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.stores.index.Holders(partKey))
 	})
 	t.Run("an unknown start is no new one", func(t *testing.T) {
-		g := hearing(t)
+		g := gatewayWithEarlierRun(t)
 		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Load: bulletin.Load{Waiting: 4}}, time.Now())
 		v := g.state.Roster.Find("r").View(time.Now())
 		assert.Equal(t, 4, v.Load.Waiting)
 		assert.True(t, v.Ejected)
-		assert.Equal(t, 800, g.stores.index.TotalTokens(enginePlace))
+		assert.Equal(t, 800, g.stores.index.TotalTokens(engineAddress))
 	})
 }
 
@@ -116,14 +116,14 @@
 	delayAt := func(clock int64) (time.Duration, bool) {
 		var g Gateway
 		g.stores.clock.hear(clock, now)
-		return g.restartDelay(later, now)
+		return g.restartDelay(laterGeneration, now)
 	}
 	t.Run("it is told by the runners' clock", func(t *testing.T) {
-		delay, known := delayAt(later + 250)
+		delay, known := delayAt(laterGeneration + 250)
 		assert.True(t, known)
 		assert.Equal(t, 250*time.Millisecond, delay)
 	})
-	for name, clock := range map[string]int64{"before that clock is known": 0, "where the start lies ahead": later - 1, "where it lies far back": later + 3_600_000} {
+	for name, clock := range map[string]int64{"before that clock is known": 0, "where the start lies ahead": laterGeneration - 1, "where it lies far back": laterGeneration + 3_600_000} {
 		t.Run("it is not told "+name, func(t *testing.T) {
 			_, known := delayAt(clock)
 			assert.False(t, known)
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestStoreTellsOfNewStart has an entry at work hear of an engine's new start from the store alone.
-func TestStoreTellsOfNewStart(t *testing.T) {
-	e := &site.Engine{Model: site.Model, Version: 1, Born: earlier}
+// TestRestartInStoreMissed has an entry at work hear of an engine's new start from the store alone.
+func TestRestartInStoreMissed(t *testing.T) {
+	e := &site.Engine{Model: site.Model, Version: 1, Born: earlierGeneration}
 	e.ID = "e1"
 	w := enginesWorld(t)
 	e.Start()
@@ -144,15 +144,15 @@
 	first := g.state.Roster.Find("e1")
 	g.stores.applyRunner(first.Info().Run(), &bulletin.CacheUpdate{Address: e.Address(), Snapshot: true, Changes: []holdings.Change{{Key: partKey, Tokens: 800}}})
 	require.Equal(t, 800, g.stores.index.TotalTokens(e.Address()))
-	e.Restart(later)
+	e.Restart(laterGeneration)
 	w.store.Put("servers", e.ID, e.Record("ready"))
 	w.eventually(t, func() bool { return g.stores.index.TotalTokens(e.Address()) == 0 })
 	assert.NotSame(t, first, g.state.Roster.Find("e1"))
 	<-first.Ended()
 }
 
-// TestStreamOfRunThatIsOver: a runner starts again behind a cut, so that its callers' connections are not reset, and nothing comes on them.
-func TestStreamOfRunThatIsOver(t *testing.T) {
+// TestStreamHangsOnEndedRun: a runner starts again behind a cut, so that its callers' connections are not reset, and nothing comes on them.
+func TestStreamHangsOnEndedRun(t *testing.T) {
 	hangs := func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
 		<-r.Context().Done()
@@ -166,8 +166,8 @@
 		entry["born"] = start
 		return entry
 	}
-	w.store.Put("servers", "a", startedAt(earlier))
-	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("a").Info().Generation == earlier })
+	w.store.Put("servers", "a", startedAt(earlierGeneration))
+	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("a").Info().Generation == earlierGeneration })
 	conn := w.dial(t)
 	w.ask(t, conn, "/stream/x")
 	w.eventually(t, func() bool { return len(a.Runs()) == 1 })
@@ -175,7 +175,7 @@
 	t.Cleanup(b.Stop)
 	w.store.Put("servers", "b", record(b, "ready"))
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("b") != nil })
-	w.store.Put("servers", "a", startedAt(later))
+	w.store.Put("servers", "a", startedAt(laterGeneration))
 	got := read(t, conn, "GET")
 	require.NoError(t, got.err)
 	assert.Equal(t, pieces(9), got.body)
--- a/gateway/route_times.go
+++ b/gateway/route_times.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// mostRoutes bounds how many routes' times are remembered.
-	mostRoutes = 4096
-	// likelyDeviations is how many mean deviations over the mean most requests take, surelyDeviations nearly all: three in four
+	// maxRoutes bounds how many routes' times are remembered.
+	maxRoutes = 4096
+	// typicalDeviations is how many mean deviations over the mean most requests take, surelyDeviations nearly all: three in four
 	// and 95 in 100 where times vary as much as those of streams do.
-	likelyDeviations = 1
-	surelyDeviations = 4
+	typicalDeviations      = 1
+	conservativeDeviations = 4
 )
 
-// routeTimes are how long requests usually take, by route; the zero value knows none.
-type routeTimes struct {
+// routeDurations are how long requests usually take, by route; the zero value knows none.
+type routeDurations struct {
 	mu      sync.Mutex
 	byRoute map[string]*predict.DurationEstimator
 }
 
-// add takes the time of one request.
-func (u *routeTimes) add(route string, took time.Duration) {
+// observe takes the time of one request.
+func (u *routeDurations) observe(route string, took time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.byRoute == nil || len(u.byRoute) >= mostRoutes {
+	if u.byRoute == nil || len(u.byRoute) >= maxRoutes {
 		u.byRoute = map[string]*predict.DurationEstimator{}
 	}
 	if u.byRoute[route] == nil {
@@ -37,8 +37,8 @@
 	u.byRoute[route].Observe(took)
 }
 
-// of is what requests on the route usually take.
-func (u *routeTimes) of(route string) predict.DurationEstimator {
+// estimator is what requests on the route usually take.
+func (u *routeDurations) estimator(route string) predict.DurationEstimator {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if known := u.byRoute[route]; known != nil {
@@ -47,11 +47,11 @@
 	return predict.DurationEstimator{}
 }
 
-// takes says how long requests on the route take until their whole answer. What must not run twice is lost where the end overtakes it, so
+// drainRequest says how long requests on the route take until their whole answer. What must not run twice is lost where the end overtakes it, so
 // that its likely time is the sure one.
-func (g *Gateway) takes(route *deployment.Route) drain.Request {
-	usual := g.usual.of(route.Name)
-	takes := drain.Request{TypicalDuration: usual.UpperBound(likelyDeviations), ConservativeDuration: usual.UpperBound(surelyDeviations)}
+func (g *Gateway) drainRequest(route *deployment.Route) drain.Request {
+	usual := g.usual.estimator(route.Name)
+	takes := drain.Request{TypicalDuration: usual.UpperBound(typicalDeviations), ConservativeDuration: usual.UpperBound(conservativeDeviations)}
 	if route.AtMostOnce() {
 		takes.TypicalDuration = takes.ConservativeDuration
 	}
--- a/gateway/runner_limit.go
+++ b/gateway/runner_limit.go
@@ -9,27 +9,27 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// clockSlack is by how much the runners' clock may be read differently by two processes.
-const clockSlack = 20 * time.Millisecond
+// maxClockSkew is by how much the runners' clock may be read differently by two processes.
+const maxClockSkew = 20 * time.Millisecond
 
 // observeLimit takes over what the head of an answer says of its runner's limit.
 func (a *attempt) observeLimit(now time.Time) {
-	g, r, limit := a.gateway, a.target.runner, a.head.Limit
+	g, r, limit := a.gateway, a.target.runner, a.headers.Limit
 	changed := r.ObserveLimit(now, backpressure.Observation{Limit: limit, Sent: a.sentAt, Received: now})
 	if changed || limit.Bounded {
-		g.limited.noteUnreported(r, now)
+		g.limited.markUnreported(r, now)
 	}
 	if changed {
-		g.limitChanged(r, limit, now, "request", a.exchange.wire.ID)
+		g.handleLimitChange(r, limit, now, "request", a.exchange.wire.ID)
 	}
 }
 
-// limitChanged records the runner's new limit, and what told it, and has it looked at, and those that wait.
-func (g *Gateway) limitChanged(r *roster.Runner, limit backpressure.Limit, now time.Time, teller string, id any) {
+// handleLimitChange records the runner's new limit, and what told it, and has it looked at, and those that wait.
+func (g *Gateway) handleLimitChange(r *roster.Runner, limit backpressure.Limit, now time.Time, teller string, id any) {
 	g.Log.Info("limit of a runner changed", "decision", "throttle", teller, id, "runner", r.Info().ID, "bounded", limit.Bounded, "perSecond", limit.PerSecond)
-	g.limited.noteChanged(r, now)
+	g.limited.recordChange(r, now)
 	g.limited.changed.Wake()
-	g.line.changed()
+	g.line.notify()
 }
 
 // applyQuotas takes over what an agent says of runners that name a limit, and what it allots to this entry for those that are its to share out.
@@ -43,17 +43,17 @@
 			continue
 		}
 		if r.ObserveLimit(now, g.stores.clock.toLocal(limit.Observation(), now)) {
-			g.limitChanged(r, limit.Limit, now, "agent", b.Runner)
+			g.handleLimitChange(r, limit.Limit, now, "agent", b.Runner)
 		}
 		if r.Limit().Limit != limit.Limit {
-			g.limited.noteUnreported(r, now) // the agent doesn't know of a later answer
+			g.limited.markUnreported(r, now) // the agent doesn't know of a later answer
 		}
 		if !a.allots(agent, r) {
 			continue // it shared the limit out before
 		}
-		r.AddLimitPermits(now, limit.Limit, q.Permits, g.permitsEnd(b, now))
+		r.AddLimitPermits(now, limit.Limit, q.Permits, g.permitExpiry(b, now))
 		if q.Permits > 0 {
-			g.line.changed()
+			g.line.notify()
 		}
 	}
 }
@@ -72,5 +72,5 @@
 func (c *runnersClock) toShared(o backpressure.Observation, now time.Time) (backpressure.Observation, bool) {
 	clock, known := c.read(now)
 	o.Sent, o.Received = clock.Add(o.Sent.Sub(now)), clock.Add(o.Received.Sub(now))
-	return o.Widen(clockSlack), known
+	return o.Widen(maxClockSkew), known
 }
--- a/gateway/runner_views.go
+++ b/gateway/runner_views.go
@@ -10,9 +10,9 @@
 // runnerViews are copies of what is known of runners at one moment. Requests that wait together are decided on with the same copies: before
 // hundreds of runners these cost more than the decisions.
 type runnerViews struct {
-	roster *roster.Roster
-	now    time.Time
-	groups map[rillreach.ServiceID]*serviceViews
+	roster    *roster.Roster
+	now       time.Time
+	byService map[rillreach.ServiceID]*serviceViews
 }
 
 // serviceViews are the runners of one service.
@@ -23,12 +23,12 @@
 
 // viewsAt are copies that are made at the given moment.
 func (g *Gateway) viewsAt(now time.Time) *runnerViews {
-	return &runnerViews{roster: &g.state.Roster, now: now, groups: map[rillreach.ServiceID]*serviceViews{}}
+	return &runnerViews{roster: &g.state.Roster, now: now, byService: map[rillreach.ServiceID]*serviceViews{}}
 }
 
-// of are the runners of a service.
-func (r *runnerViews) of(service rillreach.ServiceID) *serviceViews {
-	if group := r.groups[service]; group != nil {
+// forService are the runners forService a service.
+func (r *runnerViews) forService(service rillreach.ServiceID) *serviceViews {
+	if group := r.byService[service]; group != nil {
 		return group
 	}
 	group := &serviceViews{runners: r.roster.ByService(service)}
@@ -36,6 +36,6 @@
 	for i, runner := range group.runners {
 		group.views[i] = runner.View(r.now)
 	}
-	r.groups[service] = group
+	r.byService[service] = group
 	return group
 }
--- a/gateway/second_attempt_test.go
+++ b/gateway/second_attempt_test.go
@@ -18,11 +18,11 @@
 )
 
 // A request counts as running at a runner while that may hold it, and no longer: others are kept from the runner for it.
-func TestRefusedSecondAttemptTakesNoPlace(t *testing.T) {
+func TestRefusedHedgeCountsAsRunning(t *testing.T) {
 	w, loads, other := loadingWorld(t, site.Refuse)
 	defer w.stop()
 	goOn := make(chan struct{})
-	loads.Handle = pausesAfterFive(w, goOn)
+	loads.Handle = pauseAfterFifthEvent(w, goOn)
 	conn := w.prompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(other.Runs()) == 1 })
 	assert.Eventually(t, func() bool { return w.gateway.state.Roster.Find("other").View(time.Now()).RunningRequests == 0 }, wait/4, 5*time.Millisecond,
@@ -30,11 +30,11 @@
 	close(goOn)
 	got := read(t, conn, "POST")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, pieces(streamEvents), got.body)
 }
 
 // A runner that fails a request has given no answer that is worth more than one that another runner is already making.
-func TestFailureBesideSecondAttempt(t *testing.T) {
+func TestFailureForwardedDespiteHedge(t *testing.T) {
 	failsOnce := func(asked chan struct{}) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			<-asked
@@ -46,7 +46,7 @@
 		asked := make(chan struct{})
 		w := silentWorld(t, failsOnce(asked), func(w http.ResponseWriter, r *http.Request) {
 			close(asked)
-			time.Sleep(leastSilence)
+			time.Sleep(minSilence)
 			site.Answer(w, r, "second")
 		})
 		defer w.stop()
@@ -59,7 +59,7 @@
 		asked := make(chan struct{})
 		w := silentWorld(t, failsOnce(asked), func(w http.ResponseWriter, r *http.Request) {
 			close(asked)
-			time.Sleep(leastSilence)
+			time.Sleep(minSilence)
 			site.Refuse(w, r)
 		})
 		defer w.stop()
@@ -71,10 +71,10 @@
 }
 
 // A stream is left only for an answer that it can go on with.
-func TestStreamIsKeptBesideAnswerThatDoesNotGoOn(t *testing.T) {
+func TestStreamDroppedForUnjoinableHedge(t *testing.T) {
 	named := func(w io.Writer, from, to int) {
 		for id := from; id <= to; id++ {
-			_, _ = io.WriteString(w, namedPiece(id))
+			_, _ = io.WriteString(w, eventWithNamedID(id))
 		}
 	}
 	t.Run("the ids don't tell which events the caller has", func(t *testing.T) {
@@ -82,7 +82,7 @@
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) {
 			<-passed
 			site.Seal(w, r)
-			named(w, 5, streamed)
+			named(w, 5, streamEvents)
 		})
 		defer w.stop()
 		loads.Handle = func(rw http.ResponseWriter, r *http.Request) {
@@ -90,8 +90,8 @@
 			flush := func() { _ = http.NewResponseController(rw).Flush() }
 			named(rw, 1, 4)
 			flush()
-			report(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
-			time.Sleep(eventPace)
+			setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
+			time.Sleep(eventInterval)
 			named(rw, 5, 5)
 			flush()
 			for len(other.Runs()) == 0 && r.Context().Err() == nil {
@@ -99,18 +99,18 @@
 			}
 			named(rw, 6, 6)
 			flush()
-			time.Sleep(eventPace)
+			time.Sleep(eventInterval)
 			close(passed)
 			select {
 			case <-r.Context().Done():
-			case <-time.After(4 * eventPace):
-				named(rw, 7, streamed)
+			case <-time.After(4 * eventInterval):
+				named(rw, 7, streamEvents)
 			}
 		}
 		got := read(t, w.prompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err, "the stream's runner was given up for one whose events can't be joined")
 		var whole strings.Builder
-		named(&whole, 1, streamed)
+		named(&whole, 1, streamEvents)
 		assert.Equal(t, whole.String(), got.body)
 	})
 	t.Run("the other's answer is no stream, and the first began meanwhile", func(t *testing.T) {
@@ -121,9 +121,9 @@
 			close(began)
 			select {
 			case <-r.Context().Done():
-			case <-time.After(4 * eventPace):
+			case <-time.After(4 * eventInterval):
 				r.Header.Set("Last-Event-Id", "4")
-				site.Events(w, r, streamed, 0)
+				site.Events(w, r, streamEvents, 0)
 			}
 		}, func(w http.ResponseWriter, r *http.Request) {
 			close(asked)
@@ -134,26 +134,26 @@
 		defer w.stop()
 		got := w.call(t, "POST", "/stream/x", "prompt")
 		require.NoError(t, got.err, "the stream's runner was given up for an answer that is no stream")
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, pieces(streamEvents), got.body)
 	})
 }
 
-// namedPiece is an event whose id doesn't say which of two comes first.
-func namedPiece(id int) string { return fmt.Sprintf("id: part-%d\ndata: piece %d\n\n", id, id) }
+// eventWithNamedID is an event whose id doesn't say which of two comes first.
+func eventWithNamedID(id int) string { return fmt.Sprintf("id: part-%d\ndata: piece %d\n\n", id, id) }
 
 // Two runners must not work on one stream for long, also where nothing of it goes out before it is whole.
-func TestSecondAttemptOfHeldStreamAnswersWithItsFirstEvent(t *testing.T) {
+func TestHedgeOfBufferedStreamAwaitsWholeStream(t *testing.T) {
 	x := &exchange{route: &deployment.Route{Kind: deployment.EventStream, Resumable: true}, buffered: true}
 	a := &attempt{exchange: x, answer: &forward.Answer{Response: &http.Response{StatusCode: http.StatusOK}}}
-	a.ahead.WriteString("id: 1\n")
-	assert.False(t, a.readEnough())
-	a.ahead.WriteString(namedPiece(2))
-	assert.True(t, a.readEnough(), "the first runner goes on until the second one's stream is whole")
+	a.prefetched.WriteString("id: 1\n")
+	assert.False(t, a.prefetchedEnough())
+	a.prefetched.WriteString(eventWithNamedID(2))
+	assert.True(t, a.prefetchedEnough(), "the first runner goes on until the second one's stream is whole")
 }
 
-// threeRunners is an entry with a route that allows three runners, before one that answers as given and two others, which are listed once
+// threeRunnerWorld is an entry with a route that allows three runners, before one that answers as given and two others, which are listed once
 // that is asked.
-func threeRunners(t *testing.T, first, others http.HandlerFunc) *world {
+func threeRunnerWorld(t *testing.T, first, others http.HandlerFunc) *world {
 	t.Helper()
 	a, b, c := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: others}, &site.Runner{ID: "c", Handle: others}
 	w := begin(t, configOf(1, routeOf("repeat", "idempotent", "plain", jsonMap{"max_attempts": 3})), a)
@@ -170,7 +170,7 @@
 }
 
 // A route that allows three runners has the third asked where the second refuses a request whose runner says nothing.
-func TestThirdRunnerBesideSilentOne(t *testing.T) {
+func TestThirdRunnerNotTriedAfterHedgeRefusal(t *testing.T) {
 	var others atomic.Int64
 	refusesOnce := func(w http.ResponseWriter, r *http.Request) {
 		if others.Add(1) == 1 {
@@ -179,7 +179,7 @@
 		}
 		site.Answer(w, r, "third")
 	}
-	w := threeRunners(t, func(_ http.ResponseWriter, r *http.Request) {
+	w := threeRunnerWorld(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 	}, refusesOnce)
 	defer w.stop()
@@ -190,7 +190,7 @@
 }
 
 // A route that allows three runners has the third asked where the first breaks off and the second says nothing.
-func TestThirdRunnerAfterFirstBreaksOff(t *testing.T) {
+func TestThirdRunnerNotTriedAfterDisconnect(t *testing.T) {
 	var others atomic.Int64
 	asked := make(chan struct{})
 	hangsOnce := func(w http.ResponseWriter, r *http.Request) {
@@ -201,7 +201,7 @@
 		}
 		site.Answer(w, r, "third")
 	}
-	w := threeRunners(t, func(http.ResponseWriter, *http.Request) {
+	w := threeRunnerWorld(t, func(http.ResponseWriter, *http.Request) {
 		<-asked
 		panic(http.ErrAbortHandler)
 	}, hangsOnce)
@@ -212,14 +212,14 @@
 }
 
 // A runner's bytes that are no events don't fill the entry's memory.
-func TestSecondAttemptReadsNoEndlessEvent(t *testing.T) {
+func TestHedgeBuffersEndlessEvent(t *testing.T) {
 	const most = 64 * maxEvent
 	written := make(chan int, 1)
 	w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case n := <-written:
 			written <- n
-			site.Events(w, r, streamed, 0)
+			site.Events(w, r, streamEvents, 0)
 		case <-r.Context().Done():
 		}
 	}, func(w http.ResponseWriter, r *http.Request) {
@@ -235,19 +235,19 @@
 	defer w.stop()
 	got := w.call(t, "POST", "/stream/x", "prompt")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, pieces(streamEvents), got.body)
 	assert.Less(t, <-written, most, "all was read that the runner sent")
 }
 
 // A runner whose events wait for a caller that takes none isn't silent.
-func TestSlowCallerIsNoSilence(t *testing.T) {
+func TestSlowCallerStartsHedge(t *testing.T) {
 	const events = 400
 	blocked := make(chan struct{})
 	big := strings.Repeat("x", 64<<10)
 	var second atomic.Int64
 	// The answer's 26 MB take longer than the usual time-out where the machine is busy.
 	patient := configOf(1, routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
-	w := silentWorldAt(t, patient, func(w http.ResponseWriter, r *http.Request) {
+	w := silentWorldWithConfig(t, patient, func(w http.ResponseWriter, r *http.Request) {
 		site.Seal(w, r)
 		for id := 1; id <= events; id++ {
 			if id == events/2 {
@@ -265,7 +265,7 @@
 	select {
 	case <-blocked:
 		t.Fatal("the caller's connection holds more than this test allows for")
-	case <-time.After(4 * leastSilence):
+	case <-time.After(4 * minSilence):
 	}
 	got := read(t, conn, "GET")
 	require.NoError(t, got.err)
@@ -274,7 +274,7 @@
 }
 
 // A stop of the entry ends neither attempt of a stream: the second goes on where the first breaks off.
-func TestStopDuringSecondAttempt(t *testing.T) {
+func TestShutdownEndsHedge(t *testing.T) {
 	asked, leaving := make(chan struct{}), make(chan struct{})
 	w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
@@ -283,8 +283,8 @@
 	}, func(w http.ResponseWriter, r *http.Request) {
 		close(asked)
 		<-leaving
-		time.Sleep(leastSilence)
-		site.Events(w, r, streamed, 0)
+		time.Sleep(minSilence)
+		site.Events(w, r, streamEvents, 0)
 	})
 	conn := w.dial(t)
 	w.ask(t, conn, "/stream/x")
@@ -294,5 +294,5 @@
 	close(leaving)
 	got := read(t, conn, "GET")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, pieces(streamEvents), got.body)
 }
--- a/gateway/sends.go
+++ b/gateway/sends.go
@@ -7,8 +7,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// sends records where a request was sent. Two attempts of one request may run at the same time, so that it has a lock of its own.
-type sends struct {
+// sendHistory records where a request was sent. Two attempts of one request may run at the same time, so that it has a lock of its own.
+type sendHistory struct {
 	mu    sync.Mutex
 	count int
 	// tried are the runners that were asked, also those that could not be reached, and runners those that the request was sent to.
@@ -18,8 +18,8 @@
 	refusals []rillreach.InstanceID
 }
 
-// add records that the request goes to the runner.
-func (s *sends) add(id rillreach.InstanceID) {
+// recordSend records that the request goes to the runner.
+func (s *sendHistory) recordSend(id rillreach.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count++
@@ -27,8 +27,8 @@
 	s.runners = append(s.runners, id)
 }
 
-// drop records that the request that goes to the runner has not reached it.
-func (s *sends) drop(id rillreach.InstanceID) {
+// recordNotSent records that the request that goes to the runner has not reached it.
+func (s *sendHistory) recordNotSent(id rillreach.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count--
@@ -37,15 +37,15 @@
 	}
 }
 
-// refused records that the runner has not run what was sent to it.
-func (s *sends) refused(id rillreach.InstanceID) {
+// recordRefusal records that the runner has not run what was sent to it.
+func (s *sendHistory) recordRefusal(id rillreach.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusals = append(s.refusals, id)
 }
 
 // mayHaveRun are the runners that the request was sent to and that have not refused all of it, each once.
-func (s *sends) mayHaveRun() []rillreach.InstanceID {
+func (s *sendHistory) mayHaveRun() []rillreach.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := slices.Clone(s.runners)
@@ -57,8 +57,8 @@
 	return slices.Compact(slices.Sorted(slices.Values(open)))
 }
 
-// allowAgain lets the request's only runner be asked once more.
-func (s *sends) allowAgain() {
+// allowRetry lets the request's only runner be asked once more.
+func (s *sendHistory) allowRetry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.count == 1 {
@@ -66,22 +66,22 @@
 	}
 }
 
-// sent is how often the request was sent.
-func (s *sends) sent() int {
+// sendCount is how often the request was sendCount.
+func (s *sendHistory) sendCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.count
 }
 
-// used are the runners that the request was sent to, each once.
-func (s *sends) used() []rillreach.InstanceID {
+// runnersUsed are the runners that the request was sent to, each once.
+func (s *sendHistory) runnersUsed() []rillreach.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Compact(slices.Sorted(slices.Values(s.runners)))
 }
 
-// asked are the runners that were asked, also those that could not be reached.
-func (s *sends) asked() []rillreach.InstanceID {
+// runnersTried are the runners that were runnersTried, also those that could not be reached.
+func (s *sendHistory) runnersTried() []rillreach.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.tried)
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// silenceTargets times what callers expect, of the first event or of a pause, is how long a request that another runner may
+	// silenceTargetFactor times what callers expect, of the first event or of a pause, is how long a request that another runner may
 	// begin on waits for its runner before it is asked whether that lives.
-	silenceTargets = 2
-	// leastSilence keeps a short target from moving requests that are merely a little late.
-	leastSilence = 300 * time.Millisecond
-	// askEvery is how often it is asked then, since a runner that lives and is slow has the request's work behind it that
+	silenceTargetFactor = 2
+	// minSilence keeps a short target from moving requests that are merely a little late.
+	minSilence = 300 * time.Millisecond
+	// livenessCheckInterval is how often it is asked then, since a runner that lives and is slow has the request's work behind it that
 	// another would begin anew.
-	askEvery = 50 * time.Millisecond
+	livenessCheckInterval = 50 * time.Millisecond
 	// settleTime is how long the entry has to have run without standing still before it takes a runner for silent: what the runner said meanwhile
 	// has to be read first.
 	settleTime = 50 * time.Millisecond
 )
 
-// firstWordAfter is how long a runner may take for its first word before it is asked whether it lives.
-func firstWordAfter(r *deployment.Route) time.Duration {
-	return max(silenceTargets*r.TargetLatency, leastSilence)
+// firstByteTimeout is how long a runner may take for its first word before it is asked whether it lives.
+func firstByteTimeout(r *deployment.Route) time.Duration {
+	return max(silenceTargetFactor*r.TargetLatency, minSilence)
 }
 
-// silenceBound has another runner asked beside one that says nothing for too long and is not known to live.
-type silenceBound struct {
-	// allowed is how long a pause may be before it is asked whether the runner lives.
-	allowed time.Duration
-	// lives says whether the runner is known to live; hedge has another one asked, and reports whether there is one.
-	lives func() bool
-	hedge func() bool
+// watchdog has another runner asked beside one that says nothing for too long and is not known to live.
+type watchdog struct {
+	// timeout is how long a pause may be before it is asked whether the runner lives.
+	timeout time.Duration
+	// isAlive says whether the runner is known to live; hedge has another one asked, and reports whether there is one.
+	isAlive    func() bool
+	startHedge func() bool
 
 	mu      sync.Mutex
 	timer   *time.Timer
@@ -43,18 +43,18 @@
 	settling bool
 }
 
-// boundSilence prepares the wait for the words of the attempt's runner.
-func (g *Gateway) boundSilence(a *attempt) *silenceBound {
-	return &silenceBound{
-		allowed: max(silenceTargets*a.exchange.route.TargetEventGap, leastSilence),
+// newWatchdog prepares the wait for the words of the attempt's runner.
+func (g *Gateway) newWatchdog(a *attempt) *watchdog {
+	return &watchdog{
+		timeout: max(silenceTargetFactor*a.exchange.route.TargetEventGap, minSilence),
 		// While an event is being written to the caller it is the caller who is slow, and not the runner.
-		lives: func() bool { return a.passing.Load() || lives(a.target.runner) },
-		hedge: func() bool { return a.beginHedge(hedgeSilent) },
+		isAlive:    func() bool { return a.writingToCaller.Load() || isAlive(a.target.runner) },
+		startHedge: func() bool { return a.startHedge(hedgeSilent) },
 	}
 }
 
-// lives reports that a runner's agent speaks, and says that the run that the request went to answers.
-func lives(r *roster.Runner) bool {
+// isAlive reports that a runner's agent speaks, and says that the run that the request went to answers.
+func isAlive(r *roster.Runner) bool {
 	if isOver(r) {
 		return false
 	}
@@ -62,8 +62,8 @@
 	return v.ReportFresh && !v.Load.Unresponsive
 }
 
-// begin begins to wait for the runner's first word.
-func (b *silenceBound) begin(first time.Duration) {
+// start begins to wait for the runner's first word.
+func (b *watchdog) start(first time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
@@ -72,20 +72,20 @@
 	if b.timer != nil {
 		b.timer.Stop()
 	}
-	b.timer = time.AfterFunc(first, b.expire)
-	b.set(first)
+	b.timer = time.AfterFunc(first, b.handleTimer)
+	b.setTimer(first)
 }
 
-// expire asks about the runner once a wait has passed through whose last part the entry has run.
-func (b *silenceBound) expire() {
-	if b.settles(time.Now()) {
+// handleTimer asks about the runner once a wait has passed through whose last part the entry has run.
+func (b *watchdog) handleTimer() {
+	if b.waitsLonger(time.Now()) {
 		return
 	}
-	b.ask()
+	b.check()
 }
 
-// settles reports that the wait goes on, since the entry hasn't run for its last part or may have stood still in it.
-func (b *silenceBound) settles(now time.Time) bool {
+// waitsLonger reports that the wait goes on, since the entry hasn't run for its last part or may have stood still in it.
+func (b *watchdog) waitsLonger(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
@@ -99,32 +99,32 @@
 	return true
 }
 
-// ask has another runner asked where there is one, and looks again later, since that may refuse, or soon: the runner may only be slow.
-func (b *silenceBound) ask() {
-	if !b.lives() && b.hedge() {
-		b.wait(leastSilence)
+// check has another runner asked where there is one, and looks again later, since that may refuse, or soon: the runner may only be slow.
+func (b *watchdog) check() {
+	if !b.isAlive() && b.startHedge() {
+		b.resetTo(minSilence)
 		return
 	}
-	b.wait(askEvery)
+	b.resetTo(livenessCheckInterval)
 }
 
-// askNow asks without waiting any longer, since a later run is known to have taken the place of the one that was asked: a runner that
+// checkNow asks without waiting any longer, since a later run is known to have taken the place of the one that was asked: a runner that
 // starts again behind a cut does not reset its callers' connections.
-func (b *silenceBound) askNow() { b.wait(0) }
+func (b *watchdog) checkNow() { b.resetTo(0) }
 
-// heard records that the runner has said something, and waits for the next.
-func (b *silenceBound) heard() { b.wait(b.allowed) }
+// reset records that the runner has said something, and waits for the next.
+func (b *watchdog) reset() { b.resetTo(b.timeout) }
 
-func (b *silenceBound) wait(d time.Duration) {
+func (b *watchdog) resetTo(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.timer != nil && !b.stopped {
-		b.set(d)
+		b.setTimer(d)
 	}
 }
 
-// set has the wait end after the given time; the lock is held.
-func (b *silenceBound) set(d time.Duration) {
+// setTimer has the wait end after the given time; the lock is held.
+func (b *watchdog) setTimer(d time.Duration) {
 	b.settling = d <= settleTime
 	if !b.settling {
 		d -= settleTime
@@ -134,7 +134,7 @@
 }
 
 // stop lifts the bound for good, also where it is just being asked.
-func (b *silenceBound) stop() {
+func (b *watchdog) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = true
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -8,19 +8,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func yes() bool { return true }
+func returnTrue() bool { return true }
 
-func TestSilenceBound(t *testing.T) {
+func TestWatchdog(t *testing.T) {
 	t.Run("nothing is asked once the bound is lifted, also where it was being asked just then", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			asked := 0
-			b := &silenceBound{hedge: yes}
-			b.lives = func() bool {
+			b := &watchdog{startHedge: returnTrue}
+			b.isAlive = func() bool {
 				asked++
 				b.stop() // the answer comes while the runner is being looked at
 				return true
 			}
-			b.begin(time.Second)
+			b.start(time.Second)
 			time.Sleep(time.Minute)
 			synctest.Wait()
 			assert.Equal(t, 1, asked)
@@ -29,16 +29,16 @@
 	t.Run("a runner that lives is asked again, beside one that does not another is asked once", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			asked, hedged := 0, 0
-			b := &silenceBound{hedge: func() bool {
+			b := &watchdog{startHedge: func() bool {
 				hedged++
 				return true
 			}}
-			b.lives = func() bool {
+			b.isAlive = func() bool {
 				asked++
 				return asked < 5
 			}
-			b.begin(time.Second)
-			time.Sleep(time.Second + 4*askEvery + time.Millisecond)
+			b.start(time.Second)
+			time.Sleep(time.Second + 4*livenessCheckInterval + time.Millisecond)
 			synctest.Wait()
 			assert.Equal(t, 5, asked)
 			assert.Equal(t, 1, hedged)
@@ -46,26 +46,26 @@
 	})
 	t.Run("an entry that stood still reads first what came meanwhile", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			b := &silenceBound{allowed: time.Second, lives: func() bool { return false }, hedge: yes}
-			b.begin(time.Second)
+			b := &watchdog{timeout: time.Second, isAlive: func() bool { return false }, startHedge: returnTrue}
+			b.start(time.Second)
 			defer b.stop()
 			time.Sleep(time.Second - settleTime/2) // the last part has begun
 			synctest.Wait()
-			assert.False(t, b.settles(b.due), "the entry has run")
-			assert.True(t, b.settles(b.due.Add(time.Second)), "the entry has stood still")
-			assert.False(t, b.settles(b.due), "the entry has run since")
+			assert.False(t, b.waitsLonger(b.due), "the entry has run")
+			assert.True(t, b.waitsLonger(b.due.Add(time.Second)), "the entry has stood still")
+			assert.False(t, b.waitsLonger(b.due), "the entry has run since")
 		})
 	})
 	t.Run("each word of the runner begins the wait anew", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			b := &silenceBound{allowed: time.Second, lives: func() bool { return false }, hedge: func() bool {
+			b := &watchdog{timeout: time.Second, isAlive: func() bool { return false }, startHedge: func() bool {
 				t.Error("another was asked")
 				return true
 			}}
-			b.begin(time.Second)
+			b.start(time.Second)
 			for range 10 {
 				time.Sleep(900 * time.Millisecond)
-				b.heard()
+				b.reset()
 			}
 			b.stop()
 		})
--- a/gateway/slow_start.go
+++ b/gateway/slow_start.go
@@ -19,11 +19,11 @@
 	if r == nil {
 		return
 	}
-	r.AddColdPermits(b.Permits, g.permitsEnd(b, now))
+	r.AddColdPermits(b.Permits, g.permitExpiry(b, now))
 }
 
-// permitsEnd is until when the permits of a bulletin may be used.
-func (g *Gateway) permitsEnd(b *bulletin.Bulletin, now time.Time) time.Time {
+// permitExpiry is until when the permits of a bulletin may be used.
+func (g *Gateway) permitExpiry(b *bulletin.Bulletin, now time.Time) time.Time {
 	until := now.Add(permit.Validity)
 	if clock, known := g.stores.clock.read(now); known && b.Clock != 0 {
 		until = until.Add(-max(0, clock.Sub(time.UnixMilli(b.Clock))))
@@ -31,8 +31,8 @@
 	return until
 }
 
-// spacePermits gives the entry permits for cold runners of a service without agents, as if all entries sent as often as it may.
-func (g *Gateway) spacePermits(x *exchange, now time.Time) {
+// paceColdPermits gives the entry permits for cold runners of a service without agents, as if all entries sent as often as it may.
+func (g *Gateway) paceColdPermits(x *exchange, now time.Time) {
 	rate := x.service.SlowStart.RequestsPerSecond
 	if x.service.Engine != nil || rate <= 0 {
 		return
@@ -43,8 +43,8 @@
 	}
 }
 
-// mostCold reports that most of the runners that may take a request are cold.
-func (o *options) mostCold() bool {
+// mostlyCold reports that most of the runners that may take a request are cold.
+func (o *options) mostlyCold() bool {
 	cold := 0
 	for _, v := range o.views {
 		if v.Cold {
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -18,17 +18,17 @@
 	"github.com/rillreach/rillreach/slowstart"
 )
 
-// coldBound is what a cold runner of these tests may get in any one second.
-var coldBound = slowstart.Limits{PerSecond: 8, Factor: 1.5, Slack: 4}
+// coldLimits is what a cold runner of these tests may get in any one second.
+var coldLimits = slowstart.Limits{PerSecond: 8, Factor: 1.5, Slack: 4}
 
 const (
-	// coldFor is how long it is cold, coldLoad how many requests come meanwhile, one after the other, and coldPrompts how many prompts.
-	coldFor     = 3 * time.Second
-	coldLoad    = 60
-	coldPrompts = 21
-	// coldAtOnce of them come at once, the others one by one after each pause.
-	coldAtOnce = 17
-	coldPause  = 100 * time.Millisecond
+	// coldDuration is how long it is cold, coldLoad how many requests come meanwhile, one after the other, and coldPrompts how many prompts.
+	coldDuration = 3 * time.Second
+	coldRequests = 60
+	coldPrompts  = 21
+	// simultaneousPrompts of them come at once, the others one by one after each pause.
+	simultaneousPrompts = 17
+	promptInterval      = 100 * time.Millisecond
 )
 
 // arrivals are the moments at which requests reached a runner.
@@ -43,8 +43,8 @@
 	a.at = append(a.at, time.Now())
 }
 
-// since are how long after a moment they were.
-func (a *arrivals) since(start time.Time) []time.Duration {
+// elapsedSince are how long after a moment they were.
+func (a *arrivals) elapsedSince(start time.Time) []time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var all []time.Duration
@@ -64,28 +64,28 @@
 func withSlowStart(config jsonMap, service string) jsonMap {
 	for _, s := range config["services"].([]jsonMap) {
 		if s["name"] == service {
-			s["cold_start_s"], s["cold_per_s"] = coldFor.Seconds(), coldBound.PerSecond
+			s["cold_start_s"], s["cold_per_s"] = coldDuration.Seconds(), coldLimits.PerSecond
 		}
 	}
 	return config
 }
 
-func setColdBounds(s *deployment.Settings) {
-	s.Bounds.SlowStartFactor, s.Bounds.SlowStartSlack = coldBound.Factor, coldBound.Slack
+func setSlowStartBounds(s *deployment.Settings) {
+	s.Bounds.SlowStartFactor, s.Bounds.SlowStartSlack = coldLimits.Factor, coldLimits.Slack
 }
 
-// assertColdBound asserts that so many had come at no moment since the start that the bound was broken in one of the seconds. A machine that is busy
+// assertColdLimits asserts that so many had come at no moment since the start that the bound was broken in one of the seconds. A machine that is busy
 // lets requests arrive late, and never early.
-func assertColdBound(t *testing.T, a *arrivals, start time.Time) {
+func assertColdLimits(t *testing.T, a *arrivals, start time.Time) {
 	t.Helper()
-	most := coldBound.PerSecond*coldBound.Factor + coldBound.Slack
-	for i, after := range a.since(start) {
+	most := coldLimits.PerSecond*coldLimits.Factor + coldLimits.Slack
+	for i, after := range a.elapsedSince(start) {
 		assert.LessOrEqual(t, float64(i+1), most*math.Ceil(after.Seconds()), "after %s", after)
 	}
 }
 
-// TestColdRunnerWithoutAgent has many requests come at once while the only runner of a plain service is cold.
-func TestColdRunnerWithoutAgent(t *testing.T) {
+// TestColdRunnerOverloadedWithoutAgent has many requests come at once while the only runner of a plain service is cold.
+func TestColdRunnerOverloadedWithoutAgent(t *testing.T) {
 	var reached arrivals
 	r := &site.Runner{ID: "cold", Handle: func(w http.ResponseWriter, req *http.Request) {
 		reached.add()
@@ -96,34 +96,34 @@
 	store := site.NewStore()
 	store.Put("config", "main", withSlowStart(defaultConfig(), "plain"))
 	listed := record(r, "ready")
-	listed["cold_remaining_ms"] = coldFor.Milliseconds()
+	listed["cold_remaining_ms"] = coldDuration.Milliseconds()
 	store.Put("servers", r.ID, listed)
-	w := beginWith(t, store, setColdBounds)
+	w := beginWith(t, store, setSlowStartBounds)
 	defer w.stop()
 	w.awaitReady(t)
 	began := time.Now()
-	for range coldLoad {
+	for range coldRequests {
 		w.call(t, "POST", "/once/x", "body")
 	}
 	w.eventually(t, func() bool {
 		w.call(t, "POST", "/once/x", "body")
 		return reached.len() > 0
 	})
-	assertColdBound(t, &reached, began)
+	assertColdLimits(t, &reached, began)
 	assert.Contains(t, w.call(t, "POST", "/once/x", "body").body, verdictCold)
 	store.Put("servers", r.ID, record(r, "ready"))
 	w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
-	for range coldLoad {
+	for range coldRequests {
 		require.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status, "a warm runner takes all")
 	}
 }
 
-// promptTarget is so short that most of the prompts are late when the engine takes them.
-const promptTarget = 400 * time.Millisecond
+// promptLatencyTarget is so short that most of the prompts are late when the engine takes them.
+const promptLatencyTarget = 400 * time.Millisecond
 
-// TestColdEngine has prompts come to two entries at once while the only engine is cold, as all engines of a fleet are after a loss of power: they
+// TestColdEngineOverloaded has prompts come to two entries at once while the only engine is cold, as all engines of a fleet are after a loss of power: they
 // wait for permits of its agent, which the entries share, and are served late rather than refused.
-func TestColdEngine(t *testing.T) {
+func TestColdEngineOverloaded(t *testing.T) {
 	s := beginShared(t)
 	var reached arrivals
 	s.engine.Handle = func(w http.ResponseWriter, req *http.Request) {
@@ -131,12 +131,12 @@
 		site.Answer(w, req, "sound")
 	}
 	config := defaultConfig()
-	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptTarget.Milliseconds(), "gap_aim_ms": 1000}))
+	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptLatencyTarget.Milliseconds(), "gap_aim_ms": 1000}))
 	config["services"] = append(config["services"].([]jsonMap), engineService())
 	s.store.Put("config", "main", withSlowStart(config, "e"))
 	one, two := s.entry(t, "entry-1"), s.entry(t, "entry-2")
 	listed := site.EngineRecordOf(s.engine.Address(), "ready", 1)
-	listed["cold_remaining_ms"] = coldFor.Milliseconds()
+	listed["cold_remaining_ms"] = coldDuration.Milliseconds()
 	s.store.Put("servers", s.engine.ID, listed)
 	for _, w := range []*world{one, two} {
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("engine").View(time.Now()).Cold })
@@ -147,20 +147,20 @@
 	for i := range coldPrompts {
 		w := []*world{one, two}[i%2]
 		wg.Go(func() {
-			time.Sleep(coldPause * time.Duration(max(0, i-coldAtOnce)))
+			time.Sleep(promptInterval * time.Duration(max(0, i-simultaneousPrompts)))
 			if read(t, w.prompt(t, fmt.Sprint("/prompt/", i)), "GET").status == http.StatusOK {
 				served.add()
 			}
 		})
 	}
 	wg.Wait()
-	assertColdBound(t, &reached, began)
+	assertColdLimits(t, &reached, began)
 	assert.Equal(t, coldPrompts, served.len(), "those that wait are served")
 }
 
-// TestPermitsOfAnEarlierRun: a runner that has crashed comes back under another name and is cold; its agent still names the earlier run.
-func TestPermitsOfAnEarlierRun(t *testing.T) {
-	g, _ := beforeEngines(1)
+// TestPermitsOfEarlierRunDropped: a runner that has crashed comes back under another name and is cold; its agent still names the earlier run.
+func TestPermitsOfEarlierRunDropped(t *testing.T) {
+	g, _ := gatewayWithEngines(1)
 	now := time.Now()
 	later := g.state.Roster.Find("r0").Info()
 	later.ID, later.ColdUntil, later.Revision.Number = "r0-again", now.Add(time.Minute), later.Revision.Number+1
--- a/gateway/start_deadline.go
+++ b/gateway/start_deadline.go
@@ -13,12 +13,12 @@
 // errStartTooLate is why a request is cancelled at a runner at which it has not begun.
 var errStartTooLate = errors.New("runner's weights were replaced too long ago for a request to begin")
 
-// windowCheck is how often the window of a request that waits is looked at anew: newer weights may be named meanwhile, or turn out to
+// windowCheckInterval is how often the window of a request that waits is looked at anew: newer weights may be named meanwhile, or turn out to
 // have been named earlier than this entry heard.
-const windowCheck = time.Second
+const windowCheckInterval = time.Second
 
-// window is when requests like this one may begin on weights of their model.
-func (g *Gateway) window(x *exchange, version deployment.WeightVersion) weights.StartWindow {
+// startWindow is when requests like this one may begin on weights of their model.
+func (g *Gateway) startWindow(x *exchange, version deployment.WeightVersion) weights.StartWindow {
 	if x.wire.Prompt == nil || x.service.Engine == nil {
 		return weights.StartWindow{}
 	}
@@ -27,20 +27,20 @@
 
 // startDeadline cancels a request at its runner where it has not begun when the window on the runner's weights closes.
 type startDeadline struct {
-	window func() weights.StartWindow
-	// end ends the attempt.
-	end func()
+	startWindow func() weights.StartWindow
+	// cancel ends the attempt.
+	cancel func()
 
-	mu    sync.Mutex
-	timer *time.Timer
-	over  bool
+	mu      sync.Mutex
+	timer   *time.Timer
+	stopped bool
 }
 
-// boundStart has the attempt end where the request does not begin in time.
-func (g *Gateway) boundStart(x *exchange, t *target, end func()) *startDeadline {
+// newStartDeadline has the attempt end where the request does not begin in time.
+func (g *Gateway) newStartDeadline(x *exchange, t *target, end func()) *startDeadline {
 	d := &startDeadline{
-		window: func() weights.StartWindow { return g.window(x, t.weights) },
-		end: func() {
+		startWindow: func() weights.StartWindow { return g.startWindow(x, t.weights) },
+		cancel: func() {
 			t.cancelled.Store(true)
 			end()
 		},
@@ -55,16 +55,16 @@
 func (d *startDeadline) check() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
+	if d.stopped {
 		return
 	}
-	left := windowCheck
-	if end := d.window().ClosesAt(); !end.IsZero() {
+	left := windowCheckInterval
+	if end := d.startWindow().ClosesAt(); !end.IsZero() {
 		left = min(left, time.Until(end))
 	}
 	if left <= 0 {
-		d.over = true
-		d.end()
+		d.stopped = true
+		d.cancel()
 		return
 	}
 	d.timer = time.AfterFunc(left, d.check)
@@ -74,7 +74,7 @@
 func (d *startDeadline) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.over = true
+	d.stopped = true
 	if d.timer != nil {
 		d.timer.Stop()
 	}
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -99,7 +99,7 @@
 	if g.over.Err() != nil {
 		return g.refuseLeaving(x)
 	}
-	takes := g.takes(x.route)
+	takes := g.drainRequest(x.route)
 	takes.Deadline, takes.CallerIdleTimeout = x.ends, x.route.CallerIdleTimeout()
 	verdict := g.plan.Decide(time.Now(), takes)
 	if verdict == drain.Refuse {
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -146,8 +146,8 @@
 	w := begin(t, config, runners...)
 	t.Cleanup(w.stop)
 	for range 40 {
-		w.gateway.usual.add("stream", usual)
-		w.gateway.usual.add("flow", usual)
+		w.gateway.usual.observe("stream", usual)
+		w.gateway.usual.observe("flow", usual)
 	}
 	w.stop()
 	w.eventually(t, w.gateway.leaving.Load)
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -189,7 +189,7 @@
 		}
 		site.Events(w, r, 4, 0)
 		select {
-		case <-time.After(4 * leastSilence):
+		case <-time.After(4 * minSilence):
 		case <-r.Context().Done():
 			return
 		}
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// work is a request that counts as running at its runner.
-type work struct {
-	gateway  *Gateway
-	exchange *exchange
-	target   *target
-	sent     time.Time
-	read     bool
+// inflightRequest is a request that counts as running at its runner.
+type inflightRequest struct {
+	gateway   *Gateway
+	exchange  *exchange
+	target    *target
+	sentAt    time.Time
+	waitEnded bool
 }
 
-// begin counts the request as running at the runner.
-func (g *Gateway) begin(x *exchange, t *target) *work {
+// beginRequest counts the request as running at the runner.
+func (g *Gateway) beginRequest(x *exchange, t *target) *inflightRequest {
 	now := time.Now()
-	t.runner.BeginRequest(now, t.reading, t.held)
-	return &work{gateway: g, exchange: x, target: t, sent: now}
+	t.runner.BeginRequest(now, t.prefillTokens, t.tokens)
+	return &inflightRequest{gateway: g, exchange: x, target: t, sentAt: now}
 }
 
-// first records that the runner has read the prompt.
-func (w *work) first() {
-	if w.read {
+// recordFirstToken records that the runner has read the prompt.
+func (w *inflightRequest) recordFirstToken() {
+	if w.waitEnded {
 		return
 	}
-	w.read = true
+	w.waitEnded = true
 	now := time.Now()
-	w.target.runner.RecordFirstToken(now, w.sent, w.target.reading)
+	w.target.runner.RecordFirstToken(now, w.sentAt, w.target.prefillTokens)
 	if w.exchange.needsEngine() {
-		w.gateway.firsts.observe(w.exchange, w.target, now.Sub(w.sent))
-		w.gateway.firstWaits.add(w.exchange.route.Name, now.Sub(w.sent)-w.gateway.ownReading(w.exchange))
+		w.gateway.firsts.observe(w.exchange, w.target, now.Sub(w.sentAt))
+		w.gateway.firstWaits.observe(w.exchange.route.Name, now.Sub(w.sentAt)-w.gateway.unsharedPrefillTime(w.exchange))
 	}
-	w.gateway.noteWait(w.exchange, w.target, now.Sub(w.sent), now)
+	w.gateway.recordTTFT(w.exchange, w.target, now.Sub(w.sentAt), now)
 }
 
 // end counts the request as running no more.
-func (w *work) end() {
-	if !w.read {
-		w.read = true
-		w.target.runner.AbandonWait(w.sent, w.target.reading)
+func (w *inflightRequest) end() {
+	if !w.waitEnded {
+		w.waitEnded = true
+		w.target.runner.AbandonWait(w.sentAt, w.target.prefillTokens)
 	}
-	w.target.runner.EndRequest(w.target.held)
-	w.gateway.line.changed()
+	w.target.runner.EndRequest(w.target.tokens)
+	w.gateway.line.notify()
 }
 
-// noteWait records how long the request waited at its runner for its first token. One that begins on weights replaced longer ago than
+// recordTTFT records how long the request waited at its runner for its first token. One that begins on weights replaced longer ago than
 // the bound allows has a line of its own, since each time in it decides what went wrong: whether it was sent too late, or waited
 // for too long.
-func (g *Gateway) noteWait(x *exchange, t *target, waited time.Duration, now time.Time) {
+func (g *Gateway) recordTTFT(x *exchange, t *target, waited time.Duration, now time.Time) {
 	x.waited = waited
 	if x.wire.Prompt == nil || x.service.Engine == nil {
 		return
 	}
 	g.Metrics.RunnerWait(waited)
 	g.Metrics.PredictionError((waited - t.choice.Estimate).Abs())
-	replacedFor := g.replacedFor(x, t.weights, now)
+	replacedFor := g.sinceReplaced(x, t.weights, now)
 	if bound := g.Settings.Bounds.WeightsRollout; bound <= 0 || replacedFor <= bound {
 		return
 	}
