--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,48 +14,50 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// attempt is one send of a request to one runner, until the end of that runner's answer.
+// attempt is one send of a request to one runner, up to the end of that runner's answer.
 type attempt struct {
 	gateway  *Gateway
 	exchange *exchange
 	target   *target
-	// requestCtx is the context of the request's attempts, and waiting that of this one, which cancel ends for a reason.
+	// requestCtx is shared by all attempts of the request. ctx is that of this attempt, and cancel ends it with a
+	// cause.
 	requestCtx    context.Context
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
 	watchdog      *watchdog
 	startDeadline *startDeadline
-	// stopAfterEnd takes back what is to be done when the runner's run turns out to be over.
+	// stopAfterEnd unregisters the callback for the end of the runner's process.
 	stopAfterEnd func() bool
 
-	// sentAt is when the request was sent.
 	sentAt  time.Time
 	answer  *forward.Answer
 	headers platform.Answer
-	// prefetched is what was read of the answer before it is passed on, had the last event that the caller has from another attempt.
+	// prefetched holds the part of the answer that was read before any of it is forwarded. resumeAfter is the ID of the
+	// last event that the caller has from another attempt; events up to it are skipped.
 	prefetched  bytes.Buffer
 	resumeAfter string
-	// received is how much of the answer has come, in bytes.
+	// received is the number of bytes of the answer received so far.
 	received int64
-	// readErr is what ended the reading of an answer that isn't whole.
+	// readErr is the error that ended an incomplete answer.
 	readErr error
 
-	// noEjection says that the entry ended the attempt for a reason that doesn't speak against the runner.
+	// noEjection is set if the entry itself ended the attempt for a reason that is not a fault of the runner.
 	noEjection atomic.Bool
-	// mu guards the attempt that was begun beside this one, and whether another may still be.
+	// mu guards hedge and hedgingClosed, which is set once no further hedge may start.
 	mu            sync.Mutex
 	hedge         *hedge
 	hedgingClosed bool
-	// hedgeMayHaveRun says that an earlier second attempt may have run.
+	// hedgeMayHaveRun is set if an earlier hedge of this attempt may have run the request.
 	hedgeMayHaveRun bool
-	// writingToCaller says that what the runner said is being written to the caller.
+	// writingToCaller is set while part of the answer is being written to the caller.
 	writingToCaller atomic.Bool
 }
 
-// runAttempt sends the request to one runner, and where need be to another beside it; it reports whether the request is done with.
+// runAttempt sends the request to one runner and, if needed, hedges it to another one. It reports whether the request
+// is done.
 func (g *Gateway) runAttempt(ctx context.Context, x *exchange) bool {
 	t, verdict := g.findTarget(ctx, x)
-	if t != nil && !x.trial && g.isQuarantined(x) { // runners may have ended under it while it waited
+	if t != nil && !x.trial && g.isQuarantined(x) { // runners may have crashed on it while it waited
 		t.inflight.end()
 		t, verdict = nil, verdictCrashesRunners
 	}
@@ -79,7 +81,7 @@
 	}
 }
 
-// newAttempt prepares a send to the target.
+// newAttempt prepares an attempt on the target.
 func (g *Gateway) newAttempt(ctx context.Context, x *exchange, t *target) *attempt {
 	a := &attempt{gateway: g, exchange: x, target: t, requestCtx: ctx}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
@@ -89,7 +91,7 @@
 	return a
 }
 
-// run sends the request, unless that is done already, and passes the answer on; it reports whether the request is done with.
+// run sends the request, unless that has been done, and forwards the answer. It reports whether the request is done.
 func (a *attempt) run() bool {
 	if a.answer == nil {
 		a.startWatchdog()
@@ -100,7 +102,7 @@
 	return a.relay()
 }
 
-// startWatchdog bounds the wait for the runner's answer where another runner may be asked beside it.
+// startWatchdog bounds the wait for the start of the answer if the request can be hedged to another runner.
 func (a *attempt) startWatchdog() {
 	x := a.exchange
 	if !x.route.AtMostOnce() && x.runnersLeft() > 1 {
@@ -108,7 +110,7 @@
 	}
 }
 
-// send sends the request and reads the head of the answer; it reports whether the runner took it.
+// send sends the request and reads the headers of the answer. It reports whether the runner accepted the request.
 func (a *attempt) send() bool {
 	g, x, t := a.gateway, a.exchange, a.target
 	call := x.call
@@ -137,7 +139,7 @@
 	return true
 }
 
-// Read reads the answer's body.
+// Read reads the body of the answer, starting with the part that was prefetched.
 func (a *attempt) Read(buf []byte) (int, error) {
 	if a.prefetched.Len() > 0 {
 		return a.prefetched.Read(buf)
@@ -145,7 +147,7 @@
 	return a.readAnswer(buf)
 }
 
-// readAnswer reads what the runner sends, and records that it does.
+// readAnswer reads the body of the answer from the runner and records the progress.
 func (a *attempt) readAnswer(buf []byte) (int, error) {
 	n, err := a.answer.Read(buf)
 	if n > 0 {
@@ -159,14 +161,14 @@
 	return n, err
 }
 
-// recordProgress records that the runner has said something of its answer.
+// recordProgress records that the runner has sent part of its answer.
 func (a *attempt) recordProgress() {
 	a.startDeadline.stop()
 	a.watchdog.reset()
 	a.target.inflight.recordFirstToken()
 }
 
-// close ends the attempt, and the one that was begun beside it.
+// close ends the attempt and its hedge.
 func (a *attempt) close() {
 	if h := a.takeHedge(); h != nil {
 		h.close()
@@ -175,13 +177,13 @@
 	a.watchdog.stop()
 	a.startDeadline.stop()
 	if a.answer != nil {
-		a.answer.Close() // before the context ends, which would close a connection that can be kept
+		a.answer.Close() // before the context is cancelled, which would close a reusable connection
 	}
 	a.cancel(nil)
 	a.target.inflight.end()
 }
 
-// findTarget finds a runner for the next attempt, or says why there is none.
+// findTarget chooses the runner for the next attempt, or returns the reason why there is none.
 func (g *Gateway) findTarget(ctx context.Context, x *exchange) (*target, string) {
 	if x.needsEngine() {
 		return g.line.admit(ctx, x)
@@ -189,7 +191,7 @@
 	return g.choose(x, time.Now())
 }
 
-// maxConns is how many connections this entry may have to one runner.
+// maxConns returns how many connections this entry may open to one runner. Zero means no limit.
 func (g *Gateway) maxConns(x *exchange) int {
 	if x.service.MaxConns == 0 {
 		return 0
@@ -198,13 +200,13 @@
 }
 
 const (
-	// connShareDivisor is into how many parts a runner's connections are dealt among entries.
+	// connShareDivisor is the number of shares into which a runner's connections are divided; each entry uses one.
 	connShareDivisor = 6
-	// minConns is the least that an entry takes for itself.
+	// minConns is the number of connections that an entry may open even if its share is smaller.
 	minConns = 8
 )
 
-// handleFailure judges an attempt that brought no answer.
+// handleFailure records an attempt that failed without a complete answer, and ejects the runner if it is at fault.
 func (a *attempt) handleFailure(err error) {
 	g, x, t := a.gateway, a.exchange, a.target
 	cause := a.cause(err)
@@ -225,19 +227,19 @@
 	}
 	x.reason = err.Error()
 	callerLeft := x.request.Context().Err() != nil
-	pause := time.Duration(0)
+	ejectedFor := time.Duration(0)
 	if !callerLeft && !a.noEjection.Load() && !errors.Is(err, forward.ErrFull) {
-		pause = t.runner.Eject(now)
+		ejectedFor = t.runner.Eject(now)
 		if cause != causeClosed {
 			g.pool.Forget(t.view.Address)
 		}
 	}
 	g.Log.Info("attempt failed", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "notSent", notSent,
 		"callerLeft", callerLeft, "spared", a.noEjection.Load(), "timedOut", a.requestCtx.Err() != nil, "kind", cause, "endedBy", a.endedBy(), "fingerprint", x.fingerprint().String(),
-		"events", x.lastEvent, "cause", err.Error(), "avoidedFor", pause.String(), "after", now.Sub(x.arrived).String())
+		"events", x.lastEvent, "cause", err.Error(), "avoidedFor", ejectedFor.String(), "after", now.Sub(x.arrived).String())
 }
 
-// handleRefusal judges a runner's word that it has not run the request.
+// handleRefusal records that the runner has stated that it did not run the request.
 func (g *Gateway) handleRefusal(x *exchange, t *target, answer *forward.Answer, head platform.Answer) {
 	x.reason = "runner-refused"
 	x.untaken++
@@ -246,19 +248,19 @@
 		"status", answer.Response.StatusCode, "began", x.began, "rest", head.RetryAfter.String(), "otherRunner", head.OtherRunner, "answeredBy", head.Instance, "weights", head.Weights)
 	switch {
 	case head.OtherRunner && head.Instance != "" && head.Instance != t.view.ID:
-		t.runner.MarkLeaving() // another run has its address, so that this one is over, whatever the list says
+		t.runner.MarkLeaving() // another process has its address, so this one has ended even if it is still listed
 		select {
 		case g.restarted <- struct{}{}:
-		default: // the list is going to be asked for already
+		default: // a refresh of the list is already pending
 		}
 	case head.OtherRunner && x.wire.Prompt != nil:
 		g.updateWeights(x, t, head)
-	case head.RetryAfter == 0: // it has not said for how long it wants nothing
+	case head.RetryAfter == 0: // it gave no time after which to retry
 		t.runner.Eject(time.Now())
 	}
 }
 
-// updateWeights takes from a refusal that the runner has other weights than were expected.
+// updateWeights records the weights of a runner that refused the request because they are not the expected ones.
 func (g *Gateway) updateWeights(x *exchange, t *target, head platform.Answer) {
 	version := head.Weights
 	if version == 0 {
@@ -266,5 +268,5 @@
 		version = named.Version
 	}
 	t.runner.SetWeights(x.wire.Prompt.Model, version)
-	x.sends.allowRetry() // the same runner may be asked again for its own weights
+	x.sends.allowRetry() // so that the runner can be tried again with its actual weights
 }
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -6,14 +6,15 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// Kinds of what runners ask for in their answers.
+// The kinds of backpressure that a runner can signal in its response headers.
 const (
 	signalLimit      = "limit"
 	signalLeaving    = "leaving"
 	signalRetryAfter = "rest"
 )
 
-// applyRunnerState takes over what the runner says of itself in the head of its answer, unless another run has answered in its place.
+// applyRunnerState records what the response headers say about the runner, unless another process has answered at its
+// address.
 func (a *attempt) applyRunnerState(now time.Time) {
 	if a.headers.OtherRunner && a.headers.Instance != a.target.view.ID {
 		return
@@ -28,7 +29,7 @@
 	}
 }
 
-// recordBackpressure records what the runner asks for in the head of its answer.
+// recordBackpressure logs and counts the backpressure signals in the response headers.
 func (a *attempt) recordBackpressure() {
 	asks := backpressureSignals(&a.headers)
 	if len(asks) == 0 {
@@ -41,7 +42,7 @@
 		"perSecond", a.headers.Limit.PerSecond, "retryAfter", a.headers.RetryAfter.String())
 }
 
-// backpressureSignals are the kinds that an answer asks for.
+// backpressureSignals returns the kinds of backpressure that the response headers signal.
 func backpressureSignals(head *platform.Answer) []string {
 	var asks []string
 	if head.Limit.Bounded {
--- a/gateway/begin.go
+++ b/gateway/begin.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// initialSyncTimeout is for how long after its start an entry has requests wait for the configuration and the list of runners: both come within some
-	// 50 ms where the object store answers, and a caller that is refused has one try less.
+	// initialSyncTimeout is how long after its start an entry holds requests that arrive before the configuration and
+	// the list of runners. Both arrive within about 50 ms if the object store responds, and a refusal costs the caller
+	// one of its attempts.
 	initialSyncTimeout = time.Second
-	// syncPollInterval is how often it is looked whether they are there.
+	// syncPollInterval is the interval at which waiting requests check whether both have arrived.
 	syncPollInterval = 10 * time.Millisecond
 )
 
-// awaitSync waits until the entry knows enough to serve, for a short time after its start.
+// awaitSync waits until the entry knows enough to serve, but no longer than initialSyncTimeout after its start.
 func (g *Gateway) awaitSync(ctx context.Context) {
 	for !g.state.HasSynced() && time.Since(g.began) < initialSyncTimeout && ctx.Err() == nil {
 		pause.For(ctx, syncPollInterval)
--- a/gateway/begun_answer.go
+++ b/gateway/begun_answer.go
@@ -7,21 +7,24 @@
 	"github.com/rillreach/rillreach/internal/pause"
 )
 
-// A caller that has a part of an answer is owed the rest for as long as it stays: no refusal is a final answer to it any more. Where no runner takes
-// the rest, the request is sent again until one does, the caller's patience ends, or as many runners may have run it as the route allows.
+// Once a caller has received part of an answer, a refusal can no longer be returned to it. If no runner accepts the
+// rest of the request, it is sent again until one does, the caller gives up, or as many runners may have run it as the
+// route allows.
 
 const (
-	// minResendDelay and mostResendDelay bound the pause before a begun answer is sent on once more; it doubles with each send that no runner takes.
+	// minResendDelay and maxResendDelay bound the delay before a started answer is resumed again. It doubles with each
+	// send that no runner accepts.
 	minResendDelay = 25 * time.Millisecond
 	maxResendDelay = 200 * time.Millisecond
-	// maxDoublings keeps the pause from overflowing.
+	// maxDoublings keeps the delay from overflowing.
 	maxDoublings = 8
-	// verdictBudgetExhausted says that the retry budget is spent, verdictNoneInTime that no runner took the rest of a begun answer for as long as its caller stays.
+	// verdictBudgetExhausted means that the retry budget is used up. verdictNotResumedInTime means that no runner
+	// accepted the rest of a started answer before its caller gave up.
 	verdictBudgetExhausted  = "budget-spent"
 	verdictNotResumedInTime = "none-in-time"
 )
 
-// isTransient reports that what keeps a request from runners may be over soon.
+// isTransient reports whether the reason why no runner can take a request may soon go away.
 func isTransient(verdict string) bool {
 	switch verdict {
 	case verdictNoRunner, verdictCold, verdictLimited, verdictResting, verdictEvacuated, verdictElsewhere, verdictBacklog, verdictBudgetExhausted:
@@ -31,10 +34,11 @@
 	}
 }
 
-// canResume reports that the caller has a part of an answer that another runner can go on with.
+// canResume reports whether the caller has part of an answer that another runner can continue.
 func (x *exchange) canResume() bool { return x.began && x.route.Resumable }
 
-// resendAt is when a begun answer may be sent on again: at once after the first send that no runner took, since another may have room.
+// resendAt returns when a started answer may be sent on again. After the first send that no runner accepted this is at
+// once, since another runner may have room.
 func (x *exchange) resendAt(now time.Time) time.Time {
 	if x.notBefore.After(now) {
 		return x.notBefore
@@ -46,17 +50,18 @@
 	return now.Add(min(delay, maxResendDelay))
 }
 
-// callerGivesUpAt is when the caller of a begun answer gives it up, or its time is over.
+// callerGivesUpAt returns when the caller of a started answer stops waiting, or the deadline of the request if that is
+// earlier.
 func (x *exchange) callerGivesUpAt() time.Time {
-	quiet := x.lastPassed().Add(x.route.CallerIdleTimeout())
-	if quiet.Before(x.ends) {
-		return quiet
+	idleDeadline := x.lastPassed().Add(x.route.CallerIdleTimeout())
+	if idleDeadline.Before(x.ends) {
+		return idleDeadline
 	}
 	return x.ends
 }
 
-// awaitResend decides whether an attempt of a begun answer may follow the last one, and waits until it is worthwhile. It returns why none may, or
-// nothing.
+// awaitResend decides whether another attempt may follow and, for a started answer, waits until it is worth making. It
+// returns the reason why none may follow, or an empty string.
 func (g *Gateway) awaitResend(ctx context.Context, x *exchange) string {
 	for {
 		verdict := g.again(ctx, x)
@@ -67,12 +72,12 @@
 			x.untaken++
 		}
 		now := time.Now()
-		at := x.resendAt(now)
-		if at.After(x.callerGivesUpAt()) {
+		resendAt := x.resendAt(now)
+		if resendAt.After(x.callerGivesUpAt()) {
 			return verdictNotResumedInTime
 		}
 		x.exhausted = false
-		pause.For(ctx, at.Sub(now))
+		pause.For(ctx, resendAt.Sub(now))
 		if verdict == "" && ctx.Err() == nil {
 			return ""
 		}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -13,28 +13,28 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// target is the runner chosen for one attempt.
+// target is the runner chosen for an attempt.
 type target struct {
 	runner *roster.Runner
 	view   roster.View
 	choice place.Choice
-	// prefillTokens is how many tokens the runner is expected to read for the request, before how many it reads before that, and held how
-	// many the request takes there.
+	// prefillTokens is the number of prompt tokens that the runner is expected to process for the request,
+	// queuedPrefillTokens the number that it processes first for others, and tokens the memory that the request takes.
 	prefillTokens       int
 	queuedPrefillTokens int
 	tokens              int
 	weights             deployment.WeightVersion
-	// prompt and plan say which parts of the prompt are where, and how the runner comes to them.
+	// prompt locates the cached parts of the prompt, and plan is how the runner obtains them.
 	prompt *promptState
 	plan   fetch.Plan
 	// inflight counts the request as running at the runner until it ends.
 	inflight *inflightRequest
-	// cancelled says that the request was cancelled at the runner, since it had not begun when that was still allowed.
+	// cancelled is set if the attempt was cancelled because it had not started when its start window closed.
 	cancelled atomic.Bool
 }
 
-// choose decides on the runner for the next attempt, or says why there is none. One that may no longer be given the request once it is chosen is
-// left out by the next look.
+// choose chooses the runner for the next attempt, or returns the reason why there is none. If the chosen runner no
+// longer admits the request, the next iteration leaves it out.
 func (g *Gateway) choose(x *exchange, now time.Time) (*target, string) {
 	for {
 		o := g.findOptions(x, g.viewsAt(now), now)
@@ -48,11 +48,11 @@
 	}
 }
 
-// offset is where among so many candidates a choice begins to look.
+// offset returns the index among n candidates at which the search for the best one starts.
 func (g *Gateway) offset(n int) int { return int(g.seq.Add(1) % uint64(n)) }
 
-// assign makes a choice the target of the next attempt, and counts the request as running there. It returns nil where the runner may no longer be
-// given one: another request has just taken the last permit.
+// assign makes the choice the target of the next attempt and counts the request as running there. It returns nil if the
+// runner no longer admits a request because another one has just taken the last permit.
 func (g *Gateway) assign(x *exchange, o *options, choice place.Choice, now time.Time) *target {
 	i := choice.Index
 	if denial := o.runners[i].Admit(now); denial != "" {
@@ -75,7 +75,7 @@
 	return t
 }
 
-// logChoice records what decided on the runner, for whoever has to explain what became of the request.
+// logChoice logs the inputs of the decision, so that what happened to the request can be explained later.
 func (g *Gateway) logChoice(x *exchange, t *target, o *options, now time.Time) {
 	fetchUntil := time.Time{}
 	if t.prompt != nil && len(t.plan.Sources) > 0 {
@@ -90,13 +90,13 @@
 		"listAge", g.listAge(now).String())
 }
 
-// sinceReplaced is for how long a newer version than the given weights of the request's model has been named, as far as this entry
-// knows; zero where there is none.
+// sinceReplaced returns how long ago the given weights of the request's model were replaced by a newer desired version,
+// as far as this entry knows, or zero if they were not.
 func (g *Gateway) sinceReplaced(x *exchange, version deployment.WeightVersion, now time.Time) time.Duration {
 	return sinceReplaced(g.startWindow(x, version), now)
 }
 
-// sinceReplaced is for how long newer weights than those of the window have been named; zero where there are none.
+// sinceReplaced returns how long ago the weights that the window is for were replaced, or zero if they were not.
 func sinceReplaced(window weights.StartWindow, now time.Time) time.Duration {
 	if window.ReplacedAt.IsZero() {
 		return 0
@@ -104,10 +104,10 @@
 	return now.Sub(window.ReplacedAt)
 }
 
-// oldWeightsGrace is how long after the naming of new weights answers on the old ones are as good as others.
+// oldWeightsGrace is how long after weights were replaced an answer from them is still as good as any.
 const oldWeightsGrace = 1200 * time.Millisecond
 
-// cacheSalt keeps KV cache apart by model, weights, regions and, for an isolated account, the account.
+// cacheSalt separates KV cache entries by model, weights, regions and, for an isolated account, by account.
 func cacheSalt(x *exchange, version deployment.WeightVersion) string {
 	s := deployment.Salt{Model: x.wire.Prompt.Model, Weights: version, Regions: x.regions}
 	if x.account != nil && x.account.Isolated {
@@ -116,14 +116,14 @@
 	return s.String()
 }
 
-// reserveLinks records which links the chosen runner's fetches take.
+// reserveLinks records the use of links by the fetches of the chosen runner.
 func (g *Gateway) reserveLinks(t *target, now time.Time) {
-	for _, m := range t.plan.Transfers {
-		g.stores.book(m.Source, m.Duration, now)
+	for _, transfer := range t.plan.Transfers {
+		g.stores.book(transfer.Source, transfer.Duration, now)
 	}
 }
 
-// setEngineDirections adds what an engine is told.
+// setEngineDirections adds the directions for model engines.
 func (g *Gateway) setEngineDirections(x *exchange, t *target, d *platform.Directions) {
 	if t.prompt == nil {
 		return
@@ -131,7 +131,7 @@
 	d.Weights = t.weights
 	d.Salt = t.prompt.salt
 	if d.Salt == "" {
-		// Without a known version nothing kept may be met: a salt of its own keeps the request to itself.
+		// The weights are unknown, so no cached part can be used. A unique salt keeps the request from sharing any.
 		d.Salt = "request/" + string(x.wire.ID)
 		return
 	}
--- a/gateway/firsts.go
+++ b/gateway/firsts.go
@@ -8,33 +8,33 @@
 	"github.com/rillreach/rillreach/predict"
 )
 
-// ttftEstimators learns for each service how long prompts take to their first token; its zero value knows nothing.
+// ttftEstimators predicts the time to first token for each service. The zero value has no observations.
 type ttftEstimators struct {
 	mu        sync.Mutex
 	byService map[rillreach.ServiceID]*predict.TTFTEstimator
 }
 
-// model is how fast the service's engines are.
+// model returns the latency model of the service's engines.
 func (f *ttftEstimators) model(service rillreach.ServiceID) predict.LatencyModel {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if known := f.byService[service]; known != nil {
-		return known.Model()
+	if estimator := f.byService[service]; estimator != nil {
+		return estimator.Model()
 	}
 	return predict.Prior()
 }
 
-// observe learns from a request that had its first token after the wait.
+// observe adds a request whose first token came after the given wait.
 func (f *ttftEstimators) observe(x *exchange, t *target, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.byService == nil {
 		f.byService = map[rillreach.ServiceID]*predict.TTFTEstimator{}
 	}
-	known := f.byService[x.service.Name]
-	if known == nil {
-		known = &predict.TTFTEstimator{}
-		f.byService[x.service.Name] = known
+	estimator := f.byService[x.service.Name]
+	if estimator == nil {
+		estimator = &predict.TTFTEstimator{}
+		f.byService[x.service.Name] = estimator
 	}
-	known.Observe(t.queuedPrefillTokens+t.prefillTokens, wait-t.plan.TransferTime)
+	estimator.Observe(t.queuedPrefillTokens+t.prefillTokens, wait-t.plan.TransferTime)
 }
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -10,35 +10,36 @@
 	"github.com/rillreach/rillreach/place"
 )
 
-// hedge is a second attempt that begins while the first still runs, since the first's runner is about to load weights or says nothing.
-// The first goes on until the second answers, and beyond where that is refused or fails: a runner that works is given up for one that has
-// taken the request, never for one that is expected to.
+// hedge is a second attempt that starts while the first is still running, because the first runner is about to load
+// weights or is silent. The first attempt continues until the second answers, and goes on alone if the second is
+// refused or fails. A working runner is thus only given up for one that has accepted the request, never for one that is
+// expected to.
 type hedge struct {
-	// primary is the attempt that runs, attempt the one beside it, which works on a copy of the request.
+	// primary is the running attempt, and secondary the one beside it, which works on a copy of the request.
 	primary   *attempt
 	secondary *attempt
-	// result is the attempt that answers: the second, or a third that was begun beside it and took its place.
+	// result is the attempt that answers: secondary, or a third one that hedged it and replaced it.
 	result *attempt
 	reason hedgeReason
-	// timeout ends the second attempt where it takes too long; nil where the first isn't known to work.
+	// timeout cancels the hedge if it takes too long. It is nil if the primary is not known to be working.
 	timeout *time.Timer
 
 	wg    conc.WaitGroup
 	state atomic.Int32
 }
 
-// hedgeReason is why a second attempt is begun.
+// hedgeReason is why a hedge is started.
 type hedgeReason string
 
-// The reasons for a second attempt.
+// The reasons for a hedge.
 const (
-	// hedgeLoading says that the first runner waits for its requests to end before it loads weights.
+	// hedgeLoading means that the primary's runner waits for its requests to end before it loads weights.
 	hedgeLoading hedgeReason = "runner-loads"
-	// hedgeSilent says that the first runner says nothing, and isn't known to live.
+	// hedgeSilent means that the primary's runner is silent and not known to be alive.
 	hedgeSilent hedgeReason = "runner-silent"
 )
 
-// The states of a second attempt: it is being made, it answers, it is given up, or nothing is left of it.
+// The states of a hedge. After hedgeClosed its attempts have released their runners.
 const (
 	hedgePending int32 = iota
 	hedgeWon
@@ -46,13 +47,14 @@
 	hedgeClosed
 )
 
-// hedgeTimeout is how long a stream that its runner works on waits for the first event of another runner. One with room reads a prompt in
-// some 0.1 s; one that has not begun by then has a queue, and would have the request worked on twice meanwhile.
+// hedgeTimeout is how long a stream whose runner is working waits for the first event of another runner. A runner with
+// room processes a prompt in about 100 ms. One that takes longer has a queue, and both runners would work on the
+// request meanwhile.
 const hedgeTimeout = 350 * time.Millisecond
 
-// startHedge begins another attempt beside this one, and reports whether it did: not where one is being made, where the route or the
-// retry budget allows none, or where no other runner would begin on the request now. A runner that works has one other asked, one that
-// says nothing each that the route allows.
+// startHedge starts a second attempt beside this one and reports whether it did. It does not if one is already running,
+// if the route or the retry budget does not allow it, or if no other runner would start on the request now. A working
+// runner is hedged once, a silent one as often as the route allows.
 func (a *attempt) startHedge(reason hedgeReason) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,7 +63,8 @@
 	}
 	g, now := a.gateway, time.Now()
 	x := a.exchange.fork()
-	if !x.mayMove() || g.mayEndMore(x) || !g.budgets.Allows(now, x.service.Name) { // asked first: a stream of a busy runner comes here with each event
+	// Checked first because this runs for each event of a stream whose runner is about to load weights.
+	if !x.mayMove() || g.mayEndMore(x) || !g.budgets.Allows(now, x.service.Name) {
 		return false
 	}
 	o := g.findOptions(x, g.viewsAt(now), now)
@@ -85,7 +88,7 @@
 	return true
 }
 
-// chooseAvailable chooses a runner that would begin on the request now and that nothing speaks against, an index of -1 where there is none.
+// chooseAvailable chooses a preferred runner that would start on the request now. The index is -1 if there is none.
 func (g *Gateway) chooseAvailable(x *exchange, o *options, now time.Time) place.Choice {
 	choice := place.Choice{Index: -1}
 	switch {
@@ -102,12 +105,12 @@
 	return choice
 }
 
-// run makes the second attempt, and ends the first once the second answers.
+// run makes the second attempt and cancels the primary once the second answers.
 func (h *hedge) run() {
-	answers := h.awaitAnswer() && h.result.canContinueFrom(h.primary.currentExchange().snapshot().lastEvent)
-	if !answers || !h.state.CompareAndSwap(hedgePending, hedgeWon) {
+	usable := h.awaitAnswer() && h.result.canContinueFrom(h.primary.currentExchange().snapshot().lastEvent)
+	if !usable || !h.state.CompareAndSwap(hedgePending, hedgeWon) {
 		h.cancel()
-		h.result.close() // at once: its runner is kept from others for as long as the request counts there
+		h.result.close() // at once, because the request takes up capacity of its runner until then
 		h.state.Store(hedgeClosed)
 		return
 	}
@@ -117,7 +120,7 @@
 	h.primary.cancel(errAnotherAnswers)
 }
 
-// awaitAnswer has the request answered by the second attempt, or by a third in its place.
+// awaitAnswer waits for the answer of the second attempt, or of a third one that replaces it.
 func (h *hedge) awaitAnswer() bool {
 	h.result = h.secondary
 	if h.secondary.send() && h.secondary.prefetch() {
@@ -132,7 +135,7 @@
 	return true
 }
 
-// cancel gives the second attempt up, unless it answers already.
+// cancel cancels the hedge unless it has already answered.
 func (h *hedge) cancel() {
 	if !h.state.CompareAndSwap(hedgePending, hedgeCancelled) {
 		return
@@ -141,7 +144,7 @@
 	h.secondary.cancel(errNotNeeded)
 }
 
-// wait returns once the second attempt answers or is given up; it reports whether it answers.
+// wait waits until the hedge has answered or ended, and reports whether it has answered.
 func (h *hedge) wait() bool {
 	if h.timeout != nil {
 		h.timeout.Stop()
@@ -150,10 +153,10 @@
 	return h.state.Load() == hedgeWon
 }
 
-// closed reports that nothing is left of the second attempt.
+// closed reports whether the hedge has ended and released its runner.
 func (h *hedge) closed() bool { return h.state.Load() == hedgeClosed }
 
-// close closes a second attempt that the request does not go on with.
+// close ends a hedge whose answer is not used.
 func (h *hedge) close() {
 	h.cancel()
 	if h.wait() {
@@ -162,7 +165,7 @@
 	h.recordOutcome("unused")
 }
 
-// recordOutcome records what became of the second attempt.
+// recordOutcome logs and counts the outcome of the hedge.
 func (h *hedge) recordOutcome(outcome string) {
 	x := h.secondary.exchange
 	h.primary.gateway.Log.Info("second attempt ended", "decision", outcome, "reason", h.reason, "request", x.wire.ID,
@@ -170,7 +173,8 @@
 	h.primary.gateway.Metrics.Hedge(string(h.reason), outcome)
 }
 
-// retireHedge makes room for another second attempt where one is over; the lock is held.
+// retireHedge records the outcome of the previous hedge, which has ended, before another one replaces it. a.mu must be
+// held.
 func (a *attempt) retireHedge() {
 	if a.hedge == nil {
 		return
@@ -179,7 +183,7 @@
 	a.hedgeMayHaveRun = a.hedgeMayHaveRun || a.hedge.secondary.exchange.maybeRan
 }
 
-// awaitHedge waits for the second attempt, lets no other be begun, and reports whether it answers.
+// awaitHedge waits for the hedge and prevents further ones. It reports whether the hedge has answered.
 func (a *attempt) awaitHedge() bool {
 	a.mu.Lock()
 	h := a.hedge
@@ -188,7 +192,7 @@
 	return h != nil && h.wait()
 }
 
-// takeHedge takes the second attempt away, and lets none be begun any more.
+// takeHedge removes and returns the hedge, and prevents further ones.
 func (a *attempt) takeHedge() *hedge {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,7 +201,7 @@
 	return h
 }
 
-// replacement is the second attempt where that goes on in place of this one, which has failed; nil where there is none.
+// replacement returns the attempt of the hedge that continues in place of this one, which has failed, or nil.
 func (a *attempt) replacement() *attempt {
 	h, x := a.takeHedge(), a.exchange
 	x.maybeRan = x.maybeRan || a.hedgeMayHaveRun
@@ -205,7 +209,7 @@
 		return nil
 	}
 	if x.mayMove() {
-		h.secondary.watchdog.start(firstByteTimeout(x.route)) // nobody else bounds its silence any more
+		h.secondary.watchdog.start(firstByteTimeout(x.route)) // the primary's watchdog no longer covers it
 	}
 	won := h.wait()
 	x.maybeRan = x.maybeRan || h.secondary.exchange.maybeRan
@@ -219,7 +223,7 @@
 	return next
 }
 
-// commit lets no other attempt take this one's place any more; it reports false where one has done so already.
+// commit prevents any other attempt from replacing this one. It returns false if one already has.
 func (a *attempt) commit() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -231,8 +235,8 @@
 	return a.hedge.state.Load() != hedgeWon
 }
 
-// prefetch reads as much of the answer as shows that it can be passed on in place of another: the first whole event of a stream, any other
-// answer whole, or as much as is held of one. It reports whether it can.
+// prefetch reads enough of the answer to know that it can replace another one: the first complete event of a stream, or
+// any other answer up to its end or up to maxHeld. It reports whether the answer can be used.
 func (a *attempt) prefetch() bool {
 	x, status := a.exchange, a.answer.Response.StatusCode
 	if status >= failureStatus || a.isStream() && !a.goesOn() {
@@ -257,8 +261,8 @@
 	return true
 }
 
-// prefetchedEnough reports that what was read of the answer shows that it can be passed on. A stream's first event does, also where nothing
-// goes out before the stream is whole: two runners must not work on it for long.
+// prefetchedEnough reports whether the prefetched part shows that the answer can be used. The first event of a stream
+// is enough even if the stream is buffered until it is complete, since two runners must not work on it for long.
 func (a *attempt) prefetchedEnough() bool {
 	if a.isStream() {
 		return bytes.Contains(a.prefetched.Bytes(), eventEnd)
@@ -266,19 +270,20 @@
 	return a.prefetched.Len() > maxHeld
 }
 
-// currentExchange is the currentExchange that the attempt answers: a second attempt takes over the first's.
+// currentExchange returns the request that the attempt answers. A hedge that replaces the primary adopts the primary's.
 func (a *attempt) currentExchange() *exchange {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.exchange
 }
 
-// canContinueFrom reports that the stream can go on with this attempt's events: it is known which of them a caller has who has those up to the given.
+// canContinueFrom reports whether the stream can continue after the given event, the last one that the caller has, with
+// this attempt's events. Those that the caller already has must be known by their IDs.
 func (a *attempt) canContinueFrom(lastEvent string) bool {
 	return a.exchange.lastEvent == lastEvent || isNumber(lastEvent)
 }
 
-// adoptExchange has the attempt answer the request that it worked on a copy of.
+// adoptExchange makes the attempt answer the original request instead of its copy.
 func (a *attempt) adoptExchange(x *exchange) {
 	if a.exchange.lastEvent != x.lastEvent {
 		a.resumeAfter = x.lastEvent
--- a/gateway/left_out.go
+++ b/gateway/left_out.go
@@ -8,33 +8,35 @@
 )
 
 const (
-	// evacuationRetryAfter is when a caller may come back whose request could only run in evacuated zones: evacuations last for seconds at the least.
+	// evacuationRetryAfter is the retry delay for a request that could only run in evacuated zones or disallowed
+	// regions. Evacuations last for seconds at least.
 	evacuationRetryAfter = time.Second
-	// coldRetryAfter is the same where all runners are cold and have as much as they bear.
+	// coldRetryAfter is the retry delay if all remaining runners are cold and at the limit of their slow start.
 	coldRetryAfter = 200 * time.Millisecond
-	// minLimitRetryAfter and mostLimitComeBack bound the same where all runners name limits and have as much as those allow.
+	// minLimitRetryAfter and maxLimitRetryAfter bound the retry delay if all remaining runners are at the limits that
+	// they state.
 	minLimitRetryAfter = 50 * time.Millisecond
 	maxLimitRetryAfter = 2 * time.Second
 )
 
-// exclusions counts the runners of a service that may not take a request, by why.
+// exclusions counts the runners of a service that may not take a request, by reason.
 type exclusions struct {
 	evacuated, disallowedRegion, cold, limited, backingOff int
-	// limitedRate is what those that are limited take together, in requests a second.
+	// limitedRate is the combined limit of the limited runners, in requests per second.
 	limitedRate float64
-	// backoffEnds is when the first of those that rest takes requests again.
+	// backoffEnds is when the first of the runners that asked for backoff accepts requests again.
 	backoffEnds time.Time
 }
 
-// add counts a runner for which one of the reasons holds, the first that does, and reports that one does. One that only lacks a permit is counted where
-// the request doesn't wait for that.
-func (l *exclusions) add(v *roster.View, evacuated, elsewhere, waits bool) bool {
+// add counts a runner under the first reason that applies and reports whether one does. A runner that only lacks a
+// permit is not excluded if the request waits for permits.
+func (l *exclusions) add(v *roster.View, evacuated, disallowedRegion, awaitsPermit bool) bool {
 	switch {
 	case evacuated:
 		l.evacuated++
-	case elsewhere:
+	case disallowedRegion:
 		l.disallowedRegion++
-	case v.Denied == "" || waits && lacksPermit(v):
+	case v.Denied == "" || awaitsPermit && lacksPermit(v):
 		return false
 	default:
 		l.addDenied(v)
@@ -42,7 +44,7 @@
 	return true
 }
 
-// addDenied counts a runner that may not be given a request now.
+// addDenied counts a runner that does not admit a request now.
 func (l *exclusions) addDenied(v *roster.View) {
 	switch v.Denied {
 	case roster.DeniedLimited:
@@ -58,12 +60,12 @@
 	}
 }
 
-// lacksPermit reports that a runner would take a request of this entry if there were a permit.
+// lacksPermit reports whether the runner would admit a request if this entry had a permit.
 func lacksPermit(v *roster.View) bool {
 	return v.Denied == roster.DeniedCold || v.Denied == roster.DeniedLimited
 }
 
-// setRefusal records why the request has no runner, where no other was left, and when its caller may come back.
+// setRefusal sets the retry delay of a request for which no runner is left, and returns the reason.
 func (l *exclusions) setRefusal(x *exchange) (verdict string) {
 	x.comeBack, x.notBefore = 0, time.Time{}
 	switch {
@@ -87,7 +89,8 @@
 	}
 }
 
-// backoffEndsInTime reports that no runner is left but for rests of which the first ends early enough for the request.
+// backoffEndsInTime reports whether all remaining runners are in backoff and the first of them accepts requests again
+// soon enough for the request.
 func (l *exclusions) backoffEndsInTime(r admission.Request) bool {
 	if l.backingOff == 0 || l.cold+l.limited > 0 {
 		return false
@@ -98,7 +101,7 @@
 	return !r.MissesTarget(l.backoffEnds)
 }
 
-// limitRetryAfter is how long the runners that are limited take to take one more request.
+// limitRetryAfter returns the time in which the limited runners together accept one more request.
 func (l *exclusions) limitRetryAfter() time.Duration {
 	if l.limitedRate*maxLimitRetryAfter.Seconds() <= 1 {
 		return maxLimitRetryAfter
--- a/gateway/limited_runners.go
+++ b/gateway/limited_runners.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// liftedLimitRetention is for how long a runner is kept that names no limit any more, so that an agent which can't be reached now hears of that.
+	// liftedLimitRetention is how long a runner is kept after its limit was lifted, so that an agent that is
+	// unreachable now is still told.
 	liftedLimitRetention = 3 * time.Second
-	// allocationTimeout is how long an agent may allot nothing under a limit before it is told of it once more.
+	// allocationTimeout is how long an agent may allocate no permits under a limit before the limit is reported to it
+	// again.
 	allocationTimeout = time.Second
 )
 
-// limitedRunners are the runners that name a limit, or lately named one; the zero value has none.
+// limitedRunners tracks the runners that have stated a limit lately. The zero value is empty.
 type limitedRunners struct {
-	// changed is told when the limit of a runner has changed.
+	// changed wakes its waiters when the limit of a runner has changed.
 	changed broadcast.Signal
 
 	mu       sync.Mutex
 	byRunner map[*roster.Runner]*limitState
 }
 
-// limitState is when the limit of one runner changed and was reported.
+// limitState holds when the limit of a runner changed and whether there is something to report.
 type limitState struct {
-	// changedAt is when its limit last changedAt.
+	// changedAt is when the limit last changed.
 	changedAt time.Time
-	// unreportedSince is when there last was something to report, zero where there is nothing.
+	// unreportedSince is when the last unreported observation was made. It is zero if there is none.
 	unreportedSince time.Time
 }
 
@@ -39,18 +41,18 @@
 	l.state(r).changedAt = now
 }
 
-// markUnreported records that there is something to report of a runner.
+// markUnreported records that there is an observation of the runner's limit to report.
 func (l *limitedRunners) markUnreported(r *roster.Runner, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.state(r)
-	known.unreportedSince = now
-	if known.changedAt.IsZero() {
-		known.changedAt = now // it is kept for as long as one whose limit was just lifted
+	state := l.state(r)
+	state.unreportedSince = now
+	if state.changedAt.IsZero() {
+		state.changedAt = now // so that it is kept as long as a runner whose limit was just lifted
 	}
 }
 
-// state is what is known state a runner; the lock is held.
+// state returns the state of a runner and creates it if needed. l.mu must be held.
 func (l *limitedRunners) state(r *roster.Runner) *limitState {
 	if l.byRunner == nil {
 		l.byRunner = map[*roster.Runner]*limitState{}
@@ -61,44 +63,44 @@
 	return l.byRunner[r]
 }
 
-// current are the runners whose limits are to be looked at; those that are no longer listed, or have named no limit for long, are left out from now on.
+// current returns the tracked runners. It drops those that are no longer listed or whose limit was lifted long ago.
 func (l *limitedRunners) current(list *roster.Roster, now time.Time) []*roster.Runner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []*roster.Runner
-	for r, known := range l.byRunner {
-		lifted := !r.Limit().Limit.Bounded && now.Sub(known.changedAt) >= liftedLimitRetention
+	var runners []*roster.Runner
+	for r, state := range l.byRunner {
+		lifted := !r.Limit().Limit.Bounded && now.Sub(state.changedAt) >= liftedLimitRetention
 		if lifted || list.Find(r.Info().ID) != r {
 			delete(l.byRunner, r)
 			continue
 		}
-		all = append(all, r)
+		runners = append(runners, r)
 	}
-	return all
+	return runners
 }
 
-// unreported are those of the runners of which there is something to report, or whose agent seems not to know of the limit.
+// unreported returns those of the runners that have something to report, or whose agent seems not to know of the limit.
 func (l *limitedRunners) unreported(runners []*roster.Runner, now time.Time) []*roster.Runner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []*roster.Runner
+	var unreported []*roster.Runner
 	for _, r := range runners {
-		known := l.byRunner[r]
-		untold := r.Limit().Limit.Bounded && r.SinceLimitGrant(now) >= allocationTimeout
-		if known != nil && (!known.unreportedSince.IsZero() || untold) {
-			all = append(all, r)
+		state := l.byRunner[r]
+		unallocated := r.Limit().Limit.Bounded && r.SinceLimitGrant(now) >= allocationTimeout
+		if state != nil && (!state.unreportedSince.IsZero() || unallocated) {
+			unreported = append(unreported, r)
 		}
 	}
-	return all
+	return unreported
 }
 
-// markReported records that all was reported that there was until the moment.
+// markReported records that all observations up to the given time were reported.
 func (l *limitedRunners) markReported(runners []*roster.Runner, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range runners {
-		if known := l.byRunner[r]; known != nil && !known.unreportedSince.After(until) {
-			known.unreportedSince = time.Time{}
+		if state := l.byRunner[r]; state != nil && !state.unreportedSince.After(until) {
+			state.unreportedSince = time.Time{}
 		}
 	}
 }
--- a/gateway/line.go
+++ b/gateway/line.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// minAdmitInterval is the least time between two looks at the waiting requests, which bounds what they cost.
+	// minAdmitInterval is the minimum time between two passes over the waiting requests, which bounds their cost.
 	minAdmitInterval = 5 * time.Millisecond
-	// maxAdmitInterval is the longest time between two looks while requests wait, in case no report comes.
+	// maxAdmitInterval is the maximum time between two passes while requests wait, in case no report arrives.
 	maxAdmitInterval = 20 * time.Millisecond
-	// maxBlocked is how many requests in a row may find no room before a look ends.
+	// maxBlocked is the number of requests without room after which a pass admits no more.
 	maxBlocked = 8
 )
 
-// waitingRequest is one request that waits for room at an engine.
+// waitingRequest is a request that waits for room at a model engine.
 type waitingRequest struct {
 	exchange *exchange
 	request  admission.Request
-	// decided is told once what becomes of it.
+	// decided receives the decision once.
 	decided chan decision
 }
 
-// decision is what became of a waiting request: a target, or why it has none.
+// decision is the target of a waiting request, or the reason why it has none.
 type decision struct {
 	target  *target
 	verdict string
@@ -43,7 +43,7 @@
 	admitRate     admission.RateEstimator
 	lateAdmitRate admission.RateEstimator
 	standingQueue admission.StandingQueue
-	// mostEnginesCold says that most engines were cold when requests were last decided on.
+	// mostEnginesCold is set if most engines were cold at the last decision.
 	mostEnginesCold bool
 	wake            chan struct{}
 }
@@ -52,10 +52,10 @@
 	return &admissionQueue{gateway: g, wake: make(chan struct{}, 1)}
 }
 
-// Name is the controller's name.
+// Name returns the name of the controller.
 func (l *admissionQueue) Name() string { return "admit-waiting" }
 
-// Run admits waiting requests as room comes back, until the context ends.
+// Run admits waiting requests as engines become free, until the context ends.
 func (l *admissionQueue) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		l.awaitWake(ctx)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// awaitWake waits until the line is to be looked at; while nobody waits there, only a request that comes ends that.
+// awaitWake waits until the next pass is due. While the queue is empty, only a new request ends the wait.
 func (l *admissionQueue) awaitWake(ctx context.Context) {
 	var idle <-chan time.Time
 	if l.len() > 0 {
@@ -80,8 +80,8 @@
 	}
 }
 
-// notify has the waiting requests looked at soon, since something is known anew of an engine. An entry before hundreds of engines hears of
-// one some hundred times a second, and mostly nobody waits.
+// notify schedules a pass over the waiting requests because the state of an engine has changed. With hundreds of
+// engines this is called several hundred times per second, mostly while the queue is empty.
 func (l *admissionQueue) notify() {
 	if l.len() == 0 {
 		return
@@ -92,14 +92,14 @@
 	}
 }
 
-// len is how many requests wait.
+// len returns the number of waiting requests.
 func (l *admissionQueue) len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting)
 }
 
-// admit waits until the request may go to an engine, and says why where it may not.
+// admit waits until the request may be sent to an engine, or returns the reason why it may not.
 func (l *admissionQueue) admit(ctx context.Context, x *exchange) (*target, string) {
 	w := &waitingRequest{exchange: x, request: l.gateway.admissionRequest(x), decided: make(chan decision, 1)}
 	if d, done := l.enqueue(w, time.Now()); done {
@@ -114,11 +114,12 @@
 	if l.remove(w) {
 		return nil, verdictLeftLine
 	}
-	d := <-w.decided // it was decided just now
+	d := <-w.decided // it was decided at the same moment
 	return d.target, d.verdict
 }
 
-// enqueue decides on a request that nobody waits before, or has it wait.
+// enqueue decides on the request at once if no others wait or its answer has started, and adds it to the queue
+// otherwise. The second result is false if it was added.
 func (l *admissionQueue) enqueue(w *waitingRequest, now time.Time) (decision, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,18 +136,18 @@
 	return decision{}, false
 }
 
-// tokensAhead is how many tokens the requests take that are to be admitted before this one.
+// tokensAhead returns the total tokens of the waiting requests that are admitted before this one.
 func (l *admissionQueue) tokensAhead(w *waitingRequest, now time.Time) int {
-	sum := 0
+	tokens := 0
 	for _, other := range l.waiting {
 		if admission.Compare(other.request, w.request, now) <= 0 {
-			sum += other.request.Tokens
+			tokens += other.request.Tokens
 		}
 	}
-	return sum
+	return tokens
 }
 
-// remove takes a request off the line; it reports whether that was still there.
+// remove removes a request from the queue and reports whether it was there.
 func (l *admissionQueue) remove(w *waitingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,8 +160,8 @@
 	return true
 }
 
-// admitWaiting admits those that wait in their order. One that finds no room keeps the engine that has the most for itself, so that those
-// behind it, which may be smaller, don't take room there as it comes back.
+// admitWaiting admits waiting requests in order. A request without room reserves the engine that has the most, so that
+// later, smaller requests do not take the memory that becomes free there.
 func (l *admissionQueue) admitWaiting(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,21 +170,21 @@
 		return
 	}
 	slices.SortStableFunc(l.waiting, func(a, b *waitingRequest) int { return admission.Compare(a.request, b.request, now) })
-	claimed := map[*roster.Runner]bool{}
+	reserved := map[*roster.Runner]bool{}
 	views := l.gateway.viewsAt(now)
-	drain := l.drainTime(now)
-	blocked, before := 0, 0
+	drainTime := l.drainTime(now)
+	blocked, tokensAhead := 0, 0
 	l.waiting = slices.DeleteFunc(l.waiting, func(w *waitingRequest) bool {
 		d, done := decision{}, false
 		if blocked < maxBlocked {
-			d, done = l.tryAdmit(w, views, claimed, drain, now)
+			d, done = l.tryAdmit(w, views, reserved, drainTime, now)
 		}
 		if !done {
-			d, done = l.shed(w, before, now)
+			d, done = l.shed(w, tokensAhead, now)
 		}
 		if !done {
 			blocked++
-			before += w.request.Tokens
+			tokensAhead += w.request.Tokens
 			return false
 		}
 		if d.target != nil {
@@ -194,9 +195,9 @@
 	})
 }
 
-// tryAdmit admits a request, or ends its wait, with drain as the time to come back; it reports whether it did either. Claimed are the
-// engines that requests before it keep, nil where nobody waits.
-func (l *admissionQueue) tryAdmit(w *waitingRequest, views *runnerViews, claimed map[*roster.Runner]bool, drain time.Duration, now time.Time) (decision, bool) {
+// tryAdmit admits or refuses the request, or returns false if it has to wait. A refused caller is told to retry after
+// drainTime. The engines in reserved are kept for requests ahead of this one; nil means that none wait.
+func (l *admissionQueue) tryAdmit(w *waitingRequest, views *runnerViews, reserved map[*roster.Runner]bool, drainTime time.Duration, now time.Time) (decision, bool) {
 	g, x := l.gateway, w.exchange
 	o := g.findOptions(x, views, now)
 	switch {
@@ -207,7 +208,7 @@
 		return decision{verdict: o.exclusions.setRefusal(x)}, true
 	}
 	l.mostEnginesCold = o.mostlyCold()
-	choice, room := g.chooseWithRoom(x, o, roomQuery{reserved: claimed, senders: l.senders(claimed), idleOnly: w.request.Deprioritized(now)}, now)
+	choice, mostFree := g.chooseWithRoom(x, o, roomQuery{reserved: reserved, senders: l.senders(reserved), idleOnly: w.request.Deprioritized(now)}, now)
 	switch {
 	case choice.Index >= 0:
 		t := g.assign(x, o, choice, now)
@@ -217,18 +218,18 @@
 		*o.views[choice.Index] = t.runner.View(now) // the next request finds less room there
 		return decision{target: t}, true
 	case w.request.MissesDeadline(now):
-		x.comeBack = drain
+		x.comeBack = drainTime
 		return decision{verdict: verdictNoRoom}, true
-	case room >= 0 && claimed != nil:
-		claimed[o.runners[room]] = true
+	case mostFree >= 0 && reserved != nil:
+		reserved[o.runners[mostFree]] = true
 	}
 	return decision{}, false
 }
 
-// senders is how many entries are taken to send at the same time.
-func (l *admissionQueue) senders(claimed map[*roster.Runner]bool) int {
-	if claimed == nil {
-		return 1 // nobody waits here
+// senders returns the number of entries assumed to send at the same time.
+func (l *admissionQueue) senders(reserved map[*roster.Runner]bool) int {
+	if reserved == nil {
+		return 1 // no requests wait here
 	}
 	return l.gateway.budgets.Entries()
 }
--- a/gateway/loads_soon.go
+++ b/gateway/loads_soon.go
@@ -6,12 +6,13 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// minExpectedWait is the least that a stream that moves is taken to wait at its new runner for its first token: streams waited 0.2 s to 1.6 s
-// there before a load began and refused them.
+// minExpectedWait is the minimum assumed wait for the first token of a stream that moves to another runner. Streams
+// have waited 0.2 s to 1.6 s there before a weight load started and they were refused.
 const minExpectedWait = 1500 * time.Millisecond
 
-// weightLoadImminent reports that the runner may begin to load newer weights before a stream that moves there has begun, and would then refuse it.
-// Where newer weights are named and the runner's agent has not told its start yet, that may be at any moment.
+// weightLoadImminent reports whether the runner may start to load newer weights, and refuse the request, before a
+// stream that moves there has its first token. If its weights have been replaced and the start of the load is not
+// scheduled yet, it may start at any moment.
 func (g *Gateway) weightLoadImminent(x *exchange, v *roster.View) bool {
 	if v.WeightLoadScheduled {
 		return v.TimeToWeightLoad < max(v.ExpectedWait, minExpectedWait)
--- a/gateway/mean.go
+++ b/gateway/mean.go
@@ -2,11 +2,12 @@
 
 import "sync"
 
-// smoothingFactor is the weight of the newest value in a moving mean.
+// smoothingFactor is the weight of the newest value in the moving averages.
 const smoothingFactor = 0.02
 
-// sizeBiasedMean is the mean size of the work that is found waiting at any moment, where large pieces are found more often than
-// they come: the sum of the squares over the sum. Its zero value is empty.
+// sizeBiasedMean is a moving average of the size of the work found waiting at a random moment. Large items wait longer
+// and are found more often than they arrive, so it is the mean of the squares divided by the mean. The zero value is
+// empty.
 type sizeBiasedMean struct {
 	mu         sync.Mutex
 	meanSize   float64
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -14,35 +14,35 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// options are the runners that may take a request, and what each would do for it.
+// options holds the runners that may take a request, with the decision inputs of each.
 type options struct {
 	request    place.Request
 	views      []*roster.View
 	runners    []*roster.Runner
 	candidates []place.Candidate
-	// plans are those of the candidates that were looked at in full.
+	// plans holds the fetch plans of the candidates for which planCandidate was called.
 	plans    []fetch.Plan
 	versions map[deployment.WeightVersion]*versionState
-	// exclusions counts runners that may not take the request.
+	// exclusions counts the runners that may not take the request.
 	exclusions exclusions
 }
 
-// versionState is what holds for a request at all runners that have one version of its model's weights.
+// versionState is the state of a request that is common to all runners with one version of its model's weights.
 type versionState struct {
 	startWindow weights.StartWindow
-	// prompt is set once a plan has been asked for.
+	// prompt is set by the first call of planCandidate for the version.
 	prompt *promptState
 }
 
-// findOptions looks at all runners of the request's service. What each would read and fetch is added by planAt.
-func (g *Gateway) findOptions(x *exchange, all *runnerViews, now time.Time) *options {
+// findOptions examines all runners of the request's service. The cost of the prompt at each is added by planCandidate.
+func (g *Gateway) findOptions(x *exchange, views *runnerViews, now time.Time) *options {
 	o := &options{request: g.placeRequest(x), versions: map[deployment.WeightVersion]*versionState{}}
 	g.paceColdPermits(x, now)
-	group := all.forService(x.service.Name)
+	group := views.forService(x.service.Name)
 	o.views = make([]*roster.View, 0, len(group.views))
 	o.runners = make([]*roster.Runner, 0, len(group.views))
 	o.candidates = make([]place.Candidate, 0, len(group.views))
-	asked := x.sends.runnersTried()
+	tried := x.sends.runnersTried()
 	conversation := hash.String(conversation(x))
 	meanRead := g.reads.mean()
 	evacuations := g.state.Evacuations()
@@ -57,7 +57,7 @@
 		}
 		c := g.newCandidate(x, v, conversation, meanRead)
 		c.OldWeights = x.needsEngine() && sinceReplaced(state.startWindow, now) > oldWeightsGrace
-		c.Tried = slices.Contains(asked, v.ID)
+		c.Tried = slices.Contains(tried, v.ID)
 		o.views = append(o.views, v)
 		o.runners = append(o.runners, group.runners[i])
 		o.candidates = append(o.candidates, c)
@@ -66,7 +66,7 @@
 	return o
 }
 
-// versionStateOf is the state of the weights that a runner has.
+// versionStateOf returns the state for the weights of a runner.
 func (g *Gateway) versionStateOf(x *exchange, o *options, v *roster.View) *versionState {
 	version := weightVersion(x, v)
 	state := o.versions[version]
@@ -77,7 +77,7 @@
 	return state
 }
 
-// weightVersion is the version that a runner has of the request's model, zero for a request without one.
+// weightVersion returns the version of the request's model at a runner, or zero if the request has no prompt.
 func weightVersion(x *exchange, v *roster.View) deployment.WeightVersion {
 	if x.wire.Prompt == nil {
 		return 0
@@ -85,17 +85,18 @@
 	return v.Weights[x.wire.Prompt.Model]
 }
 
-// placeRequest is what the choice has to know of the request.
+// placeRequest describes the request to package place.
 func (g *Gateway) placeRequest(x *exchange) place.Request {
-	q := place.Request{Target: x.route.TargetLatency}
+	request := place.Request{Target: x.route.TargetLatency}
 	if x.needsEngine() {
-		q.Tokens = x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens
-		q.Latency = g.firsts.model(x.service.Name)
+		request.Tokens = x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens
+		request.Latency = g.firsts.model(x.service.Name)
 	}
-	return q
+	return request
 }
 
-// newCandidate is a runner as the choice sees it, for a conversation by its hash, where prompts on average leave so many tokens to read.
+// newCandidate describes a runner to package place. The conversation is given by its hash, and meanRead is the average
+// number of tokens that an engine processes per prompt.
 func (g *Gateway) newCandidate(x *exchange, v *roster.View, conversation uint64, meanRead int) place.Candidate {
 	c := place.Candidate{
 		Running:             v.RunningRequests,
@@ -120,17 +121,17 @@
 	return c
 }
 
-// isAvoided reports that a runner of engines gets a request only where there is no other.
+// isAvoided reports whether a model engine is chosen only if there is no other.
 func isAvoided(v *roster.View) bool {
 	return v.Ejected || v.ReportFresh && (v.Load.LoadingWeights || v.Load.Unresponsive)
 }
 
-// hashDistance is where a hash puts a runner for a conversation, between 0 and 1.
+// hashDistance returns the distance of a runner from a conversation, from 0 to 1.
 func hashDistance(conversation uint64, runner rillreach.InstanceID) float64 {
 	return float64(hash.Mix(conversation, hash.String(string(runner)))) / math.MaxUint64
 }
 
-// planCandidate adds to a candidate what it would read and fetch of the request's prompt.
+// planCandidate adds the fetch plan and the cost of the request's prompt to a candidate.
 func (g *Gateway) planCandidate(x *exchange, o *options, i int, now time.Time) {
 	v := o.views[i]
 	state := g.versionStateOf(x, o, v)
@@ -141,7 +142,7 @@
 	applyPlan(&o.candidates[i], x.wire.Prompt, &o.plans[i])
 }
 
-// applyPlan adds to a candidate what it would read and fetch by a plan.
+// applyPlan sets the prompt cost of a candidate from a fetch plan.
 func applyPlan(c *place.Candidate, p *deployment.Prompt, plan *fetch.Plan) {
 	c.PrefillTokens = p.UnsharedTokens() + plan.PrefillTokens
 	c.RecomputedTokens = plan.RecomputedTokens
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -6,8 +6,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// allowsZone reports that a request may run in a zone, and that what it leaves may be kept there. A zone of no known region is only good for requests
-// that may run anywhere.
+// allowsZone reports whether the request may run, and its KV cache may be stored, in a zone. A zone without a known
+// region is only allowed for requests that may run in any region.
 func (g *Gateway) allowsZone(x *exchange, zone rillreach.ZoneID) bool {
 	return !x.limited || slices.Contains(x.regions, g.Settings.Regions[zone])
 }
--- a/gateway/restart.go
+++ b/gateway/restart.go
@@ -7,25 +7,26 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// maxRestartDelay bounds what is taken for the time in which a new start gets around; beyond it the runner's clock and the runners'
-// common one don't agree.
+// maxRestartDelay bounds a plausible delay until a restart is known. A longer one means that the runner's clock
+// disagrees with the runners' common clock.
 const maxRestartDelay = time.Minute
 
-// handleRunnerRestart forgets what a runner's earlier run held, and its connections, which ended with it.
+// handleRunnerRestart discards the cache index and the connections of a runner's earlier process.
 func (g *Gateway) handleRunnerRestart(info deployment.Runner) {
 	now := time.Now()
 	g.stores.index.ObserveRun(info.Address, info.Run())
 	g.pool.Forget(info.Address)
 	g.line.notify()
 	delay, known := g.restartDelay(info.Generation, now)
-	g.Log.Info("runner started anew", "decision", "forget", "runner", info.ID, "generation", info.Generation, "address", info.Address,
+	g.Log.Info("runner restarted", "decision", "forget", "runner", info.ID, "generation", info.Generation, "address", info.Address,
 		"delay", delay.String(), "delayKnown", known)
 	if known {
 		g.Metrics.RestartHeard(delay)
 	}
 }
 
-// restartDelay is how long ago a run started, by the runners' common clock; it reports whether that can be told.
+// restartDelay returns how long ago a process started, by the runners' common clock. The second result is false if that
+// is not known.
 func (g *Gateway) restartDelay(generation rillreach.Generation, now time.Time) (time.Duration, bool) {
 	clock, known := g.stores.clock.read(now)
 	delay := clock.Sub(generation.Started())
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -9,24 +9,26 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// roomQuery says which engines count as ones with room.
+// roomQuery restricts which engines are considered to have room.
 type roomQuery struct {
-	// reserved are kept by requests that wait, senders is how many entries are taken to send at the same time.
+	// reserved engines are kept for waiting requests. senders is the number of entries assumed to send at the same
+	// time.
 	reserved map[*roster.Runner]bool
 	senders  int
-	// idleOnly asks for engines that have nothing to read.
+	// idleOnly restricts the choice to engines without pending prefill work.
 	idleOnly bool
 }
 
-// chooseWithRoom chooses among the engines that have room, and gives the one with the most where none has enough.
-func (g *Gateway) chooseWithRoom(x *exchange, o *options, q roomQuery, now time.Time) (choice place.Choice, most int) {
+// chooseWithRoom chooses among the engines that have room. It also returns the index of the engine that has the most
+// room, or -1.
+func (g *Gateway) chooseWithRoom(x *exchange, o *options, q roomQuery, now time.Time) (choice place.Choice, mostFree int) {
 	admitted := make([]place.Candidate, 0, len(o.views))
-	index := make([]int, 0, len(o.views))
-	most = -1
-	free := 0
-	good := o.anyPreferred()
+	indexes := make([]int, 0, len(o.views))
+	mostFree = -1
+	maxFree := 0
+	preferredOnly := o.anyPreferred()
 	for i := range o.views {
-		if good && !o.candidates[i].Preferred() || q.reserved[o.runners[i]] {
+		if preferredOnly && !o.candidates[i].Preferred() || q.reserved[o.runners[i]] {
 			continue
 		}
 		if o.views[i].Denied != "" {
@@ -36,33 +38,35 @@
 		if room.Admits(o.request.Tokens) && (!q.idleOnly || room.Idle()) {
 			g.planCandidate(x, o, i, now)
 			admitted = append(admitted, o.candidates[i])
-			index = append(index, i)
+			indexes = append(indexes, i)
 		}
-		if most < 0 || room.FreeTokens() > free {
-			most, free = i, room.FreeTokens()
+		if mostFree < 0 || room.FreeTokens() > maxFree {
+			mostFree, maxFree = i, room.FreeTokens()
 		}
 	}
 	if len(admitted) == 0 {
-		return place.Choice{Index: -1}, most
+		return place.Choice{Index: -1}, mostFree
 	}
 	choice = place.Choose(o.request, admitted, g.offset(len(admitted)))
-	choice.Index = index[choice.Index]
-	return choice, most
+	choice.Index = indexes[choice.Index]
+	return choice, mostFree
 }
 
-// anyPreferred reports that an engine is there that nothing speaks against.
+// anyPreferred reports whether any candidate is preferred.
 func (o *options) anyPreferred() bool {
 	return slices.ContainsFunc(o.candidates, func(c place.Candidate) bool { return c.Preferred() })
 }
 
-// engineState is the room at an engine, by its report where there is one, else by this entry's own requests.
+// engineState returns the load of an engine according to its report or, without a recent one, to this entry's own
+// requests.
 func (g *Gateway) engineState(o *options, i, senders int) admission.EngineState {
 	v, c := o.views[i], &o.candidates[i]
 	if !v.ReportFresh {
-		// A runner that has just started is empty for every entry, so that each takes the others to send as much as itself.
+		// All entries see a runner that has just started as empty, so each assumes that the others send as much as
+		// itself.
 		entries := g.budgets.Entries()
-		ahead := time.Duration(v.PrefillTokens*entries) * o.request.Latency.PerToken
-		return admission.EngineState{Capacity: c.Capacity, Used: v.KVTokens * entries, PendingPrefill: ahead}
+		pendingPrefill := time.Duration(v.PrefillTokens*entries) * o.request.Latency.PerToken
+		return admission.EngineState{Capacity: c.Capacity, Used: v.KVTokens * entries, PendingPrefill: pendingPrefill}
 	}
 	return admission.EngineState{
 		Capacity: c.Capacity, Used: max(v.Load.UsedTokens, 0), Queued: v.Load.Waiting * g.sizes.mean(), SentSinceReport: v.UnreportedKVTokens, Senders: senders,
--- a/gateway/route_times.go
+++ b/gateway/route_times.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// maxRoutes bounds how many routes' times are remembered.
+	// maxRoutes bounds the number of routes whose durations are kept.
 	maxRoutes = 4096
-	// typicalDeviations is how many mean deviations over the mean most requests take, surelyDeviations nearly all: three in four
-	// and 95 in 100 where times vary as much as those of streams do.
+	// typicalDeviations and conservativeDeviations are the numbers of mean deviations above the mean that cover most
+	// and nearly all requests: 75% and 95% where durations vary as much as those of streams do.
 	typicalDeviations      = 1
 	conservativeDeviations = 4
 )
 
-// routeDurations are how long requests usually take, by route; the zero value knows none.
+// routeDurations estimates the duration of requests by route. The zero value has no observations.
 type routeDurations struct {
 	mu      sync.Mutex
 	byRoute map[string]*predict.DurationEstimator
 }
 
-// observe takes the time of one request.
-func (u *routeDurations) observe(route string, took time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.byRoute == nil || len(u.byRoute) >= maxRoutes {
-		u.byRoute = map[string]*predict.DurationEstimator{}
+// observe adds the duration of a request.
+func (d *routeDurations) observe(route string, duration time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.byRoute == nil || len(d.byRoute) >= maxRoutes {
+		d.byRoute = map[string]*predict.DurationEstimator{}
 	}
-	if u.byRoute[route] == nil {
-		u.byRoute[route] = &predict.DurationEstimator{}
+	if d.byRoute[route] == nil {
+		d.byRoute[route] = &predict.DurationEstimator{}
 	}
-	u.byRoute[route].Observe(took)
+	d.byRoute[route].Observe(duration)
 }
 
-// estimator is what requests on the route usually take.
-func (u *routeDurations) estimator(route string) predict.DurationEstimator {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if known := u.byRoute[route]; known != nil {
-		return *known
+// estimator returns a copy of the estimator of the route.
+func (d *routeDurations) estimator(route string) predict.DurationEstimator {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if estimator := d.byRoute[route]; estimator != nil {
+		return *estimator
 	}
 	return predict.DurationEstimator{}
 }
 
-// drainRequest says how long requests on the route take until their whole answer. What must not run twice is lost where the end overtakes it, so
-// that its likely time is the sure one.
+// drainRequest estimates how long requests on the route take until their answer is complete. A request that must not
+// run twice is lost if the shutdown deadline overtakes it, so the conservative estimate also serves as its typical one.
 func (g *Gateway) drainRequest(route *deployment.Route) drain.Request {
-	usual := g.usual.estimator(route.Name)
-	takes := drain.Request{TypicalDuration: usual.UpperBound(typicalDeviations), ConservativeDuration: usual.UpperBound(conservativeDeviations)}
+	estimator := g.usual.estimator(route.Name)
+	request := drain.Request{TypicalDuration: estimator.UpperBound(typicalDeviations), ConservativeDuration: estimator.UpperBound(conservativeDeviations)}
 	if route.AtMostOnce() {
-		takes.TypicalDuration = takes.ConservativeDuration
+		request.TypicalDuration = request.ConservativeDuration
 	}
-	return takes
+	return request
 }
--- a/gateway/runner_limit.go
+++ b/gateway/runner_limit.go
@@ -9,10 +9,10 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// maxClockSkew is by how much the runners' clock may be read differently by two processes.
+// maxClockSkew is the maximum difference between two processes' readings of the runners' common clock.
 const maxClockSkew = 20 * time.Millisecond
 
-// observeLimit takes over what the head of an answer says of its runner's limit.
+// observeLimit records what the response headers say about the runner's limit.
 func (a *attempt) observeLimit(now time.Time) {
 	g, r, limit := a.gateway, a.target.runner, a.headers.Limit
 	changed := r.ObserveLimit(now, backpressure.Observation{Limit: limit, Sent: a.sentAt, Received: now})
@@ -24,20 +24,22 @@
 	}
 }
 
-// handleLimitChange records the runner's new limit, and what told it, and has it looked at, and those that wait.
-func (g *Gateway) handleLimitChange(r *roster.Runner, limit backpressure.Limit, now time.Time, teller string, id any) {
-	g.Log.Info("limit of a runner changed", "decision", "throttle", teller, id, "runner", r.Info().ID, "bounded", limit.Bounded, "perSecond", limit.PerSecond)
+// handleLimitChange records the new limit of a runner, logs where it was learned from, and wakes the limit reporter and
+// the waiting requests.
+func (g *Gateway) handleLimitChange(r *roster.Runner, limit backpressure.Limit, now time.Time, sourceKey string, source any) {
+	g.Log.Info("limit of a runner changed", "decision", "throttle", sourceKey, source, "runner", r.Info().ID, "bounded", limit.Bounded, "perSecond", limit.PerSecond)
 	g.limited.recordChange(r, now)
 	g.limited.changed.Wake()
 	g.line.notify()
 }
 
-// applyQuotas takes over what an agent says of runners that name a limit, and what it allots to this entry for those that are its to share out.
+// applyQuotas applies what an agent reports about limited runners, and adds the permits that it allocates to this entry
+// if it is the one that allocates for the runner.
 func (a *agents) applyQuotas(agent netip.AddrPort, b *bulletin.Bulletin, now time.Time) {
 	g := a.gateway
 	for i := range b.Quotas {
-		q := &b.Quotas[i]
-		limit := &q.RunnerLimit
+		quota := &b.Quotas[i]
+		limit := &quota.RunnerLimit
 		r := g.state.ObserveRun(limit.Run())
 		if r == nil {
 			continue
@@ -46,29 +48,30 @@
 			g.handleLimitChange(r, limit.Limit, now, "agent", b.Runner)
 		}
 		if r.Limit().Limit != limit.Limit {
-			g.limited.markUnreported(r, now) // the agent doesn't know of a later answer
+			g.limited.markUnreported(r, now) // the agent does not know of a later observation
 		}
 		if !a.allots(agent, r) {
-			continue // it shared the limit out before
+			continue // it allocated for the runner earlier
 		}
-		r.AddLimitPermits(now, limit.Limit, q.Permits, g.permitExpiry(b, now))
-		if q.Permits > 0 {
+		r.AddLimitPermits(now, limit.Limit, quota.Permits, g.permitExpiry(b, now))
+		if quota.Permits > 0 {
 			g.line.notify()
 		}
 	}
 }
 
-// toLocal gives an observation by the runners' clock the times of this process's.
+// toLocal converts the times of an observation from the runners' common clock to the local clock.
 func (c *runnersClock) toLocal(o backpressure.Observation, now time.Time) backpressure.Observation {
 	clock, known := c.read(now)
 	if !known {
-		clock = o.Received // all that is known is that it was not later
+		clock = o.Received // the observation is not later than now
 	}
 	o.Sent, o.Received = now.Add(o.Sent.Sub(clock)), now.Add(o.Received.Sub(clock))
 	return o
 }
 
-// toShared gives an observation of this process the times of the runners' clock, and reports whether that is known.
+// toShared converts the times of an observation from the local clock to the runners' common clock. The second result is
+// false if that clock is not known.
 func (c *runnersClock) toShared(o backpressure.Observation, now time.Time) (backpressure.Observation, bool) {
 	clock, known := c.read(now)
 	o.Sent, o.Received = clock.Add(o.Sent.Sub(now)), clock.Add(o.Received.Sub(now))
--- a/gateway/runner_views.go
+++ b/gateway/runner_views.go
@@ -7,26 +7,26 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// runnerViews are copies of what is known of runners at one moment. Requests that wait together are decided on with the same copies: before
-// hundreds of runners these cost more than the decisions.
+// runnerViews caches copies of the runners' state at one moment. All waiting requests are decided on with the same
+// copies, since with hundreds of runners making them costs more than the decisions.
 type runnerViews struct {
 	roster    *roster.Roster
 	now       time.Time
 	byService map[rillreach.ServiceID]*serviceViews
 }
 
-// serviceViews are the runners of one service.
+// serviceViews holds the runners of one service, in matching order.
 type serviceViews struct {
 	runners []*roster.Runner
 	views   []roster.View
 }
 
-// viewsAt are copies that are made at the given moment.
+// viewsAt returns an empty cache for the given moment.
 func (g *Gateway) viewsAt(now time.Time) *runnerViews {
 	return &runnerViews{roster: &g.state.Roster, now: now, byService: map[rillreach.ServiceID]*serviceViews{}}
 }
 
-// forService are the runners forService a service.
+// forService returns the runners of a service and copies their state on the first call.
 func (r *runnerViews) forService(service rillreach.ServiceID) *serviceViews {
 	if group := r.byService[service]; group != nil {
 		return group
--- a/gateway/sends.go
+++ b/gateway/sends.go
@@ -7,18 +7,20 @@
 	"github.com/rillreach/rillreach"
 )
 
-// sendHistory records where a request was sent. Two attempts of one request may run at the same time, so that it has a lock of its own.
+// sendHistory records the runners that a request was sent to. It is safe for concurrent use by two attempts of the
+// request.
 type sendHistory struct {
 	mu    sync.Mutex
 	count int
-	// tried are the runners that were asked, also those that could not be reached, and runners those that the request was sent to.
+	// tried lists the runners of all attempts, including those that could not be reached, and runners those that the
+	// request was sent to.
 	tried   []rillreach.InstanceID
 	runners []rillreach.InstanceID
-	// refusals are the sends of these that runners have refused as not run, by runner.
+	// refusals lists the runner of each send that was refused without running.
 	refusals []rillreach.InstanceID
 }
 
-// recordSend records that the request goes to the runner.
+// recordSend records that the request is being sent to the runner.
 func (s *sendHistory) recordSend(id rillreach.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +29,7 @@
 	s.runners = append(s.runners, id)
 }
 
-// recordNotSent records that the request that goes to the runner has not reached it.
+// recordNotSent corrects recordSend if the request did not reach the runner.
 func (s *sendHistory) recordNotSent(id rillreach.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,27 +39,27 @@
 	}
 }
 
-// recordRefusal records that the runner has not run what was sent to it.
+// recordRefusal records that the runner refused the request without running it.
 func (s *sendHistory) recordRefusal(id rillreach.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusals = append(s.refusals, id)
 }
 
-// mayHaveRun are the runners that the request was sent to and that have not refused all of it, each once.
+// mayHaveRun returns, without duplicates, the runners that have not refused every send of the request.
 func (s *sendHistory) mayHaveRun() []rillreach.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	open := slices.Clone(s.runners)
+	remaining := slices.Clone(s.runners)
 	for _, id := range s.refusals {
-		if i := slices.Index(open, id); i >= 0 {
-			open = slices.Delete(open, i, i+1)
+		if i := slices.Index(remaining, id); i >= 0 {
+			remaining = slices.Delete(remaining, i, i+1)
 		}
 	}
-	return slices.Compact(slices.Sorted(slices.Values(open)))
+	return slices.Compact(slices.Sorted(slices.Values(remaining)))
 }
 
-// allowRetry lets the request's only runner be asked once more.
+// allowRetry allows another attempt on the same runner if it is the only one so far.
 func (s *sendHistory) allowRetry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,21 +68,21 @@
 	}
 }
 
-// sendCount is how often the request was sendCount.
+// sendCount returns how many times the request was sent.
 func (s *sendHistory) sendCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.count
 }
 
-// runnersUsed are the runners that the request was sent to, each once.
+// runnersUsed returns, without duplicates, the runners that the request was sent to.
 func (s *sendHistory) runnersUsed() []rillreach.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Compact(slices.Sorted(slices.Values(s.runners)))
 }
 
-// runnersTried are the runners that were runnersTried, also those that could not be reached.
+// runnersTried returns the runners of all attempts, including those that could not be reached.
 func (s *sendHistory) runnersTried() []rillreach.InstanceID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -7,61 +7,63 @@
 	"github.com/rillreach/rillreach/admission"
 )
 
-// minTTFT is the least time from the send of a prompt to its first token.
+// minTTFT is the lower bound of the expected time to first token.
 const minTTFT = 50 * time.Millisecond
 
-// admissionRequest is what the line has to know of the request.
+// admissionRequest describes the request to package admission.
 func (g *Gateway) admissionRequest(x *exchange) admission.Request {
 	r := admission.Request{
 		Arrived: x.arrived, TargetTime: x.arrived.Add(x.route.TargetLatency), Deadline: x.ends, ExpectedTTFT: g.expectedTTFT(x),
 		Tokens: x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens, AnswerStarted: x.began,
 	}
-	if quiet := x.route.CallerIdleTimeout(); quiet > 0 && !x.began {
-		if left := x.arrived.Add(quiet); left.Before(r.Deadline) {
-			r.Deadline = left
+	if idleTimeout := x.route.CallerIdleTimeout(); idleTimeout > 0 && !x.began {
+		if idleDeadline := x.arrived.Add(idleTimeout); idleDeadline.Before(r.Deadline) {
+			r.Deadline = idleDeadline
 		}
 	}
 	return r
 }
 
-// expectedTTFT is how long most requests of the route take from the send to the first token, for a prompt of this size.
+// expectedTTFT returns a time to first token that suffices for most requests of the route with this prompt size.
 func (g *Gateway) expectedTTFT(x *exchange) time.Duration {
-	rest := g.firstWaits.estimator(x.route.Name)
-	return max(minTTFT, g.unsharedPrefillTime(x)+rest.UpperBound(typicalDeviations))
+	estimator := g.firstWaits.estimator(x.route.Name)
+	return max(minTTFT, g.unsharedPrefillTime(x)+estimator.UpperBound(typicalDeviations))
 }
 
-// unsharedPrefillTime is how long engines read what no other request has in common with this one.
+// unsharedPrefillTime returns the time to process the part of the prompt that no other request shares.
 func (g *Gateway) unsharedPrefillTime(x *exchange) time.Duration {
 	return time.Duration(x.wire.Prompt.UnsharedTokens()) * g.firsts.model(x.service.Name).PerToken
 }
 
-// shed ends the wait of a request that won't be served, so that its caller isn't held for nothing; it reports whether it did. That is one
-// which those before it keep from an engine until its caller has gone, and under a backlog that lasts one that can't be in time: requests
-// that can be go before it, also those that are yet to come.
+// shed refuses a waiting request that will not be served, so that its caller is not held in vain, and reports whether
+// it did. Such a request is one that will not reach the head of the queue before its caller's deadline or, in a
+// standing queue, one that will miss its target: it would be overtaken by all requests that can meet theirs, including
+// those still to come.
 //
-// A request whose answer has begun waits to its end. While most engines are cold nobody is turned away so: what the waiting know of the rate is that of permits, and more is to be had once the slow start
-// ends.
-func (l *admissionQueue) shed(w *waitingRequest, before int, now time.Time) (decision, bool) {
+// A request whose answer has started is never shed. None are shed while most engines are cold either, because the
+// observed admission rate is then that of the permits and rises once the slow start ends.
+func (l *admissionQueue) shed(w *waitingRequest, tokensAhead int, now time.Time) (decision, bool) {
 	if l.mostEnginesCold || w.request.AnswerStarted {
 		return decision{}, false
 	}
-	wait, known := l.estimateWait(w, before, now)
-	lost := known && w.request.MissesDeadline(now.Add(wait))
-	if !lost && !l.standingQueue.ShouldShed(now, w.request, wait) {
+	wait, known := l.estimateWait(w, tokensAhead, now)
+	tooLate := known && w.request.MissesDeadline(now.Add(wait))
+	if !tooLate && !l.standingQueue.ShouldShed(now, w.request, wait) {
 		return decision{}, false
 	}
 	w.exchange.comeBack = max(wait, l.standingQueue.Age(now))
 	return decision{verdict: verdictBacklog}, true
 }
 
-// estimateWait is how long it takes until those before a request are admitted. A late one waits for what the others leave.
-func (l *admissionQueue) estimateWait(w *waitingRequest, before int, now time.Time) (time.Duration, bool) {
+// estimateWait returns how long it takes to admit the requests ahead of this one. A deprioritized request only gets the
+// capacity that the others leave.
+func (l *admissionQueue) estimateWait(w *waitingRequest, tokensAhead int, now time.Time) (time.Duration, bool) {
 	if w.request.Deprioritized(now) {
-		if wait, known := l.lateAdmitRate.EstimateWait(now, before); known {
+		if wait, known := l.lateAdmitRate.EstimateWait(now, tokensAhead); known {
 			return wait, true
 		}
 	}
-	return l.admitRate.EstimateWait(now, before)
+	return l.admitRate.EstimateWait(now, tokensAhead)
 }
 
 // recordAdmission records that a request was admitted.
@@ -72,17 +74,18 @@
 	}
 }
 
-// observeStandingQueue records whether requests that can be in time wait; the lock is held. A wait for engines that are cold is no backlog.
+// observeStandingQueue records whether requests that can still meet their target are waiting. A wait for cold engines
+// does not count. l.mu must be held.
 func (l *admissionQueue) observeStandingQueue(now time.Time) {
 	l.standingQueue.Observe(now, !l.mostEnginesCold && slices.ContainsFunc(l.waiting, func(w *waitingRequest) bool { return !w.request.MissesTarget(now) }))
 }
 
-// drainTime is how long it takes until all that wait now are admitted, as far as is known.
+// drainTime estimates how long it takes to admit all requests that wait now, or returns zero if that is not known.
 func (l *admissionQueue) drainTime(now time.Time) time.Duration {
-	sum := 0
+	tokens := 0
 	for _, w := range l.waiting {
-		sum += w.request.Tokens
+		tokens += w.request.Tokens
 	}
-	wait, _ := l.admitRate.EstimateWait(now, sum)
+	wait, _ := l.admitRate.EstimateWait(now, tokens)
 	return wait
 }
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -9,51 +9,52 @@
 )
 
 const (
-	// silenceTargetFactor times what callers expect, of the first event or of a pause, is how long a request that another runner may
-	// begin on waits for its runner before it is asked whether that lives.
+	// silenceTargetFactor times the route's target for the first event, or for the gap between events, is how long a
+	// runner may be silent before the watchdog checks whether it is alive.
 	silenceTargetFactor = 2
-	// minSilence keeps a short target from moving requests that are merely a little late.
+	// minSilence keeps a short target from hedging requests that are only slightly late.
 	minSilence = 300 * time.Millisecond
-	// livenessCheckInterval is how often it is asked then, since a runner that lives and is slow has the request's work behind it that
-	// another would begin anew.
+	// livenessCheckInterval is the interval of further checks while the runner is alive. A slow runner has already done
+	// work on the request that another would have to repeat.
 	livenessCheckInterval = 50 * time.Millisecond
-	// settleTime is how long the entry has to have run without standing still before it takes a runner for silent: what the runner said meanwhile
-	// has to be read first.
+	// settleTime is how long the entry must have run without a stall before it considers a runner silent,
+	// because data that arrived meanwhile has to be read first.
 	settleTime = 50 * time.Millisecond
 )
 
-// firstByteTimeout is how long a runner may take for its first word before it is asked whether it lives.
+// firstByteTimeout returns how long a runner may take to start its answer before the watchdog checks whether it is
+// alive.
 func firstByteTimeout(r *deployment.Route) time.Duration {
 	return max(silenceTargetFactor*r.TargetLatency, minSilence)
 }
 
-// watchdog has another runner asked beside one that says nothing for too long and is not known to live.
+// watchdog hedges an attempt whose runner is silent for too long and not known to be alive.
 type watchdog struct {
-	// timeout is how long a pause may be before it is asked whether the runner lives.
+	// timeout is how long a gap between events may last before the watchdog checks the runner.
 	timeout time.Duration
-	// isAlive says whether the runner is known to live; hedge has another one asked, and reports whether there is one.
+	// isAlive reports whether the runner is known to be alive. startHedge reports whether it has started a hedge.
 	isAlive    func() bool
 	startHedge func() bool
 
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
-	// due is when the timer fires, and settling says that this ends the last part of the wait.
+	// due is when the timer fires. settling is set if this ends the last part of the wait, which lasts settleTime.
 	due      time.Time
 	settling bool
 }
 
-// newWatchdog prepares the wait for the words of the attempt's runner.
+// newWatchdog returns the watchdog of an attempt; it has yet to be started.
 func (g *Gateway) newWatchdog(a *attempt) *watchdog {
 	return &watchdog{
 		timeout: max(silenceTargetFactor*a.exchange.route.TargetEventGap, minSilence),
-		// While an event is being written to the caller it is the caller who is slow, and not the runner.
+		// While an event is being written, it is the caller that is slow and not the runner.
 		isAlive:    func() bool { return a.writingToCaller.Load() || isAlive(a.target.runner) },
 		startHedge: func() bool { return a.startHedge(hedgeSilent) },
 	}
 }
 
-// isAlive reports that a runner's agent speaks, and says that the run that the request went to answers.
+// isAlive reports whether the agent of the runner reports that the process to which the request was sent responds.
 func isAlive(r *roster.Runner) bool {
 	if isOver(r) {
 		return false
@@ -62,8 +63,8 @@
 	return v.ReportFresh && !v.Load.Unresponsive
 }
 
-// start begins to wait for the runner's first word.
-func (b *watchdog) start(first time.Duration) {
+// start starts the wait for the start of the answer.
+func (b *watchdog) start(timeout time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
@@ -72,11 +73,11 @@
 	if b.timer != nil {
 		b.timer.Stop()
 	}
-	b.timer = time.AfterFunc(first, b.handleTimer)
-	b.setTimer(first)
+	b.timer = time.AfterFunc(timeout, b.handleTimer)
+	b.setTimer(timeout)
 }
 
-// handleTimer asks about the runner once a wait has passed through whose last part the entry has run.
+// handleTimer checks the runner if the entry has run throughout the last part of the wait.
 func (b *watchdog) handleTimer() {
 	if b.waitsLonger(time.Now()) {
 		return
@@ -84,7 +85,8 @@
 	b.check()
 }
 
-// waitsLonger reports that the wait goes on, since the entry hasn't run for its last part or may have stood still in it.
+// waitsLonger reports whether the wait goes on because its last part has yet to pass, or because the entry may have
+// stalled during it. In both cases it starts the last part.
 func (b *watchdog) waitsLonger(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,7 +101,8 @@
 	return true
 }
 
-// check has another runner asked where there is one, and looks again later, since that may refuse, or soon: the runner may only be slow.
+// check hedges the attempt if the runner is not alive. The next check comes later after a hedge, which may be refused,
+// and soon otherwise.
 func (b *watchdog) check() {
 	if !b.isAlive() && b.startHedge() {
 		b.resetTo(minSilence)
@@ -108,11 +111,11 @@
 	b.resetTo(livenessCheckInterval)
 }
 
-// checkNow asks without waiting any longer, since a later run is known to have taken the place of the one that was asked: a runner that
-// starts again behind a cut does not reset its callers' connections.
+// checkNow checks the runner without waiting any longer. It is called when the runner is known to have restarted, since
+// a runner that restarts while the network is partitioned does not reset the connections of its callers.
 func (b *watchdog) checkNow() { b.resetTo(0) }
 
-// reset records that the runner has said something, and waits for the next.
+// reset restarts the wait because the runner has sent data.
 func (b *watchdog) reset() { b.resetTo(b.timeout) }
 
 func (b *watchdog) resetTo(d time.Duration) {
@@ -123,7 +126,7 @@
 	}
 }
 
-// setTimer has the wait end after the given time; the lock is held.
+// setTimer sets the end of the wait. b.mu must be held.
 func (b *watchdog) setTimer(d time.Duration) {
 	b.settling = d <= settleTime
 	if !b.settling {
@@ -133,7 +136,7 @@
 	b.timer.Reset(d)
 }
 
-// stop lifts the bound for good, also where it is just being asked.
+// stop stops the watchdog for good, even during a check.
 func (b *watchdog) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/slow_start.go
+++ b/gateway/slow_start.go
@@ -9,8 +9,9 @@
 	"github.com/rillreach/rillreach/permit"
 )
 
-// applyPermits takes over the permits that the agent beside the runner at an address gives this entry. They are for whichever run is there, which
-// the agent may learn of later than the entry. Those of a bulletin that was long on its way end sooner.
+// applyPermits adds the permits that the agent of the runner at an address allocates to this entry. They apply to
+// whichever process has the address, since the agent may learn of a new one later than the entry does. Permits of a
+// bulletin that was delayed expire sooner.
 func (g *Gateway) applyPermits(address netip.AddrPort, b *bulletin.Bulletin, now time.Time) {
 	if b.Permits == 0 {
 		return
@@ -22,28 +23,29 @@
 	r.AddColdPermits(b.Permits, g.permitExpiry(b, now))
 }
 
-// permitExpiry is until when the permits of a bulletin may be used.
+// permitExpiry returns when the permits of a bulletin expire.
 func (g *Gateway) permitExpiry(b *bulletin.Bulletin, now time.Time) time.Time {
-	until := now.Add(permit.Validity)
+	expiry := now.Add(permit.Validity)
 	if clock, known := g.stores.clock.read(now); known && b.Clock != 0 {
-		until = until.Add(-max(0, clock.Sub(time.UnixMilli(b.Clock))))
+		expiry = expiry.Add(-max(0, clock.Sub(time.UnixMilli(b.Clock))))
 	}
-	return until
+	return expiry
 }
 
-// paceColdPermits gives the entry permits for cold runners of a service without agents, as if all entries sent as often as it may.
+// paceColdPermits adds permits for the cold runners of a service without agents, at a rate that assumes that all
+// entries send as much as this one may.
 func (g *Gateway) paceColdPermits(x *exchange, now time.Time) {
 	rate := x.service.SlowStart.RequestsPerSecond
 	if x.service.Engine != nil || rate <= 0 {
 		return
 	}
-	space := time.Duration(float64(g.budgets.Entries()) / rate * float64(time.Second))
+	interval := time.Duration(float64(g.budgets.Entries()) / rate * float64(time.Second))
 	for _, r := range g.state.Roster.ByService(x.service.Name) {
-		r.PaceColdPermits(now, space, rand.Float64())
+		r.PaceColdPermits(now, interval, rand.Float64())
 	}
 }
 
-// mostlyCold reports that most of the runners that may take a request are cold.
+// mostlyCold reports whether most of the runners that may take the request are cold.
 func (o *options) mostlyCold() bool {
 	cold := 0
 	for _, v := range o.views {
--- a/gateway/start_deadline.go
+++ b/gateway/start_deadline.go
@@ -10,14 +10,14 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// errStartTooLate is why a request is cancelled at a runner at which it has not begun.
+// errStartTooLate is the cause of the cancellation of an attempt that has not started before its start window closed.
 var errStartTooLate = errors.New("runner's weights were replaced too long ago for a request to begin")
 
-// windowCheckInterval is how often the window of a request that waits is looked at anew: newer weights may be named meanwhile, or turn out to
-// have been named earlier than this entry heard.
+// windowCheckInterval is how often the start window of a waiting request is recomputed. The weights may be replaced
+// meanwhile, or turn out to have been replaced earlier than this entry had learned.
 const windowCheckInterval = time.Second
 
-// startWindow is when requests like this one may begin on weights of their model.
+// startWindow returns when requests like this one may start on the given weights.
 func (g *Gateway) startWindow(x *exchange, version deployment.WeightVersion) weights.StartWindow {
 	if x.wire.Prompt == nil || x.service.Engine == nil {
 		return weights.StartWindow{}
@@ -25,7 +25,7 @@
 	return weights.StartWindow{ReplacedAt: g.state.ReplacedAt(x.wire.Prompt.Model, version), Bound: g.Settings.Bounds.WeightsRollout}
 }
 
-// startDeadline cancels a request at its runner where it has not begun when the window on the runner's weights closes.
+// startDeadline cancels an attempt that has not started when the start window of the runner's weights closes.
 type startDeadline struct {
 	startWindow func() weights.StartWindow
 	// cancel ends the attempt.
@@ -36,13 +36,13 @@
 	stopped bool
 }
 
-// newStartDeadline has the attempt end where the request does not begin in time.
-func (g *Gateway) newStartDeadline(x *exchange, t *target, end func()) *startDeadline {
+// newStartDeadline starts the deadline of an attempt.
+func (g *Gateway) newStartDeadline(x *exchange, t *target, cancel func()) *startDeadline {
 	d := &startDeadline{
 		startWindow: func() weights.StartWindow { return g.startWindow(x, t.weights) },
 		cancel: func() {
 			t.cancelled.Store(true)
-			end()
+			cancel()
 		},
 	}
 	if x.wire.Prompt != nil && x.service.Engine != nil && g.Settings.Bounds.WeightsRollout > 0 {
@@ -51,26 +51,26 @@
 	return d
 }
 
-// check ends the attempt where the window has closed, or looks again later.
+// check cancels the attempt if the window has closed, and schedules the next check otherwise.
 func (d *startDeadline) check() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stopped {
 		return
 	}
-	left := windowCheckInterval
-	if end := d.startWindow().ClosesAt(); !end.IsZero() {
-		left = min(left, time.Until(end))
+	wait := windowCheckInterval
+	if closesAt := d.startWindow().ClosesAt(); !closesAt.IsZero() {
+		wait = min(wait, time.Until(closesAt))
 	}
-	if left <= 0 {
+	if wait <= 0 {
 		d.stopped = true
 		d.cancel()
 		return
 	}
-	d.timer = time.AfterFunc(left, d.check)
+	d.timer = time.AfterFunc(wait, d.check)
 }
 
-// stop leaves the request where it is, since it has begun or ended.
+// stop disables the deadline because the request has started or ended.
 func (d *startDeadline) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -18,7 +18,7 @@
 	return &inflightRequest{gateway: g, exchange: x, target: t, sentAt: now}
 }
 
-// recordFirstToken records that the runner has read the prompt.
+// recordFirstToken records that the first part of the answer has arrived, so the runner has processed the prompt.
 func (w *inflightRequest) recordFirstToken() {
 	if w.waitEnded {
 		return
@@ -33,7 +33,7 @@
 	w.gateway.recordTTFT(w.exchange, w.target, now.Sub(w.sentAt), now)
 }
 
-// end counts the request as running no more.
+// end stops counting the request as running.
 func (w *inflightRequest) end() {
 	if !w.waitEnded {
 		w.waitEnded = true
@@ -43,9 +43,9 @@
 	w.gateway.line.notify()
 }
 
-// recordTTFT records how long the request waited at its runner for its first token. One that begins on weights replaced longer ago than
-// the bound allows has a line of its own, since each time in it decides what went wrong: whether it was sent too late, or waited
-// for too long.
+// recordTTFT records how long the request waited at its runner for the first token. A request that starts on weights
+// that were replaced longer ago than the bound allows is logged, with the times that show whether it was sent too late
+// or waited too long.
 func (g *Gateway) recordTTFT(x *exchange, t *target, waited time.Duration, now time.Time) {
 	x.waited = waited
 	if x.wire.Prompt == nil || x.service.Engine == nil {
