--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -171,7 +171,7 @@
 // close ends the attempt and its hedge.
 func (a *attempt) close() {
 	if h := a.takeHedge(); h != nil {
-		h.close()
+		h.discard()
 	}
 	a.stopAfterEnd()
 	a.watchdog.stop()
@@ -240,32 +240,32 @@
 }
 
 // handleRefusal records that the runner has stated that it did not run the request.
-func (g *Gateway) handleRefusal(x *exchange, t *target, answer *forward.Answer, head platform.Answer) {
+func (g *Gateway) handleRefusal(x *exchange, t *target, answer *forward.Answer, headers platform.Answer) {
 	x.reason = "runner-refused"
 	x.untaken++
 	x.sends.recordRefusal(t.view.ID)
 	g.Log.Info("runner refused", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID,
-		"status", answer.Response.StatusCode, "began", x.began, "rest", head.RetryAfter.String(), "otherRunner", head.OtherRunner, "answeredBy", head.Instance, "weights", head.Weights)
+		"status", answer.Response.StatusCode, "began", x.began, "rest", headers.RetryAfter.String(), "otherRunner", headers.OtherRunner, "answeredBy", headers.Instance, "weights", headers.Weights)
 	switch {
-	case head.OtherRunner && head.Instance != "" && head.Instance != t.view.ID:
+	case headers.OtherRunner && headers.Instance != "" && headers.Instance != t.view.ID:
 		t.runner.MarkLeaving() // another process has its address, so this one has ended even if it is still listed
 		select {
 		case g.restarted <- struct{}{}:
 		default: // a refresh of the list is already pending
 		}
-	case head.OtherRunner && x.wire.Prompt != nil:
-		g.updateWeights(x, t, head)
-	case head.RetryAfter == 0: // it gave no time after which to retry
+	case headers.OtherRunner && x.wire.Prompt != nil:
+		g.updateWeights(x, t, headers)
+	case headers.RetryAfter == 0: // it gave no time after which to retry
 		t.runner.Eject(time.Now())
 	}
 }
 
 // updateWeights records the weights of a runner that refused the request because they are not the expected ones.
-func (g *Gateway) updateWeights(x *exchange, t *target, head platform.Answer) {
-	version := head.Weights
+func (g *Gateway) updateWeights(x *exchange, t *target, headers platform.Answer) {
+	version := headers.Weights
 	if version == 0 {
-		named, _ := g.state.NamedWeights(x.wire.Prompt.Model)
-		version = named.Version
+		desired, _ := g.state.NamedWeights(x.wire.Prompt.Model)
+		version = desired.Version
 	}
 	t.runner.SetWeights(x.wire.Prompt.Model, version)
 	x.sends.allowRetry() // so that the runner can be tried again with its actual weights
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -31,28 +31,28 @@
 
 // recordBackpressure logs and counts the backpressure signals in the response headers.
 func (a *attempt) recordBackpressure() {
-	asks := backpressureSignals(&a.headers)
-	if len(asks) == 0 {
+	signals := backpressureSignals(&a.headers)
+	if len(signals) == 0 {
 		return
 	}
-	for _, kind := range asks {
+	for _, kind := range signals {
 		a.gateway.Metrics.Backpressure(kind)
 	}
-	a.gateway.Log.Info("runner asks for less", "decision", "note", "request", a.exchange.wire.ID, "runner", a.target.view.ID, "asks", asks,
+	a.gateway.Log.Info("runner asks for less", "decision", "note", "request", a.exchange.wire.ID, "runner", a.target.view.ID, "asks", signals,
 		"perSecond", a.headers.Limit.PerSecond, "retryAfter", a.headers.RetryAfter.String())
 }
 
 // backpressureSignals returns the kinds of backpressure that the response headers signal.
-func backpressureSignals(head *platform.Answer) []string {
-	var asks []string
-	if head.Limit.Bounded {
-		asks = append(asks, signalLimit)
+func backpressureSignals(headers *platform.Answer) []string {
+	var signals []string
+	if headers.Limit.Bounded {
+		signals = append(signals, signalLimit)
 	}
-	if head.Leaving {
-		asks = append(asks, signalLeaving)
+	if headers.Leaving {
+		signals = append(signals, signalLeaving)
 	}
-	if head.RetryAfter > 0 {
-		asks = append(asks, signalRetryAfter)
+	if headers.RetryAfter > 0 {
+		signals = append(signals, signalRetryAfter)
 	}
-	return asks
+	return signals
 }
--- a/gateway/backpressure_test.go
+++ b/gateway/backpressure_test.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// limitPerSecond is the limit that a runner names, limitWindow and the others the bound on what it may get in any such time: so many
-	// times the limit, and a few more.
+	// limitPerSecond is the limit that the runner states. In any limitWindow it may receive limitFactor times that,
+	// plus limitSlack.
 	limitPerSecond = 1.0
 	limitWindow    = 4 * time.Second
 	limitFactor    = 1.5
 	limitSlack     = 5
-	// limitGrace is how long after its first answer that names a limit an entry is held to it.
+	// limitGrace is how long after the first answer that states a limit an entry may still exceed it.
 	limitGrace = 500 * time.Millisecond
-	// limitDuration is how long the limit is named, limitEntries and limitEvery the load meanwhile.
+	// limitDuration is how long the limit is stated. Meanwhile limitEntries entries together get a request every
+	// limitSendInterval.
 	limitDuration     = 9 * time.Second
 	limitEntries      = 4
 	limitSendInterval = 16 * time.Millisecond
 )
 
-// limitedRunner names a limit in its answers for as long as it is on, and counts what it gets.
+// limitedRunner states a limit in its answers while limiting is set, and records the arrival of requests.
 type limitedRunner struct {
 	limiting atomic.Bool
 	arrivals arrivals
@@ -44,12 +45,12 @@
 	site.Answer(w, req, l.body)
 }
 
-// maxInWindow is how many arrivals after the moment fall into one window at the most.
+// maxInWindow returns the largest number of arrivals in any window that begins with an arrival after start.
 func maxInWindow(a *arrivals, start time.Time, window time.Duration) int {
-	after, most := a.elapsedSince(start), 0
-	for i, first := range after {
+	elapsed, most := a.elapsedSince(start), 0
+	for i, first := range elapsed {
 		n := 0
-		for _, at := range after[i:] {
+		for _, at := range elapsed[i:] {
 			if at < first+window {
 				n++
 			}
@@ -61,7 +62,7 @@
 	return most
 }
 
-// startLoad has requests come to each of the entries in turn, until it is stopped; stop waits for the last answer.
+// startLoad sends requests to the entries in turn. The returned function stops it and waits for the last answer.
 func startLoad(every time.Duration, entries []*world, send func(*world)) (stop func()) {
 	var wg sync.WaitGroup
 	done := make(chan struct{})
@@ -83,7 +84,7 @@
 	}
 }
 
-// startEntries starts so many startEntries.
+// startEntries starts n entries.
 func (s *sharedSite) startEntries(t *testing.T, n int) []*world {
 	t.Helper()
 	var all []*world
@@ -93,7 +94,7 @@
 	return all
 }
 
-// addPromptRoute adds a route for prompts to a site's configuration.
+// addPromptRoute adds a route for prompts to the configuration.
 func (s *sharedSite) addPromptRoute() {
 	config := defaultConfig()
 	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "gap_aim_ms": 1000}))
@@ -101,49 +102,49 @@
 	s.store.Put("config", "main", config)
 }
 
-// assertLimitHonored has a load come while the runner names a limit, and asserts that the runner gets no more than that allows, and is in use again
-// once it names none.
+// assertLimitHonored sends requests while the runner states a limit, and asserts that the runner receives no more than
+// the limit allows and is used again after the limit was lifted.
 func assertLimitHonored(t *testing.T, l *limitedRunner, entries []*world, send func(*world), meanwhile func()) {
 	t.Helper()
 	stop := startLoad(limitSendInterval, entries, send)
 	defer stop()
 	require.Eventually(t, func() bool { return l.arrivals.len() >= limitEntries }, wait, time.Millisecond)
 	l.limiting.Store(true)
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(limitDuration / 3)
 	meanwhile()
-	time.Sleep(time.Until(began.Add(limitDuration)))
+	time.Sleep(time.Until(start.Add(limitDuration)))
 	l.limiting.Store(false)
-	lifted := l.arrivals.len()
-	// While all its senders are in touch, each has been told within the first moments.
-	most := maxInWindow(&l.arrivals, began.Add(2*limitGrace), limitWindow)
+	countWhenLifted := l.arrivals.len()
+	// Each entry with a connection to an agent learns of the limit within limitGrace.
+	most := maxInWindow(&l.arrivals, start.Add(2*limitGrace), limitWindow)
 	assert.LessOrEqual(t, float64(most), limitPerSecond*limitFactor*limitWindow.Seconds()+limitSlack)
-	assert.Positive(t, most, "what it takes is used")
-	require.Eventually(t, func() bool { return l.arrivals.len() > lifted+10*limitEntries }, wait, 5*time.Millisecond, "it is in use again")
+	assert.Positive(t, most, "requests within the limit are sent")
+	require.Eventually(t, func() bool { return l.arrivals.len() > countWhenLifted+10*limitEntries }, wait, 5*time.Millisecond, "requests after the limit was lifted")
 }
 
-// TestRunnerLimitExceeded: runners that name a limit got as many requests as before.
+// Guards against entries that send a runner as many requests as before although its answers state a limit.
 func TestRunnerLimitExceeded(t *testing.T) {
-	t.Run("a plain runner beside a sound one", func(t *testing.T) {
+	t.Run("a plain runner beside an unlimited one", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle}, &site.Runner{ID: "sound"})
 		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
 	})
-	t.Run("a plain runner alone", func(t *testing.T) {
+	t.Run("the only plain runner", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
 		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
 	})
-	t.Run("a plain runner whose limit no agent shares out any more", func(t *testing.T) {
+	t.Run("a plain runner whose agents have stopped", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
 		entries := s.startEntries(t, limitEntries)
 		assertLimitHonored(t, &limited, entries, func(w *world) { w.call(t, "POST", "/once/x", "body") }, s.stop)
 	})
-	t.Run("an engine whose agent starts again meanwhile, and knows of no limit", func(t *testing.T) {
+	t.Run("an engine whose agent restarts and does not know the limit", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
 		s := beginShared(t)
--- a/gateway/begin_test.go
+++ b/gateway/begin_test.go
@@ -12,8 +12,8 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// TestRequestRefusedBeforeInitialSync has requests come to an entry in its first moments, as they do after a loss of power, when no other entry is
-// there.
+// Guards against the refusal of requests that reach an entry just before it has its configuration, as after a power
+// loss when no other entry is up either.
 func TestRequestRefusedBeforeInitialSync(t *testing.T) {
 	begin := func(t *testing.T) (*world, *site.Store) {
 		t.Helper()
@@ -24,18 +24,18 @@
 		store.Put("servers", r.ID, record(r, "ready"))
 		return beginWith(t, store, func(*deployment.Settings) {}), store
 	}
-	t.Run("one that comes soon before it waits", func(t *testing.T) {
+	t.Run("a request shortly before the configuration arrives waits for it", func(t *testing.T) {
 		w, store := begin(t)
 		defer w.stop()
 		time.AfterFunc(initialSyncTimeout/4, func() { store.Put("config", "main", defaultConfig()) })
 		assert.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status)
 	})
-	t.Run("where it doesn't come, one waits for a short time", func(t *testing.T) {
+	t.Run("a request is refused after a short wait if no configuration arrives", func(t *testing.T) {
 		w, _ := begin(t)
 		defer w.stop()
 		assertOwn(t, w.call(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
 	})
-	t.Run("later ones don't wait", func(t *testing.T) {
+	t.Run("only the first requests after the start wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			g := &Gateway{began: time.Now()}
 			for _, waited := range []time.Duration{initialSyncTimeout, 0} {
--- a/gateway/begun_answer_test.go
+++ b/gateway/begun_answer_test.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// cutAfterEvent is the event after which the first runner of a stream breaks off.
+	// cutAfterEvent is the event after which the first runner of a stream disconnects.
 	cutAfterEvent = 4
-	// refuseDuration is for how long the other runners have no room.
+	// refuseDuration is how long the other runners have no room.
 	refuseDuration = 400 * time.Millisecond
 )
 
-// brokenStreamSite is an entry before three runners. The first that a stream reaches breaks off inside its answer; others get what is left of it.
+// brokenStreamSite is an entry with three runners. The first runner that gets a stream disconnects in the middle of its
+// answer, and the others get the rest.
 type brokenStreamSite struct {
 	*world
 	brokenAt atomic.Int64
-	// refused counts the sends that others turned away.
+	// refused counts the requests that the other runners refused.
 	refused atomic.Int64
 }
 
-// newBrokenStreamSite has the other runners answer as given, with the time since the first one broke off.
+// newBrokenStreamSite makes the other runners answer with the given function, which gets the time since the disconnect.
 func newBrokenStreamSite(t *testing.T, route jsonMap, other func(s *brokenStreamSite, since time.Duration, w http.ResponseWriter, r *http.Request)) *brokenStreamSite {
 	t.Helper()
 	s := &brokenStreamSite{}
@@ -55,13 +56,13 @@
 func (s *brokenStreamSite) assertCompleteAnswer(t *testing.T) {
 	t.Helper()
 	got := s.call(t, "POST", "/stream/x", "prompt")
-	require.NoError(t, got.err, "the answer was cut, with time left and nothing run in vain")
+	require.NoError(t, got.err, "the answer was cut although there was time left and no other runner had run the request")
 	assert.Equal(t, pieces(streamEvents), got.body)
 }
 
-// Half of an answer is not lost at the first moment in which no other runner has room for the rest.
+// Guards against cutting a partly received answer as soon as no other runner has room for the rest.
 func TestRefusalCutsStartedAnswer(t *testing.T) {
-	t.Run("the route's last runner refuses", func(t *testing.T) {
+	t.Run("the last runner that the route allows refuses", func(t *testing.T) {
 		s := newBrokenStreamSite(t, jsonMap{"max_attempts": 2}, func(s *brokenStreamSite, _ time.Duration, w http.ResponseWriter, r *http.Request) {
 			if s.refused.Load() == 0 {
 				s.refuse(w, r)
@@ -71,7 +72,7 @@
 		})
 		s.assertCompleteAnswer(t)
 	})
-	t.Run("nobody has room for a moment", func(t *testing.T) {
+	t.Run("no runner has room for a short time", func(t *testing.T) {
 		s := newBrokenStreamSite(t, jsonMap{"max_attempts": 3}, func(s *brokenStreamSite, since time.Duration, w http.ResponseWriter, r *http.Request) {
 			if since < refuseDuration {
 				s.refuse(w, r)
@@ -80,9 +81,9 @@
 			site.Events(w, r, streamEvents, 0)
 		})
 		s.assertCompleteAnswer(t)
-		assert.LessOrEqual(t, s.refused.Load(), int64(refuseDuration/(20*time.Millisecond)), "runners without room are asked over and over")
+		assert.LessOrEqual(t, s.refused.Load(), int64(refuseDuration/(20*time.Millisecond)), "runners without room are tried too often")
 	})
-	t.Run("all that are left rest", func(t *testing.T) {
+	t.Run("all remaining runners are in backoff", func(t *testing.T) {
 		s := newBrokenStreamSite(t, jsonMap{"max_attempts": 2}, func(s *brokenStreamSite, since time.Duration, w http.ResponseWriter, r *http.Request) {
 			if since < refuseDuration {
 				w.Header().Set("Retry-After", "0.5")
@@ -93,7 +94,7 @@
 		})
 		s.assertCompleteAnswer(t)
 	})
-	t.Run("a runner that may have run it counts, whatever others refuse", func(t *testing.T) {
+	t.Run("a runner that may have run the request counts despite refusals by others", func(t *testing.T) {
 		var runs atomic.Int64
 		s := newBrokenStreamSite(t, jsonMap{"max_attempts": 2}, func(s *brokenStreamSite, since time.Duration, w http.ResponseWriter, r *http.Request) {
 			if since < refuseDuration {
@@ -107,18 +108,18 @@
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
 		assert.EqualValues(t, 1, runs.Load(), "the route allows two runners")
 	})
-	t.Run("nobody ever has room", func(t *testing.T) {
+	t.Run("no runner ever has room", func(t *testing.T) {
 		s := newBrokenStreamSite(t, jsonMap{"max_attempts": 2}, func(s *brokenStreamSite, _ time.Duration, w http.ResponseWriter, r *http.Request) { s.refuse(w, r) })
-		begun := time.Now()
+		start := time.Now()
 		got := s.call(t, "POST", "/stream/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
 		assert.Equal(t, pieces(cutAfterEvent), got.body)
-		quiet := s.gateway.state.Config().Routes[0].CallerIdleTimeout()
-		assert.Less(t, time.Since(begun), quiet+quiet/2, "the caller is held longer than it stays")
+		idleTimeout := s.gateway.state.Config().Routes[0].CallerIdleTimeout()
+		assert.Less(t, time.Since(start), idleTimeout+idleTimeout/2, "the request is held after its caller has given up")
 	})
 }
 
-// The same at engines, where a request waits for room.
+// As TestRefusalCutsStartedAnswer, but with model engines, where requests wait for room.
 func TestEngineRefusalCutsStartedAnswer(t *testing.T) {
 	refusesOnce := func(refused *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -142,7 +143,7 @@
 		require.NoError(t, got.err)
 		assert.Equal(t, pieces(streamEvents), got.body)
 	})
-	t.Run("a move was refused before the first one breaks off", func(t *testing.T) {
+	t.Run("a hedge was refused before the first engine disconnects", func(t *testing.T) {
 		var refused atomic.Bool
 		w, loads, _ := loadingWorld(t, refusesOnce(&refused))
 		defer w.stop()
@@ -154,7 +155,7 @@
 				r.Header.Set("Last-Event-Id", site.EventID(min(from, streamEvents-2)))
 				site.Events(rw, r, min(from+1, streamEvents-1), 0)
 			}
-			time.Sleep(eventInterval) // so that the entry has the refusal
+			time.Sleep(eventInterval) // so that the entry has received the refusal
 			panic(http.ErrAbortHandler)
 		}
 		got := read(t, w.prompt(t, "/prompt/x"), "POST")
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -15,10 +15,11 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// benchModel is what the engines of the benchmark serve.
+// benchModel is the model that the engines serve.
 const benchModel = "m"
 
-// gatewayWithEngines is an entry that knows so many engines, each with a report, and a request for one of them.
+// gatewayWithEngines returns an entry that knows the given number of engines, each with a report, and a request for
+// one.
 func gatewayWithEngines(engines int) (*Gateway, *exchange) {
 	g := &Gateway{Settings: &deployment.Settings{Zone: "z0"}, Log: logr.Discard()}
 	g.line = newAdmissionQueue(g)
@@ -43,8 +44,8 @@
 	return g, x
 }
 
-// addPartHolders has every engine hold the prompt's first part, as an opening that most prompts share, and three of them the second; a fifth
-// as many stores hold both.
+// addPartHolders makes every engine hold the first part of the prompt, as a beginning that most prompts share, and
+// three engines the second part. A number of stores, a fifth of that of the engines, hold both.
 func addPartHolders(g *Gateway, x *exchange, engines int) {
 	now := time.Now()
 	g.stores.clock.hear(now.UnixMilli(), now)
@@ -71,7 +72,7 @@
 	}
 }
 
-// BenchmarkChooseWithRoom is one decision on a prompt, by the number of engines, where nobody holds its parts and where many do.
+// BenchmarkChooseWithRoom measures one decision on a prompt, without and with holders of its parts.
 func BenchmarkChooseWithRoom(b *testing.B) {
 	for _, engines := range []int{9, 52, 300} {
 		for _, held := range []bool{false, true} {
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDecisionCostGrowsWithHolders: what a decision costs grows with the engines, not with the engines times those that hold a prompt's parts.
+// Guards against a decision whose cost grows with the number of engines times the number of holders of the prompt's
+// parts. It must grow with the number of engines only.
 func TestDecisionCostGrowsWithHolders(t *testing.T) {
 	const (
 		engines   = 300
@@ -17,15 +18,15 @@
 	g, x := gatewayWithEngines(engines)
 	addPartHolders(g, x, engines)
 	now := time.Now()
-	made := testing.AllocsPerRun(3, func() {
+	allocs := testing.AllocsPerRun(3, func() {
 		o := g.findOptions(x, g.viewsAt(now), now)
 		choice, _ := g.chooseWithRoom(x, o, roomQuery{senders: 1}, now)
 		require.GreaterOrEqual(t, choice.Index, 0)
 	})
-	assert.LessOrEqual(t, made, float64(perEngine*engines))
+	assert.LessOrEqual(t, allocs, float64(perEngine*engines))
 }
 
-// TestEngineFetchesFromItself: the engine that holds a part stands by at another holder, never at itself.
+// Guards against a plan in which an engine that holds a part is its own fallback holder.
 func TestEngineFetchesFromItself(t *testing.T) {
 	g, x := gatewayWithEngines(10)
 	addPartHolders(g, x, 10)
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -13,7 +13,7 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// startRunnerInZone starts and lists a runner of a zone, which answers with the zone's name.
+// startRunnerInZone starts and lists a runner in a zone. It answers with the name of the zone.
 func startRunnerInZone(t *testing.T, store *site.Store, zone string) *site.Runner {
 	t.Helper()
 	r := &site.Runner{ID: "r-" + zone, Handle: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, zone) }}
@@ -25,7 +25,7 @@
 	return r
 }
 
-// TestEvacuatedZone has an operator evacuate a zone, and take that back.
+// TestEvacuatedZone checks that an evacuated zone gets no requests until the evacuation is withdrawn.
 func TestEvacuatedZone(t *testing.T) {
 	begin := func(t *testing.T, zones ...string) (*world, []*site.Runner) {
 		t.Helper()
@@ -47,7 +47,7 @@
 		}
 		return zones
 	}
-	t.Run("its runners get nothing until the evacuation is taken back", func(t *testing.T) {
+	t.Run("its runners get no requests until the evacuation is withdrawn", func(t *testing.T) {
 		w, _ := begin(t, "z1", "z2")
 		defer w.stop()
 		w.awaitReady(t)
@@ -57,7 +57,7 @@
 		w.store.Remove("evacuations", "z1")
 		w.eventually(t, func() bool { return served(t, w)["z1"] })
 	})
-	t.Run("an entry that starts meanwhile knows of it before its first request", func(t *testing.T) {
+	t.Run("an entry that starts during an evacuation knows of it before its first request", func(t *testing.T) {
 		w, runners := begin(t, "z1", "z2")
 		w.awaitReady(t)
 		w.store.Put("evacuations", "z1", jsonMap{})
@@ -68,7 +68,7 @@
 		assert.Equal(t, map[string]bool{"z2": true}, served(t, later))
 		assert.Empty(t, runners[0].Runs())
 	})
-	t.Run("with all zones evacuated requests are refused at once", func(t *testing.T) {
+	t.Run("requests are refused at once if all zones are evacuated", func(t *testing.T) {
 		w, _ := begin(t, "z1")
 		defer w.stop()
 		w.awaitReady(t)
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -156,8 +156,8 @@
 // closed reports whether the hedge has ended and released its runner.
 func (h *hedge) closed() bool { return h.state.Load() == hedgeClosed }
 
-// close ends a hedge whose answer is not used.
-func (h *hedge) close() {
+// discard ends a hedge whose answer is not used.
+func (h *hedge) discard() {
 	h.cancel()
 	if h.wait() {
 		h.result.close()
@@ -215,7 +215,7 @@
 	x.maybeRan = x.maybeRan || h.secondary.exchange.maybeRan
 	next := h.result
 	if !won || !next.canContinueFrom(x.lastEvent) {
-		h.close()
+		h.discard()
 		return nil
 	}
 	h.recordOutcome("used")
--- a/gateway/hedge_test.go
+++ b/gateway/hedge_test.go
@@ -15,29 +15,21 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// An entry heard that a runner was about to load weights, closed the stream that this runner was still answering, and only then asked
-// another one, with the last send that the route allows. That one had begun a load of its own 57 ms before, which the entry had not heard
-// of yet, and refused; the caller's answer was cut in the middle. The log had, within 3 ms:
-//
-//	stream moves on     runner=i-235ca2e12a lastEvent=23
-//	runner chosen       chosen=i-22e6720c3d attempt=2 estimate=0.096s candidates=18
-//	runner refused      runner=i-22e6720c3d status=503
-//	request given up    decision=runners-used began=true sends=2
-//
-// It happened to 3 requests in six runs of 30 s. However fresh its knowledge, an entry can't know that another runner will accept: what
-// works is given up only once its replacement answers.
+// Guards against closing a stream because its runner is about to load weights before another runner has accepted it.
+// The other one may have started a load that the entry does not know of yet. If it refuses the last attempt that the
+// route allows, the caller's answer is cut although the first runner was still answering.
 func TestStreamCutBeforeHedgeAnswers(t *testing.T) {
-	t.Run("the other refuses it", func(t *testing.T) {
+	t.Run("the other runner refuses", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
-	t.Run("the other fails", func(t *testing.T) {
+	t.Run("the other runner disconnects", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
-	t.Run("the other takes it and refuses it after a while", func(t *testing.T) {
+	t.Run("the other runner refuses after a delay", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(4 * eventInterval)
 			site.Refuse(w, r)
@@ -45,17 +37,17 @@
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
-	t.Run("the other begins, and goes on from the last event that the caller has", func(t *testing.T) {
+	t.Run("the other runner continues after the last event that the caller has", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, streamEvents, 0) })
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
 }
 
-// A runner that had fallen silent was taken for dead, and its stream closed before another runner was asked; that one refused it, while the
-// first went on 1.2 s later, with nobody left to take its answer.
+// Guards against closing the stream of a silent runner before another runner has accepted it. If that one refuses and
+// the first runner continues after a pause, no attempt is left to receive its answer.
 func TestSilentRunnerDroppedBeforeHedgeAnswers(t *testing.T) {
-	pauses := func(w http.ResponseWriter, r *http.Request) {
+	pauseStream := func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
 		select {
 		case <-time.After(4 * minSilence):
@@ -65,7 +57,7 @@
 		r.Header.Set("Last-Event-Id", "4")
 		site.Events(w, r, streamEvents, 0)
 	}
-	sleeps := func(w http.ResponseWriter, r *http.Request) {
+	answerLate := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(4 * minSilence):
 			site.Answer(w, r, "late and whole")
@@ -76,18 +68,18 @@
 		name    string
 		answers http.HandlerFunc
 	}{
-		{"the other refuses", site.Refuse},
-		{"the other breaks off", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
+		{"the other runner refuses", site.Refuse},
+		{"the other runner disconnects", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
 	} {
-		t.Run("a stream, where "+other.name, func(t *testing.T) {
-			w := silentWorld(t, pauses, other.answers)
+		t.Run("a stream and "+other.name, func(t *testing.T) {
+			w := silentWorld(t, pauseStream, other.answers)
 			defer w.stop()
 			got := w.call(t, "POST", "/stream/x", "prompt")
-			require.NoError(t, got.err, "the answer of a runner that was only slow was cut")
+			require.NoError(t, got.err, "the answer of a slow runner was cut")
 			assert.Equal(t, pieces(streamEvents), got.body)
 		})
-		t.Run("a request without an answer so far, where "+other.name, func(t *testing.T) {
-			w := silentWorld(t, sleeps, other.answers)
+		t.Run("a request without an answer so far and "+other.name, func(t *testing.T) {
+			w := silentWorld(t, answerLate, other.answers)
 			defer w.stop()
 			got := w.call(t, "GET", "/repeat/x", "")
 			require.NoError(t, got.err)
@@ -96,59 +88,60 @@
 	}
 }
 
-// A second attempt costs a place at its runner, which nobody must hold in vain.
+// Guards against hedges that hold capacity at their runner after the request has ended or no longer needs them.
 func TestHedgeNotCancelled(t *testing.T) {
-	left := make(chan struct{}, 2)
-	waits := func(_ http.ResponseWriter, r *http.Request) {
+	released := make(chan struct{}, 2)
+	holdRequest := func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		left <- struct{}{}
+		released <- struct{}{}
 	}
-	assertLeft := func(t *testing.T, runners int) {
+	assertReleased := func(t *testing.T, runners int) {
 		t.Helper()
 		for range runners {
 			select {
-			case <-left:
+			case <-released:
 			case <-time.After(wait):
-				t.Fatal("a runner still holds the request")
+				t.Fatal("a runner is still working on the request")
 			}
 		}
 	}
-	t.Run("where the first one's answer is whole before", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, waits)
+	t.Run("the first answer is completed first", func(t *testing.T) {
+		w, loads, other := loadingWorld(t, holdRequest)
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
-		assertLeft(t, 1)
+		assertReleased(t, 1)
 	})
-	t.Run("where its runner takes longer than a stream that is being answered waits", func(t *testing.T) {
-		w, loads, _ := loadingWorld(t, waits)
+	t.Run("the hedge exceeds its timeout", func(t *testing.T) {
+		w, loads, _ := loadingWorld(t, holdRequest)
 		defer w.stop()
-		holds := make(chan struct{})
-		loads.Handle = pauseAfterFifthEvent(w, holds)
+		goOn := make(chan struct{})
+		loads.Handle = pauseAfterFifthEvent(w, goOn)
 		conn := w.prompt(t, "/prompt/x")
-		assertLeft(t, 1)
-		close(holds)
+		assertReleased(t, 1)
+		close(goOn)
 		got := read(t, conn, "POST")
 		require.NoError(t, got.err)
 		assert.Equal(t, pieces(streamEvents), got.body)
 	})
-	t.Run("at both runners, where the caller leaves", func(t *testing.T) {
+	t.Run("the caller disconnects", func(t *testing.T) {
 		var asked atomic.Int64
-		w := silentWorld(t, waits, func(rw http.ResponseWriter, r *http.Request) {
+		w := silentWorld(t, holdRequest, func(rw http.ResponseWriter, r *http.Request) {
 			asked.Add(1)
-			waits(rw, r)
+			holdRequest(rw, r)
 		})
 		defer w.stop()
 		conn := w.dial(t)
 		w.ask(t, conn, "/stream/x")
 		w.eventually(t, func() bool { return asked.Load() == 1 })
 		require.NoError(t, conn.Close())
-		assertLeft(t, 2)
+		assertReleased(t, 2)
 	})
 }
 
-// A request gets no second attempt that its route or the retry budget doesn't allow, and only one.
+// Guards against a hedge that the route or the retry budget does not allow, and against a second one on a working
+// runner.
 func TestHedgeExceedsLimits(t *testing.T) {
-	t.Run("one that was refused is the last", func(t *testing.T) {
+	t.Run("there is no second hedge after a refusal", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
 		third := &site.Engine{Model: site.Model, Version: 1}
@@ -161,7 +154,7 @@
 		assert.Len(t, loads.Runs(), 1)
 		assert.LessOrEqual(t, len(other.Runs())+len(third.Runs()), 1, "the route allows two runners")
 	})
-	t.Run("none is begun with the budget spent", func(t *testing.T) {
+	t.Run("there is no hedge once the retry budget is used up", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
 		for w.gateway.budgets.TrySpend(time.Now(), "e") {
@@ -172,13 +165,13 @@
 		assert.Len(t, loads.Runs(), 1)
 		assert.Empty(t, other.Runs())
 	})
-	t.Run("none is begun for a request that must not run twice", func(t *testing.T) {
-		late := func(w http.ResponseWriter, r *http.Request) {
+	t.Run("there is no hedge for a request that must not run twice", func(t *testing.T) {
+		answerLate := func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(3 * minSilence)
 			site.Answer(w, r, "once")
 		}
 		var second atomic.Int64
-		w := silentWorld(t, late, func(http.ResponseWriter, *http.Request) { second.Add(1) })
+		w := silentWorld(t, answerLate, func(http.ResponseWriter, *http.Request) { second.Add(1) })
 		defer w.stop()
 		got := w.call(t, "POST", "/once/x", "order")
 		require.NoError(t, got.err)
@@ -187,7 +180,8 @@
 	})
 }
 
-// TestConnectionNotReused: a connection to a runner costs it a place, and a caller a round trip.
+// Guards against a new connection for each request, which costs the runner one of its connections and the caller a
+// round trip.
 func TestConnectionNotReused(t *testing.T) {
 	w := begin(t, defaultConfig(), &site.Runner{ID: "a"})
 	defer w.stop()
@@ -195,18 +189,18 @@
 		require.NoError(t, w.call(t, "GET", "/repeat/x", "").err)
 		require.NoError(t, w.call(t, "POST", "/once/x", "order").err)
 	}
-	assert.Equal(t, int64(1), w.gateway.pool.Opened.Load(), "each request took a connection of its own")
+	assert.Equal(t, int64(1), w.gateway.pool.Opened.Load(), "each request opened a connection")
 }
 
 const (
-	// streamEvents is how many events the streams of these tests have.
+	// streamEvents is the number of events in the streams of these tests.
 	streamEvents = 9
-	// eventInterval is how long a runner that loads soon takes for each event.
+	// eventInterval is the interval between events of a runner that is about to load weights.
 	eventInterval = 40 * time.Millisecond
 )
 
-// loadingWorld is an entry before an engine that reports a load after the fourth event of its stream and ends what it has begun, and
-// another one that reports room and answers as given.
+// loadingWorld is an entry with two engines. The first reports a pending weight load after the fourth event of its
+// stream but completes the stream. The other one reports room and answers with the given handler.
 func loadingWorld(t *testing.T, answers http.HandlerFunc) (w *world, loads, other *site.Engine) {
 	t.Helper()
 	loads = &site.Engine{Model: site.Model, Version: 1}
@@ -232,7 +226,8 @@
 	return w, loads, other
 }
 
-// pauseAfterFifthEvent has the engine that loads soon report it after the fourth event of its stream, and go on after the fifth once it may.
+// pauseAfterFifthEvent returns a handler that reports a pending weight load after the fourth event of a stream, and
+// pauses after the fifth event until goOn is closed.
 func pauseAfterFifthEvent(w *world, goOn <-chan struct{}) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		site.Events(rw, r, 4, 0)
@@ -250,23 +245,24 @@
 	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
 }
 
-// assertStreamCompleteWithHedge checks that a stream of the first engine is whole though the other was asked to go on with it.
+// assertStreamCompleteWithHedge asserts that a stream from the first engine is complete and that the other was tried.
 func assertStreamCompleteWithHedge(t *testing.T, w *world, loads, other *site.Engine) {
 	t.Helper()
 	got := read(t, w.prompt(t, "/prompt/x"), "POST")
-	require.NoError(t, got.err, "the answer was cut though its runner was answering it")
+	require.NoError(t, got.err, "the answer was cut although its runner was still answering")
 	assert.Equal(t, pieces(streamEvents), got.body)
 	assert.Len(t, loads.Runs(), 1)
-	require.Len(t, other.Runs(), 1, "the other runner was not asked")
+	require.Len(t, other.Runs(), 1, "the other runner was not tried")
 }
 
-// silentWorld is an entry before a runner that answers as given and isn't known to live, and another that is listed once that is asked.
+// silentWorld is an entry with a runner that answers with the first handler and is not known to be alive. A second
+// runner is listed once the first gets a request.
 func silentWorld(t *testing.T, first, second http.HandlerFunc) *world {
 	t.Helper()
 	return silentWorldWithConfig(t, defaultConfig(), first, second)
 }
 
-// silentWorldWithConfig is the same with a configuration.
+// silentWorldWithConfig is silentWorld with another configuration.
 func silentWorldWithConfig(t *testing.T, config jsonMap, first, second http.HandlerFunc) *world {
 	t.Helper()
 	a, b := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: second}
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// leavingBound is how long after its word an entry that was told may still send requests to a runner that leaves, leavingFor how long the load
-	// goes on after that.
+	// leavingBound is how long after a runner has stated that it is leaving an entry may still send it requests.
+	// leavingDuration is how long the test sends requests after that.
 	leavingBound        = 2 * time.Second
 	leavingDuration     = time.Second
 	leavingSendInterval = 10 * time.Millisecond
 )
 
-// leavingRunner says in its answers alone that it leaves, once it does, and counts what it gets.
+// leavingRunner states in its answers, and nowhere else, that it is leaving. It records the arrival of requests.
 type leavingRunner struct {
 	leaving     atomic.Bool
 	announcedAt atomic.Int64
@@ -37,7 +37,7 @@
 	l.answer(w, req)
 }
 
-// assertNoLateRequests has a load come while the runner leaves, and asserts that nothing reaches it once the bound is over.
+// assertNoLateRequests sends requests while the runner is leaving, and asserts that none reach it after leavingBound.
 func assertNoLateRequests(t *testing.T, l *leavingRunner, w *world, send func(*world), meanwhile func()) {
 	t.Helper()
 	stop := startLoad(leavingSendInterval, []*world{w}, send)
@@ -48,36 +48,36 @@
 	meanwhile()
 	time.Sleep(leavingBound + leavingDuration)
 	late := 0
-	for _, after := range l.arrivals.elapsedSince(time.Unix(0, l.announcedAt.Load())) {
-		if after > leavingBound {
+	for _, elapsed := range l.arrivals.elapsedSince(time.Unix(0, l.announcedAt.Load())) {
+		if elapsed > leavingBound {
 			late++
 		}
 	}
-	assert.Zero(t, late, "requests that reached it after the bound")
+	assert.Zero(t, late, "requests that arrived after the bound")
 }
 
-// TestRequestsSentToLeavingRunner: requests went on to a runner whose answers said that it leaves while the store's record did not.
+// Guards against requests to a runner whose answers state that it is leaving although its record in the store does not.
 func TestRequestsSentToLeavingRunner(t *testing.T) {
-	whole := func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "leaves") }
+	answer := func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "leaves") }
 	call := func(t *testing.T, path string) func(*world) {
 		t.Helper()
 		return func(w *world) { w.call(t, "POST", path, "body") }
 	}
-	t.Run("by its answers", func(t *testing.T) {
+	t.Run("stated in an answer", func(t *testing.T) {
 		t.Parallel()
-		l := leavingRunner{answer: whole}
+		l := leavingRunner{answer: answer}
 		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertNoLateRequests(t, &l, w, call(t, "/once/x"), func() {})
 	})
-	t.Run("by a refusal", func(t *testing.T) {
+	t.Run("stated in a refusal", func(t *testing.T) {
 		t.Parallel()
 		l := leavingRunner{answer: site.Refuse}
 		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertNoLateRequests(t, &l, w, call(t, "/repeat/x"), func() {})
 	})
-	t.Run("by the head of a stream", func(t *testing.T) {
+	t.Run("stated in the headers of a stream", func(t *testing.T) {
 		t.Parallel()
 		l := leavingRunner{answer: func(w http.ResponseWriter, req *http.Request) { site.Events(w, req, 2, 0) }}
 		sound := &site.Runner{ID: "sound", Handle: func(w http.ResponseWriter, req *http.Request) { site.Events(w, req, 2, 0) }}
@@ -85,9 +85,9 @@
 		defer w.stop()
 		assertNoLateRequests(t, &l, w, call(t, "/flow/x"), func() {})
 	})
-	t.Run("though a record says after that that it is ready", func(t *testing.T) {
+	t.Run("stated before a record that lists it as ready", func(t *testing.T) {
 		t.Parallel()
-		l := leavingRunner{answer: whole}
+		l := leavingRunner{answer: answer}
 		leaving := &site.Runner{ID: "leaves", Handle: l.handle}
 		w := begin(t, defaultConfig(), leaving, &site.Runner{ID: "sound"})
 		defer w.stop()
@@ -97,9 +97,9 @@
 			w.store.Put("servers", leaving.ID, again)
 		})
 	})
-	t.Run("and a later run of it is used", func(t *testing.T) {
+	t.Run("a later process of the runner is used", func(t *testing.T) {
 		t.Parallel()
-		l := leavingRunner{answer: whole}
+		l := leavingRunner{answer: answer}
 		leaving := &site.Runner{ID: "leaves", Handle: l.handle}
 		w := begin(t, defaultConfig(), leaving)
 		defer w.stop()
--- a/gateway/left_out.go
+++ b/gateway/left_out.go
@@ -30,32 +30,32 @@
 
 // add counts a runner under the first reason that applies and reports whether one does. A runner that only lacks a
 // permit is not excluded if the request waits for permits.
-func (l *exclusions) add(v *roster.View, evacuated, disallowedRegion, awaitsPermit bool) bool {
+func (e *exclusions) add(v *roster.View, evacuated, disallowedRegion, awaitsPermit bool) bool {
 	switch {
 	case evacuated:
-		l.evacuated++
+		e.evacuated++
 	case disallowedRegion:
-		l.disallowedRegion++
+		e.disallowedRegion++
 	case v.Denied == "" || awaitsPermit && lacksPermit(v):
 		return false
 	default:
-		l.addDenied(v)
+		e.addDenied(v)
 	}
 	return true
 }
 
 // addDenied counts a runner that does not admit a request now.
-func (l *exclusions) addDenied(v *roster.View) {
+func (e *exclusions) addDenied(v *roster.View) {
 	switch v.Denied {
 	case roster.DeniedLimited:
-		l.limited++
-		l.limitedRate += v.Limit.PerSecond
+		e.limited++
+		e.limitedRate += v.Limit.PerSecond
 	case roster.DeniedCold:
-		l.cold++
+		e.cold++
 	case roster.DeniedBackoff:
-		l.backingOff++
-		if l.backoffEnds.IsZero() || v.BackoffUntil.Before(l.backoffEnds) {
-			l.backoffEnds = v.BackoffUntil
+		e.backingOff++
+		if e.backoffEnds.IsZero() || v.BackoffUntil.Before(e.backoffEnds) {
+			e.backoffEnds = v.BackoffUntil
 		}
 	}
 }
@@ -66,22 +66,22 @@
 }
 
 // setRefusal sets the retry delay of a request for which no runner is left, and returns the reason.
-func (l *exclusions) setRefusal(x *exchange) (verdict string) {
+func (e *exclusions) setRefusal(x *exchange) (verdict string) {
 	x.comeBack, x.notBefore = 0, time.Time{}
 	switch {
-	case l.cold > 0:
+	case e.cold > 0:
 		x.comeBack = coldRetryAfter
 		return verdictCold
-	case l.limited > 0:
-		x.comeBack = l.limitRetryAfter()
+	case e.limited > 0:
+		x.comeBack = e.limitRetryAfter()
 		return verdictLimited
-	case l.backingOff > 0:
-		x.notBefore = l.backoffEnds
+	case e.backingOff > 0:
+		x.notBefore = e.backoffEnds
 		return verdictResting
-	case l.evacuated > 0:
+	case e.evacuated > 0:
 		x.comeBack = evacuationRetryAfter
 		return verdictEvacuated
-	case l.disallowedRegion > 0:
+	case e.disallowedRegion > 0:
 		x.comeBack = evacuationRetryAfter
 		return verdictElsewhere
 	default:
@@ -91,20 +91,20 @@
 
 // backoffEndsInTime reports whether all remaining runners are in backoff and the first of them accepts requests again
 // soon enough for the request.
-func (l *exclusions) backoffEndsInTime(r admission.Request) bool {
-	if l.backingOff == 0 || l.cold+l.limited > 0 {
+func (e *exclusions) backoffEndsInTime(r admission.Request) bool {
+	if e.backingOff == 0 || e.cold+e.limited > 0 {
 		return false
 	}
 	if r.AnswerStarted {
-		return !r.MissesDeadline(l.backoffEnds)
+		return !r.MissesDeadline(e.backoffEnds)
 	}
-	return !r.MissesTarget(l.backoffEnds)
+	return !r.MissesTarget(e.backoffEnds)
 }
 
 // limitRetryAfter returns the time in which the limited runners together accept one more request.
-func (l *exclusions) limitRetryAfter() time.Duration {
-	if l.limitedRate*maxLimitRetryAfter.Seconds() <= 1 {
+func (e *exclusions) limitRetryAfter() time.Duration {
+	if e.limitedRate*maxLimitRetryAfter.Seconds() <= 1 {
 		return maxLimitRetryAfter
 	}
-	return max(minLimitRetryAfter, time.Duration(float64(time.Second)/l.limitedRate))
+	return max(minLimitRetryAfter, time.Duration(float64(time.Second)/e.limitedRate))
 }
--- a/gateway/limited_runners_test.go
+++ b/gateway/limited_runners_test.go
@@ -19,7 +19,7 @@
 		list.Put(deployment.Runner{ID: "r", Service: "s", Address: engineAddress})
 		return list, list.Find("r"), &limitedRunners{}
 	}
-	t.Run("an answer is reported once", func(t *testing.T) {
+	t.Run("an observation is reported once", func(t *testing.T) {
 		list, r, limited := begin()
 		r.ObserveLimit(now, backpressure.Observation{Limit: limit, Sent: now, Received: now})
 		limited.recordChange(r, now)
@@ -28,25 +28,25 @@
 		limited.markReported([]*roster.Runner{r}, now)
 		assert.Empty(t, limited.unreported(limited.current(list, now), now))
 	})
-	t.Run("and one that comes while another is reported, too", func(t *testing.T) {
+	t.Run("an observation during a report is reported as well", func(t *testing.T) {
 		list, r, limited := begin()
 		limited.markUnreported(r, now.Add(1))
 		limited.markReported([]*roster.Runner{r}, now)
 		assert.Len(t, limited.unreported(limited.current(list, now), now), 1)
 	})
-	t.Run("a limit under which nothing is allotted is reported again", func(t *testing.T) {
+	t.Run("a limit is reported again if no permits are allocated under it", func(t *testing.T) {
 		list, r, limited := begin()
 		r.ObserveLimit(now, backpressure.Observation{Limit: limit, Sent: now, Received: now})
 		limited.recordChange(r, now)
 		assert.Empty(t, limited.unreported(limited.current(list, now), now.Add(allocationTimeout-1)))
 		assert.Len(t, limited.unreported(limited.current(list, now), now.Add(allocationTimeout)), 1)
 	})
-	t.Run("an agent that tells of a limit which was lifted long ago is told so", func(t *testing.T) {
+	t.Run("an agent that reports a limit lifted long ago is told so", func(t *testing.T) {
 		list, r, limited := begin()
 		limited.markUnreported(r, now)
 		assert.Len(t, limited.unreported(limited.current(list, now), now), 1)
 	})
-	t.Run("runners that are gone, or have named no limit for long, are left out", func(t *testing.T) {
+	t.Run("runners that are no longer listed or whose limit was lifted long ago are dropped", func(t *testing.T) {
 		list, r, limited := begin()
 		limited.recordChange(r, now)
 		assert.Len(t, limited.current(list, now.Add(liftedLimitRetention-1)), 1)
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -18,7 +18,7 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// configWithLimits is the usual configuration with other limits.
+// configWithLimits returns the default configuration with other limits.
 func configWithLimits(limits jsonMap) jsonMap {
 	config := defaultConfig()
 	all := jsonMap{"max_header_bytes": 16384, "max_body_bytes": 65536, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
@@ -31,17 +31,17 @@
 
 func TestConfiguredLimits(t *testing.T) {
 	large := "X-Large: " + strings.Repeat("x", 40<<10)
-	t.Run("a head that the configuration allows is served, however large", func(t *testing.T) {
+	t.Run("large headers that the configuration allows are accepted", func(t *testing.T) {
 		w := begin(t, configWithLimits(jsonMap{"max_header_bytes": 64 << 10}))
 		defer w.stop()
 		assertOwn(t, w.call(t, "GET", "/repeat/", "", large), http.StatusServiceUnavailable) // there is no runner
 	})
-	t.Run("a head over the configuration's limit is refused", func(t *testing.T) {
+	t.Run("headers over the configured limit are refused", func(t *testing.T) {
 		w := begin(t, configWithLimits(nil))
 		defer w.stop()
 		assertOwn(t, w.call(t, "GET", "/repeat/", "", large), http.StatusRequestHeaderFieldsTooLarge)
 	})
-	t.Run("a connection that rests too long is closed", func(t *testing.T) {
+	t.Run("a connection that is idle for too long is closed", func(t *testing.T) {
 		w := begin(t, configWithLimits(jsonMap{"idle_timeout_ms": 1}))
 		defer w.stop()
 		conn, err := net.Dial("tcp", w.callers)
@@ -51,10 +51,10 @@
 		require.NoError(t, err)
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(wait)))
 		all, err := io.ReadAll(conn)
-		require.NoError(t, err, "the entry closes the connection")
+		require.NoError(t, err, "the entry did not close the connection")
 		assert.Contains(t, string(all), "503")
 	})
-	t.Run("a head that begins and does not end closes its connection", func(t *testing.T) {
+	t.Run("a connection with incomplete headers is closed", func(t *testing.T) {
 		w := begin(t, configWithLimits(jsonMap{"header_timeout_ms": 1}))
 		defer w.stop()
 		conn := w.dial(t)
@@ -62,9 +62,9 @@
 		require.NoError(t, err)
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(wait)))
 		_, err = io.ReadAll(conn)
-		assert.NoError(t, err, "the entry closes the connection")
+		assert.NoError(t, err, "the entry did not close the connection")
 	})
-	t.Run("a few bytes after an answer do not keep a connection for good", func(t *testing.T) {
+	t.Run("a few bytes after an answer do not keep a connection open", func(t *testing.T) {
 		w := begin(t, configWithLimits(jsonMap{"header_timeout_ms": 1, "idle_timeout_ms": 1}), &site.Runner{ID: "r1"})
 		defer w.stop()
 		conn := w.dial(t)
@@ -78,21 +78,21 @@
 		require.NoError(t, err)
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(wait)))
 		_, err = io.ReadAll(answers)
-		assert.NoError(t, err, "the entry closes the connection")
+		assert.NoError(t, err, "the entry did not close the connection")
 	})
-	t.Run("a head may begin just before the rest is over", func(t *testing.T) {
+	t.Run("headers may start just before the idle timeout", func(t *testing.T) {
 		w := begin(t, configWithLimits(jsonMap{"idle_timeout_ms": 1}), &site.Runner{ID: "r1"})
 		defer w.stop()
 		conn := w.dial(t)
 		head := fmt.Sprintf("GET /repeat/ HTTP/1.1\r\nHost: %s\r\nX-Rillreach-Attempt-Id: a1\r\nAuthorization: Bearer %s\r\n\r\n", host, key)
 		_, err := io.WriteString(conn, head[:5])
 		require.NoError(t, err)
-		time.Sleep(idleSlack + 300*time.Millisecond) // beyond the rest that is allowed
+		time.Sleep(idleSlack + 300*time.Millisecond) // longer than the idle timeout with its slack
 		_, err = io.WriteString(conn, head[5:])
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, read(t, conn, "GET").status)
 	})
-	t.Run("a connection may rest for as long as the configuration in force says", func(t *testing.T) {
+	t.Run("the idle timeout follows the configuration in force", func(t *testing.T) {
 		g := &Gateway{}
 		assert.Equal(t, defaultIdle+idleSlack, g.idleAllowed())
 		g.state.SetConfig(&deployment.Config{Revision: rillreach.Revision{Number: 1}, Limits: deployment.Limits{IdleTimeout: time.Minute}})
@@ -101,21 +101,21 @@
 }
 
 func TestIdleTimeoutClosesActiveConnection(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
+	conn, peer := net.Pipe()
+	defer func() { _ = peer.Close() }()
 	hour := func() time.Duration { return time.Hour }
 	k := &idleKeeper{Allowed: hour, AllowedHead: hour}
-	k.connState(ours, http.StateIdle)
-	mine := k.idles[ours]
-	k.connState(ours, http.StateActive)
-	k.end(ours, mine) // the time-out fires as the request comes in
-	assert.NoError(t, ours.SetDeadline(time.Now().Add(time.Hour)), "the connection is still open")
+	k.connState(conn, http.StateIdle)
+	timer := k.idles[conn]
+	k.connState(conn, http.StateActive)
+	k.end(conn, timer) // the timeout fires while the request arrives
+	assert.NoError(t, conn.SetDeadline(time.Now().Add(time.Hour)), "the connection was closed")
 }
 
-// TestHungWatchNoticedTooLate: a watch that the store swallowed at the end of its trouble must be given up before the entry
-// counts as undisturbed again.
+// Guards against a watch that hung during a failure of the store and is given up only after the entry counts as
+// recovered.
 func TestHungWatchNoticedTooLate(t *testing.T) {
-	const givenUpAfter = 700 * time.Millisecond // beyond its wait, by the client of the store
+	const givenUpAfter = 700 * time.Millisecond // time beyond the watch's wait after which the store client gives up
 	for _, contact := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 10 * time.Second} {
 		g := &Gateway{Settings: &deployment.Settings{Bounds: deployment.Bounds{Recovery: contact, RunnerDrainNotice: 2 * time.Second}}}
 		assert.Less(t, g.watchWait()+givenUpAfter, contact)
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestIdleTimeoutUsesOldConfig: a rest that began under a shorter limit is measured by the one in force when it ends, since
-// the caller goes by that one.
+// Guards against closing a connection by the shorter idle timeout in force when it became idle. The caller relies on
+// the timeout in force when it ends.
 func TestIdleTimeoutUsesOldConfig(t *testing.T) {
 	w := begin(t, configWithLimits(jsonMap{"idle_timeout_ms": 200}), &site.Runner{ID: "r1"})
 	defer w.stop()
@@ -134,7 +134,7 @@
 		t.Helper()
 		w.ask(t, conn, "/repeat/x")
 		resp, err := http.ReadResponse(answers, nil)
-		require.NoError(t, err, "the connection was closed while it might still be used")
+		require.NoError(t, err, "the connection was closed before its idle timeout")
 		_, err = io.Copy(io.Discard, resp.Body)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
@@ -144,6 +144,6 @@
 	longer["version"] = 2
 	w.store.Put("config", "main", longer)
 	w.eventually(t, func() bool { return w.gateway.idleAllowed() > time.Minute })
-	time.Sleep(idleSlack + 400*time.Millisecond) // beyond what the configuration allowed when the rest began
+	time.Sleep(idleSlack + 400*time.Millisecond) // longer than the idle timeout in force when the connection became idle
 	assertServed()
 }
--- a/gateway/line.go
+++ b/gateway/line.go
@@ -53,65 +53,65 @@
 }
 
 // Name returns the name of the controller.
-func (l *admissionQueue) Name() string { return "admit-waiting" }
+func (q *admissionQueue) Name() string { return "admit-waiting" }
 
 // Run admits waiting requests as engines become free, until the context ends.
-func (l *admissionQueue) Run(ctx context.Context) error {
+func (q *admissionQueue) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		l.awaitWake(ctx)
-		l.admitWaiting(time.Now())
+		q.awaitWake(ctx)
+		q.admitWaiting(time.Now())
 		pause.For(ctx, minAdmitInterval)
 	}
 	return nil
 }
 
 // awaitWake waits until the next pass is due. While the queue is empty, only a new request ends the wait.
-func (l *admissionQueue) awaitWake(ctx context.Context) {
-	var idle <-chan time.Time
-	if l.len() > 0 {
+func (q *admissionQueue) awaitWake(ctx context.Context) {
+	var timeout <-chan time.Time
+	if q.len() > 0 {
 		timer := time.NewTimer(maxAdmitInterval)
 		defer timer.Stop()
-		idle = timer.C
+		timeout = timer.C
 	}
 	select {
 	case <-ctx.Done():
-	case <-l.wake:
-	case <-idle:
+	case <-q.wake:
+	case <-timeout:
 	}
 }
 
 // notify schedules a pass over the waiting requests because the state of an engine has changed. With hundreds of
 // engines this is called several hundred times per second, mostly while the queue is empty.
-func (l *admissionQueue) notify() {
-	if l.len() == 0 {
+func (q *admissionQueue) notify() {
+	if q.len() == 0 {
 		return
 	}
 	select {
-	case l.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
 // len returns the number of waiting requests.
-func (l *admissionQueue) len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting)
+func (q *admissionQueue) len() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting)
 }
 
 // admit waits until the request may be sent to an engine, or returns the reason why it may not.
-func (l *admissionQueue) admit(ctx context.Context, x *exchange) (*target, string) {
-	w := &waitingRequest{exchange: x, request: l.gateway.admissionRequest(x), decided: make(chan decision, 1)}
-	if d, done := l.enqueue(w, time.Now()); done {
+func (q *admissionQueue) admit(ctx context.Context, x *exchange) (*target, string) {
+	w := &waitingRequest{exchange: x, request: q.gateway.admissionRequest(x), decided: make(chan decision, 1)}
+	if d, done := q.enqueue(w, time.Now()); done {
 		return d.target, d.verdict
 	}
-	l.notify()
+	q.notify()
 	select {
 	case d := <-w.decided:
 		return d.target, d.verdict
 	case <-ctx.Done():
 	}
-	if l.remove(w) {
+	if q.remove(w) {
 		return nil, verdictLeftLine
 	}
 	d := <-w.decided // it was decided at the same moment
@@ -120,26 +120,26 @@
 
 // enqueue decides on the request at once if no others wait or its answer has started, and adds it to the queue
 // otherwise. The second result is false if it was added.
-func (l *admissionQueue) enqueue(w *waitingRequest, now time.Time) (decision, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.waiting) == 0 || w.request.AnswerStarted {
-		if d, done := l.tryAdmit(w, l.gateway.viewsAt(now), nil, l.drainTime(now), now); done {
+func (q *admissionQueue) enqueue(w *waitingRequest, now time.Time) (decision, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.waiting) == 0 || w.request.AnswerStarted {
+		if d, done := q.tryAdmit(w, q.gateway.viewsAt(now), nil, q.drainTime(now), now); done {
 			return d, true
 		}
 	}
-	if d, done := l.shed(w, l.tokensAhead(w, now), now); done {
+	if d, done := q.shed(w, q.tokensAhead(w, now), now); done {
 		return d, true
 	}
-	l.waiting = append(l.waiting, w)
-	l.observeStandingQueue(now)
+	q.waiting = append(q.waiting, w)
+	q.observeStandingQueue(now)
 	return decision{}, false
 }
 
 // tokensAhead returns the total tokens of the waiting requests that are admitted before this one.
-func (l *admissionQueue) tokensAhead(w *waitingRequest, now time.Time) int {
+func (q *admissionQueue) tokensAhead(w *waitingRequest, now time.Time) int {
 	tokens := 0
-	for _, other := range l.waiting {
+	for _, other := range q.waiting {
 		if admission.Compare(other.request, w.request, now) <= 0 {
 			tokens += other.request.Tokens
 		}
@@ -148,39 +148,39 @@
 }
 
 // remove removes a request from the queue and reports whether it was there.
-func (l *admissionQueue) remove(w *waitingRequest) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	i := slices.Index(l.waiting, w)
+func (q *admissionQueue) remove(w *waitingRequest) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	i := slices.Index(q.waiting, w)
 	if i < 0 {
 		return false
 	}
-	l.waiting = slices.Delete(l.waiting, i, i+1)
-	l.observeStandingQueue(time.Now())
+	q.waiting = slices.Delete(q.waiting, i, i+1)
+	q.observeStandingQueue(time.Now())
 	return true
 }
 
 // admitWaiting admits waiting requests in order. A request without room reserves the engine that has the most, so that
 // later, smaller requests do not take the memory that becomes free there.
-func (l *admissionQueue) admitWaiting(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	defer l.observeStandingQueue(now)
-	if len(l.waiting) == 0 {
+func (q *admissionQueue) admitWaiting(now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	defer q.observeStandingQueue(now)
+	if len(q.waiting) == 0 {
 		return
 	}
-	slices.SortStableFunc(l.waiting, func(a, b *waitingRequest) int { return admission.Compare(a.request, b.request, now) })
+	slices.SortStableFunc(q.waiting, func(a, b *waitingRequest) int { return admission.Compare(a.request, b.request, now) })
 	reserved := map[*roster.Runner]bool{}
-	views := l.gateway.viewsAt(now)
-	drainTime := l.drainTime(now)
+	views := q.gateway.viewsAt(now)
+	drainTime := q.drainTime(now)
 	blocked, tokensAhead := 0, 0
-	l.waiting = slices.DeleteFunc(l.waiting, func(w *waitingRequest) bool {
+	q.waiting = slices.DeleteFunc(q.waiting, func(w *waitingRequest) bool {
 		d, done := decision{}, false
 		if blocked < maxBlocked {
-			d, done = l.tryAdmit(w, views, reserved, drainTime, now)
+			d, done = q.tryAdmit(w, views, reserved, drainTime, now)
 		}
 		if !done {
-			d, done = l.shed(w, tokensAhead, now)
+			d, done = q.shed(w, tokensAhead, now)
 		}
 		if !done {
 			blocked++
@@ -188,7 +188,7 @@
 			return false
 		}
 		if d.target != nil {
-			l.recordAdmission(w, now)
+			q.recordAdmission(w, now)
 		}
 		w.decided <- d
 		return true
@@ -197,8 +197,8 @@
 
 // tryAdmit admits or refuses the request, or returns false if it has to wait. A refused caller is told to retry after
 // drainTime. The engines in reserved are kept for requests ahead of this one; nil means that none wait.
-func (l *admissionQueue) tryAdmit(w *waitingRequest, views *runnerViews, reserved map[*roster.Runner]bool, drainTime time.Duration, now time.Time) (decision, bool) {
-	g, x := l.gateway, w.exchange
+func (q *admissionQueue) tryAdmit(w *waitingRequest, views *runnerViews, reserved map[*roster.Runner]bool, drainTime time.Duration, now time.Time) (decision, bool) {
+	g, x := q.gateway, w.exchange
 	o := g.findOptions(x, views, now)
 	switch {
 	case len(o.views) > 0:
@@ -207,8 +207,8 @@
 	default:
 		return decision{verdict: o.exclusions.setRefusal(x)}, true
 	}
-	l.mostEnginesCold = o.mostlyCold()
-	choice, mostFree := g.chooseWithRoom(x, o, roomQuery{reserved: reserved, senders: l.senders(reserved), idleOnly: w.request.Deprioritized(now)}, now)
+	q.mostEnginesCold = o.mostlyCold()
+	choice, mostFree := g.chooseWithRoom(x, o, roomQuery{reserved: reserved, senders: q.senders(reserved), idleOnly: w.request.Deprioritized(now)}, now)
 	switch {
 	case choice.Index >= 0:
 		t := g.assign(x, o, choice, now)
@@ -227,9 +227,9 @@
 }
 
 // senders returns the number of entries assumed to send at the same time.
-func (l *admissionQueue) senders(reserved map[*roster.Runner]bool) int {
+func (q *admissionQueue) senders(reserved map[*roster.Runner]bool) int {
 	if reserved == nil {
 		return 1 // no requests wait here
 	}
-	return l.gateway.budgets.Entries()
+	return q.gateway.budgets.Entries()
 }
--- a/gateway/line_test.go
+++ b/gateway/line_test.go
@@ -17,10 +17,11 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// fullEngineLoad is a load that leaves no room in the memory of the stand-in's engines.
+// fullEngineLoad is a load that leaves no room in the memory of the test engines.
 var fullEngineLoad = deployment.Load{Running: 5, UsedTokens: 39000}
 
-// TestPromptSentToFullEngine: a prompt for which no engine has room stays at the entry until one has, or until its caller would be gone.
+// Guards against sending a prompt to an engine without room. It waits at the entry until an engine has room or the
+// caller would have given up.
 func TestPromptSentToFullEngine(t *testing.T) {
 	begin := func(t *testing.T) (*world, *site.Engine) {
 		t.Helper()
@@ -30,7 +31,7 @@
 		w.reportLoad("e", fullEngineLoad)
 		return w, engine
 	}
-	t.Run("it is sent once there is room", func(t *testing.T) {
+	t.Run("the prompt is sent once there is room", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
 		conn := w.prompt(t, "/prompt/x")
@@ -41,7 +42,7 @@
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 	})
-	t.Run("one whose caller leaves is sent nowhere", func(t *testing.T) {
+	t.Run("a prompt whose caller disconnects is not sent", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
 		conn := w.prompt(t, "/prompt/x")
@@ -51,7 +52,7 @@
 		w.reportLoad("e", deployment.Load{})
 		assert.Empty(t, engine.Runs())
 	})
-	t.Run("where no room comes it is refused as not run, with a time to come back", func(t *testing.T) {
+	t.Run("without room the prompt is refused as not run with a Retry-After header", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
 		got := read(t, w.prompt(t, "/prompt/x"), "POST")
@@ -63,20 +64,21 @@
 	})
 }
 
-// reportLoad has the engine's agent say how it is.
+// reportLoad sets the report of an engine's agent.
 func (w *world) reportLoad(id rillreach.InstanceID, load deployment.Load) {
 	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
 	w.gateway.line.notify()
 }
 
-// TestBacklogHoldsDoomedRequest: what waits already keeps a prompt from an engine until its caller has gone, so that it isn't held.
+// Guards against holding a request that cannot be admitted before its caller gives up because of the requests ahead of
+// it.
 func TestBacklogHoldsDoomedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, x := gatewayWithEngines(1)
 		g.state.Roster.Find("r0").SetReport(roster.Report{Load: deployment.Load{Running: 1, UsedTokens: 70000}, ReceivedAt: time.Now().Add(time.Hour)})
 		now := time.Now()
 		x.arrived, x.ends = now, now.Add(3*time.Second)
-		g.line.admitRate.Record(now, 3000) // 1,000 tokens a second
+		g.line.admitRate.Record(now, 3000) // 1000 tokens per second
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		first := make(chan string, 1)
@@ -85,18 +87,19 @@
 			first <- verdict
 		}()
 		synctest.Wait()
-		require.Equal(t, 1, g.line.len(), "nothing waits before the first")
+		require.Equal(t, 1, g.line.len(), "the first request waits")
 		second := *x
 		_, verdict := g.line.admit(ctx, &second)
 		assert.Equal(t, verdictBacklog, verdict)
-		assert.Equal(t, now, time.Now(), "the refusal took no time")
+		assert.Equal(t, now, time.Now(), "the second request was not refused at once")
 		assert.InDelta(t, 12.2, second.comeBack.Seconds(), 0.1)
 		cancel()
 		assert.Equal(t, verdictLeftLine, <-first)
 	})
 }
 
-// TestSmallPromptsStarveLargePrompt: small prompts don't take the room that comes back before a large one that waits first.
+// Guards against small prompts that take the memory that becomes free before it is enough for a large prompt ahead of
+// them.
 func TestSmallPromptsStarveLargePrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, large := gatewayWithEngines(1)
@@ -119,7 +122,7 @@
 		go wait("small", &small)
 		synctest.Wait()
 		require.Equal(t, 2, g.line.len())
-		report(50000) // room for the small one alone
+		report(50000) // enough room for the small one only
 		g.line.admitWaiting(time.Now())
 		synctest.Wait()
 		assert.Empty(t, admitted)
--- a/gateway/loads_soon.go
+++ b/gateway/loads_soon.go
@@ -7,7 +7,7 @@
 )
 
 // minExpectedWait is the minimum assumed wait for the first token of a stream that moves to another runner. Streams
-// have waited 0.2 s to 1.6 s there before a weight load started and they were refused.
+// wait 0.2 s to 1.6 s there before a weight load starts and they are refused.
 const minExpectedWait = 1500 * time.Millisecond
 
 // weightLoadImminent reports whether the runner may start to load newer weights, and refuse the request, before a
--- a/gateway/loads_soon_test.go
+++ b/gateway/loads_soon_test.go
@@ -16,20 +16,19 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// TestStreamMovesToEngineAboutToLoad: an engine is about to load weights, and so is the only other one. A stream that moved there in
-// the time between announcement and load waited for its first token, and was refused 0.21 to 0.28 s later when the load began: three
-// of three cut answers in ten plays had that shape.
+// Guards against moving a stream from an engine that is about to load weights to one whose load is scheduled. The
+// stream would wait there for its first token and be refused when the load starts.
 func TestStreamMovesToEngineAboutToLoad(t *testing.T) {
-	announced, last := make(chan struct{}), make(chan struct{})
+	sendFifth, sendSixth := make(chan struct{}), make(chan struct{})
 	loads := &site.Engine{Model: site.Model, Version: 1}
 	loads.ID = "loads"
 	loads.Handle = func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
-		<-announced
+		<-sendFifth
 		r.Header.Set("Last-Event-Id", "4")
 		site.Events(w, r, 5, 0)
 		select {
-		case <-last:
+		case <-sendSixth:
 		case <-r.Context().Done():
 			return
 		}
@@ -43,25 +42,25 @@
 	conn := w.prompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
 	w.addEngine(t, soon)
-	later := time.Now().Add(wait) // the age of these reports stays below zero
+	later := time.Now().Add(wait) // so that the reports stay fresh
 	w.gateway.state.Roster.Find("soon").SetReport(roster.Report{ReceivedAt: later, WeightLoadAt: time.Now()})
 	w.gateway.state.Roster.Find("loads").SetReport(roster.Report{ReceivedAt: later, Load: deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true}})
-	close(announced)
+	close(sendFifth)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
-	begun := make([]byte, len(pieces(5)))
-	_, err = io.ReadFull(resp.Body, begun)
+	firstPart := make([]byte, len(pieces(5)))
+	_, err = io.ReadFull(resp.Body, firstPart)
 	require.NoError(t, err)
-	close(last)
+	close(sendSixth)
 	rest, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	assert.Equal(t, pieces(6), string(begun)+string(rest))
+	assert.Equal(t, pieces(6), string(firstPart)+string(rest))
 	assert.Empty(t, soon.Runs())
 }
 
-// TestAvoidsRunnersAboutToLoad: which runners a stream that moves leaves out as long as there are others.
+// TestAvoidsRunnersAboutToLoad checks which runners are avoided by a stream that moves.
 func TestAvoidsRunnersAboutToLoad(t *testing.T) {
-	avoids := func(change func(*Gateway, *exchange, *roster.Report)) bool {
+	isAvoidedWith := func(change func(*Gateway, *exchange, *roster.Report)) bool {
 		g, x := gatewayWithEngines(1)
 		now := time.Now()
 		x.began = true
@@ -70,33 +69,33 @@
 		g.state.Roster.Find("r0").SetReport(report)
 		return g.findOptions(x, g.viewsAt(now), now).candidates[0].Avoided
 	}
-	loadsIn := func(d time.Duration) func(*Gateway, *exchange, *roster.Report) {
+	loadAfter := func(d time.Duration) func(*Gateway, *exchange, *roster.Report) {
 		return func(_ *Gateway, _ *exchange, r *roster.Report) { r.WeightLoadAt = r.ReceivedAt.Add(d) }
 	}
-	name := func(version deployment.WeightVersion) func(*Gateway, *exchange, *roster.Report) {
+	setDesiredVersion := func(version deployment.WeightVersion) func(*Gateway, *exchange, *roster.Report) {
 		return func(g *Gateway, _ *exchange, _ *roster.Report) {
 			g.state.SetWeights(deployment.DesiredWeights{Model: benchModel, Version: version, Revision: rillreach.Revision{Number: 9}})
 		}
 	}
-	t.Run("one whose load may begin before the stream does", func(t *testing.T) {
-		assert.True(t, avoids(loadsIn(minExpectedWait-time.Millisecond)))
+	t.Run("a runner whose load may start before the first token is avoided", func(t *testing.T) {
+		assert.True(t, isAvoidedWith(loadAfter(minExpectedWait-time.Millisecond)))
 	})
-	t.Run("one that is expected to have the stream wait until its load", func(t *testing.T) {
-		assert.True(t, avoids(func(g *Gateway, _ *exchange, r *roster.Report) {
+	t.Run("a runner whose expected wait is longer than the time to its load is avoided", func(t *testing.T) {
+		assert.True(t, isAvoidedWith(func(g *Gateway, _ *exchange, r *roster.Report) {
 			g.state.Roster.Find("r0").BeginRequest(r.ReceivedAt.Add(-3*time.Second), 100, 100)
 			r.WeightLoadAt = r.ReceivedAt.Add(2 * time.Second)
 		}))
 	})
-	t.Run("not one whose load is far", func(t *testing.T) {
-		assert.False(t, avoids(loadsIn(minExpectedWait)))
+	t.Run("a runner whose load starts later is not avoided", func(t *testing.T) {
+		assert.False(t, isAvoidedWith(loadAfter(minExpectedWait)))
 	})
-	t.Run("one with replaced weights whose agent has not told yet when it loads", func(t *testing.T) {
-		assert.True(t, avoids(name(2)))
+	t.Run("a runner with replaced weights and no scheduled load is avoided", func(t *testing.T) {
+		assert.True(t, isAvoidedWith(setDesiredVersion(2)))
 	})
-	t.Run("not one with the newest weights", func(t *testing.T) {
-		assert.False(t, avoids(name(1)))
+	t.Run("a runner with the newest weights is not avoided", func(t *testing.T) {
+		assert.False(t, isAvoidedWith(setDesiredVersion(1)))
 	})
-	t.Run("a request that has not begun takes any", func(t *testing.T) {
-		assert.False(t, avoids(func(_ *Gateway, x *exchange, r *roster.Report) { x.began, r.WeightLoadAt = false, r.ReceivedAt }))
+	t.Run("a request whose answer has not started avoids none", func(t *testing.T) {
+		assert.False(t, isAvoidedWith(func(_ *Gateway, x *exchange, r *roster.Report) { x.began, r.WeightLoadAt = false, r.ReceivedAt }))
 	})
 }
--- a/gateway/mean.go
+++ b/gateway/mean.go
@@ -5,8 +5,8 @@
 // smoothingFactor is the weight of the newest value in the moving averages.
 const smoothingFactor = 0.02
 
-// sizeBiasedMean is a moving average of the size of the work found waiting at a random moment. Large items wait longer
-// and are found more often than they arrive, so it is the mean of the squares divided by the mean. The zero value is
+// sizeBiasedMean is a moving average of the size of the work found waiting at a random moment, when large items are
+// found more often than they arrive. It is the mean of the squared sizes divided by the mean size. The zero value is
 // empty.
 type sizeBiasedMean struct {
 	mu         sync.Mutex
--- a/gateway/move_test.go
+++ b/gateway/move_test.go
@@ -18,16 +18,16 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// TestStreamMovesToFullEngine: an engine is about to load weights, and the only other one is full. A stream that left would
-// wait there for room, with no engine left to be sent to.
+// Guards against moving a stream from an engine that is about to load weights to a full one. The stream would wait
+// there for room, and the route allows no third engine.
 func TestStreamMovesToFullEngine(t *testing.T) {
-	empties, seen := make(chan struct{}), make(chan struct{})
+	sendFifth, sendSixth := make(chan struct{}), make(chan struct{})
 	loads := &site.Engine{Model: site.Model, Version: 1}
 	loads.ID = "loads"
 	loads.Handle = func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
-		writeEventAfter(w, 5, empties)
-		writeEventAfter(w, 6, seen)
+		writeEventAfter(w, 5, sendFifth)
+		writeEventAfter(w, 6, sendSixth)
 	}
 	full := &site.Engine{Model: site.Model, Version: 1}
 	full.ID = "full"
@@ -40,29 +40,29 @@
 	conn := w.prompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
 	report("loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
-	close(empties)
-	body := readThroughEvent(t, conn, 5) // so that the entry has decided whether the stream moves
-	close(seen)
+	close(sendFifth)
+	body := readThroughEvent(t, conn, 5) // by then the entry has decided whether to move the stream
+	close(sendSixth)
 	rest, err := io.ReadAll(body.rest)
 	require.NoError(t, err)
 	assert.Equal(t, pieces(6), body.read+string(rest))
 	assert.Empty(t, full.Runs())
 }
 
-// writeEventAfter has a runner make an event once it is its turn.
+// writeEventAfter writes an event once turn is closed.
 func writeEventAfter(w http.ResponseWriter, id int, turn <-chan struct{}) {
 	<-turn
 	_, _ = io.WriteString(w, site.Piece(id))
 	_ = http.NewResponseController(w).Flush()
 }
 
-// partialBody is an answer of which the caller has read a part.
+// partialBody is the body of an answer, of which a part was read.
 type partialBody struct {
 	read string
 	rest io.Reader
 }
 
-// readThroughEvent reads an answer up to the end of an event.
+// readThroughEvent reads an answer up to the end of the event with the given ID.
 func readThroughEvent(t *testing.T, conn net.Conn, id int) partialBody {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: http.MethodPost})
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -44,7 +44,7 @@
 	o.candidates = make([]place.Candidate, 0, len(group.views))
 	tried := x.sends.runnersTried()
 	conversation := hash.String(conversation(x))
-	meanRead := g.reads.mean()
+	meanPrefill := g.reads.mean()
 	evacuations := g.state.Evacuations()
 	for i := range group.views {
 		v := &group.views[i]
@@ -55,7 +55,7 @@
 		if !state.startWindow.Admits(now, v.ExpectedWait) {
 			continue
 		}
-		c := g.newCandidate(x, v, conversation, meanRead)
+		c := g.newCandidate(x, v, conversation, meanPrefill)
 		c.OldWeights = x.needsEngine() && sinceReplaced(state.startWindow, now) > oldWeightsGrace
 		c.Tried = slices.Contains(tried, v.ID)
 		o.views = append(o.views, v)
@@ -95,9 +95,9 @@
 	return request
 }
 
-// newCandidate describes a runner to package place. The conversation is given by its hash, and meanRead is the average
-// number of tokens that an engine processes per prompt.
-func (g *Gateway) newCandidate(x *exchange, v *roster.View, conversation uint64, meanRead int) place.Candidate {
+// newCandidate describes a runner to package place. The conversation is given by its hash, and meanPrefill is the
+// average number of tokens that an engine processes per prompt.
+func (g *Gateway) newCandidate(x *exchange, v *roster.View, conversation uint64, meanPrefill int) place.Candidate {
 	c := place.Candidate{
 		Running:             v.RunningRequests,
 		Slots:               v.Slots,
@@ -113,7 +113,7 @@
 	c.Capacity = x.service.Engine.CapacityTokens
 	if v.ReportFresh {
 		c.Running = max(c.Running, v.Load.Running+v.Load.Waiting)
-		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.AwaitingFirstEvent+v.Load.Waiting)*meanRead+v.UnreportedPrefillTokens)
+		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.AwaitingFirstEvent+v.Load.Waiting)*meanPrefill+v.UnreportedPrefillTokens)
 		c.UsedTokens = max(c.UsedTokens, v.Load.UsedTokens+v.UnreportedKVTokens)
 	}
 	c.Avoided = isAvoided(v) || x.began && g.weightLoadImminent(x, v)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -11,7 +11,7 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// TestAllowedRegions has a runner in each of two regions, and routes and accounts that allow one of them, the other or both.
+// TestAllowedRegions checks that requests run only in the regions that their route allows.
 func TestAllowedRegions(t *testing.T) {
 	store := site.NewStore()
 	store.Put("config", "main", configOf(
@@ -32,7 +32,7 @@
 	for route, want := range map[string]map[string]bool{
 		"near": {"z1": true}, "far": {"z2": true},
 	} {
-		t.Run("requests of the route "+route, func(t *testing.T) {
+		t.Run("route "+route, func(t *testing.T) {
 			got := map[string]bool{}
 			for range 40 {
 				got[w.call(t, "POST", "/"+route+"/x", "body").body] = true
@@ -40,10 +40,10 @@
 			assert.Equal(t, want, got)
 		})
 	}
-	t.Run("others run in the entry's own zone while nothing is to be gained elsewhere", func(t *testing.T) {
+	t.Run("a request that may run anywhere prefers the zone of the entry", func(t *testing.T) {
 		assert.Equal(t, "z1", w.call(t, "POST", "/any/x", "body").body)
 	})
-	t.Run("a request that may run nowhere is refused at once", func(t *testing.T) {
+	t.Run("a request without a runner in an allowed region is refused at once", func(t *testing.T) {
 		assertOwn(t, w.call(t, "POST", "/none/x", "body"), http.StatusServiceUnavailable)
 	})
 }
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// backoffDuration is the rest that a runner asks for, restTold how long after its word it may still get any number of requests, and restMost how many
-	// may reach it between then and the end of the rest.
+	// backoffDuration is the Retry-After that the runner sends. After backoffGrace at most maxDuringBackoff requests
+	// may reach it until the backoff ends.
 	backoffDuration  = 3 * time.Second
 	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
-	// recoveryTimeout is how long after the end of its rest a runner is in use again at the latest.
+	// recoveryTimeout is how long after the end of its backoff a runner must be in use again.
 	recoveryTimeout     = 2 * time.Second
 	backoffSendInterval = 10 * time.Millisecond
 )
 
-// backoffRunner turns requests away once, with a rest, and counts what it gets after that.
+// backoffRunner refuses one request with a Retry-After header and records the arrival of requests.
 type backoffRunner struct {
 	refusing  atomic.Bool
 	refusedAt atomic.Int64
@@ -45,18 +45,19 @@
 	r.answer(w, req)
 }
 
-// newBackoffRunner is a runner that refuses as not run, and answers otherwise.
+// newBackoffRunner returns a runner that refuses a request as not run, and answers otherwise.
 func newBackoffRunner() *backoffRunner {
 	return &backoffRunner{refuse: site.Refuse, answer: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "rested") }}
 }
 
-// refuseWithSeal is the refusal of a runner as an answer of its own.
+// refuseWithSeal refuses a request with the seal of an answer that the runner made itself.
 func refuseWithSeal(w http.ResponseWriter, req *http.Request) {
 	site.Seal(w, req)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// assertBackoffHonored has a load come while the runner rests, and asserts that next to nothing reaches it meanwhile and that it is in use again afterwards.
+// assertBackoffHonored sends requests while the runner is in backoff, and asserts that almost none reach it meanwhile
+// and that it is in use again afterwards.
 func assertBackoffHonored(t *testing.T, r *backoffRunner, entries []*world, send func(*world)) {
 	t.Helper()
 	stop := startLoad(backoffSendInterval, entries, send)
@@ -64,35 +65,35 @@
 	require.Eventually(t, func() bool { return r.arrivals.len() > 0 }, wait, time.Millisecond)
 	r.refusing.Store(true)
 	require.Eventually(t, func() bool { return r.refusedAt.Load() != 0 }, wait, time.Millisecond)
-	asked := time.Unix(0, r.refusedAt.Load())
-	time.Sleep(time.Until(asked.Add(backoffDuration + recoveryTimeout)))
-	meanwhile, afterwards := 0, 0
-	for _, after := range r.arrivals.elapsedSince(asked) {
+	refusedAt := time.Unix(0, r.refusedAt.Load())
+	time.Sleep(time.Until(refusedAt.Add(backoffDuration + recoveryTimeout)))
+	during, afterwards := 0, 0
+	for _, elapsed := range r.arrivals.elapsedSince(refusedAt) {
 		switch {
-		case after >= backoffDuration:
+		case elapsed >= backoffDuration:
 			afterwards++
-		case after >= backoffGrace:
-			meanwhile++
+		case elapsed >= backoffGrace:
+			during++
 		}
 	}
-	assert.LessOrEqual(t, meanwhile, maxDuringBackoff, "requests while it rests")
-	assert.Greater(t, afterwards, maxDuringBackoff, "requests after its rest")
+	assert.LessOrEqual(t, during, maxDuringBackoff, "requests during the backoff")
+	assert.Greater(t, afterwards, maxDuringBackoff, "requests after the backoff")
 }
 
-// TestRunnerRetryAfterIgnored: runners that had turned requests away and asked for rest got more before it was over, or nothing for long after it.
+// Guards against requests to a runner before its backoff is over, and against a runner that is unused long after that.
 func TestRunnerRetryAfterIgnored(t *testing.T) {
 	call := func(t *testing.T, path string) func(*world) {
 		t.Helper()
 		return func(w *world) { w.call(t, "POST", path, "body") }
 	}
-	t.Run("a plain runner beside a sound one", func(t *testing.T) {
+	t.Run("a plain runner beside an available one", func(t *testing.T) {
 		t.Parallel()
 		r := newBackoffRunner()
 		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertBackoffHonored(t, r, []*world{w}, call(t, "/repeat/x"))
 	})
-	t.Run("one that says so in an answer with its seal", func(t *testing.T) {
+	t.Run("a plain runner that refuses with its seal", func(t *testing.T) {
 		t.Parallel()
 		r := newBackoffRunner()
 		r.refuse = refuseWithSeal
@@ -100,7 +101,7 @@
 		defer w.stop()
 		assertBackoffHonored(t, r, []*world{w}, call(t, "/repeat/x"))
 	})
-	t.Run("a plain runner alone", func(t *testing.T) {
+	t.Run("the only plain runner", func(t *testing.T) {
 		t.Parallel()
 		r := newBackoffRunner()
 		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
@@ -118,7 +119,8 @@
 	})
 }
 
-// TestRequestHeldWhileAllRunnersBackOff: a request that nobody takes for seconds is refused at once, with the time until somebody does.
+// Guards against holding a request that no runner will accept for seconds. It is refused at once with the remaining
+// time.
 func TestRequestHeldWhileAllRunnersBackOff(t *testing.T) {
 	r := newBackoffRunner()
 	w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
@@ -129,7 +131,7 @@
 		assertOwn(t, got, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
-		assert.Greater(t, after, (backoffDuration - time.Second).Seconds(), "what was left of the rest when it was refused")
+		assert.Greater(t, after, (backoffDuration - time.Second).Seconds(), "Retry-After is shorter than the remaining backoff")
 	}
 	assert.Equal(t, 1, r.arrivals.len())
 }
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -27,15 +27,15 @@
 	partKey       = holdings.Key{Salt: "1/m", Part: "p"}
 )
 
-// runBulletin is a bulletin of a run of the runner "r", with a load and a part that it holds.
-func runBulletin(generation rillreach.Generation, waiting, tokens int, whole bool) *bulletin.Bulletin {
+// runBulletin returns a bulletin for a process of runner "r", with its load and the tokens of the part that it holds.
+func runBulletin(generation rillreach.Generation, waiting, tokens int, snapshot bool) *bulletin.Bulletin {
 	return &bulletin.Bulletin{
 		Runner: "r", Generation: generation, Clock: laterGeneration + 100, Load: bulletin.Load{Waiting: waiting},
-		CacheUpdates: []bulletin.CacheUpdate{{Address: engineAddress, Snapshot: whole, Changes: []holdings.Change{{Key: partKey, Tokens: tokens}}}},
+		CacheUpdates: []bulletin.CacheUpdate{{Address: engineAddress, Snapshot: snapshot, Changes: []holdings.Change{{Key: partKey, Tokens: tokens}}}},
 	}
 }
 
-// gatewayWithEarlierRun is an entry that has heard of an earlier run of the runner "r", and left it alone since.
+// gatewayWithEarlierRun returns an entry that knows an earlier process of runner "r" and has ejected it.
 func gatewayWithEarlierRun(t *testing.T) *Gateway {
 	t.Helper()
 	g, _ := gatewayWithEngines(0)
@@ -47,7 +47,7 @@
 	return g
 }
 
-// assertEarlierRunForgotten asserts that nothing of the earlier run is believed.
+// assertEarlierRunForgotten asserts that no state of the earlier process is left.
 func assertEarlierRunForgotten(t *testing.T, g *Gateway) {
 	t.Helper()
 	v := g.state.Roster.Find("r").View(time.Now())
@@ -61,32 +61,32 @@
 func TestStateKeptAfterRunnerRestart(t *testing.T) {
 	record := deployment.Runner{ID: "r", Service: "s", Address: engineAddress, Generation: laterGeneration}
 	empty := &bulletin.Bulletin{Runner: "r", Generation: laterGeneration, Clock: laterGeneration + 100}
-	t.Run("the word of its agent is enough", func(t *testing.T) {
+	t.Run("a bulletin of its agent is enough", func(t *testing.T) {
 		g := gatewayWithEarlierRun(t)
-		over := g.state.Roster.Find("r").Ended()
+		ended := g.state.Roster.Find("r").Ended()
 		g.applyBulletin(empty, time.Now())
 		assertEarlierRunForgotten(t, g)
-		<-over
+		<-ended
 	})
-	t.Run("a new start that is heard of twice does nothing the second time", func(t *testing.T) {
+	t.Run("the second report of a restart has no effect", func(t *testing.T) {
 		g := gatewayWithEarlierRun(t)
 		g.applyBulletin(runBulletin(laterGeneration, 3, 500, true), time.Now())
-		one := g.state.Roster.Find("r")
+		runner := g.state.Roster.Find("r")
 		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Generation: laterGeneration, Load: bulletin.Load{Waiting: 3}}, time.Now())
-		assert.Same(t, one, g.state.Roster.Find("r"))
+		assert.Same(t, runner, g.state.Roster.Find("r"))
 		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.stores.index.Holders(partKey))
 	})
-	t.Run("what its agent still says of the earlier run is late", func(t *testing.T) {
-		for name, whole := range map[string]bool{"everything": true, "a change": false} {
+	t.Run("late reports of the earlier process are ignored", func(t *testing.T) {
+		for name, snapshot := range map[string]bool{"snapshot": true, "change": false} {
 			t.Run(name, func(t *testing.T) {
 				g := gatewayWithEarlierRun(t)
 				g.applyBulletin(empty, time.Now())
-				g.applyBulletin(runBulletin(earlierGeneration, 9, 900, whole), time.Now())
+				g.applyBulletin(runBulletin(earlierGeneration, 9, 900, snapshot), time.Now())
 				assertEarlierRunForgotten(t, g)
 			})
 		}
 	})
-	t.Run("what it says of a store counts all the same", func(t *testing.T) {
+	t.Run("late reports of a store are applied", func(t *testing.T) {
 		g := gatewayWithEarlierRun(t)
 		g.applyBulletin(empty, time.Now())
 		late := runBulletin(earlierGeneration, 9, 900, true)
@@ -94,14 +94,14 @@
 		g.applyBulletin(late, time.Now())
 		assert.Equal(t, map[netip.AddrPort]int{storeAddress: 900}, g.stores.index.Holders(partKey))
 	})
-	t.Run("the list may come after the agent's word, and leaves what the later run holds", func(t *testing.T) {
+	t.Run("a list that arrives after the bulletin keeps the cache index of the later process", func(t *testing.T) {
 		g := gatewayWithEarlierRun(t)
 		g.applyBulletin(runBulletin(laterGeneration, 3, 500, true), time.Now())
 		g.state.Roster.Put(record)
-		g.handleRunnerRestart(record) // as though the list had been the first to tell, and were only now done with
+		g.handleRunnerRestart(record) // as if the list had reported the restart first and were handled late
 		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.stores.index.Holders(partKey))
 	})
-	t.Run("an unknown start is no new one", func(t *testing.T) {
+	t.Run("an unknown generation is not a restart", func(t *testing.T) {
 		g := gatewayWithEarlierRun(t)
 		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Load: bulletin.Load{Waiting: 4}}, time.Now())
 		v := g.state.Roster.Find("r").View(time.Now())
@@ -118,20 +118,20 @@
 		g.stores.clock.hear(clock, now)
 		return g.restartDelay(laterGeneration, now)
 	}
-	t.Run("it is told by the runners' clock", func(t *testing.T) {
+	t.Run("the delay is measured on the runners' common clock", func(t *testing.T) {
 		delay, known := delayAt(laterGeneration + 250)
 		assert.True(t, known)
 		assert.Equal(t, 250*time.Millisecond, delay)
 	})
-	for name, clock := range map[string]int64{"before that clock is known": 0, "where the start lies ahead": laterGeneration - 1, "where it lies far back": laterGeneration + 3_600_000} {
-		t.Run("it is not told "+name, func(t *testing.T) {
+	for name, clock := range map[string]int64{"the clock is unknown": 0, "the start is in the future": laterGeneration - 1, "the start is too long ago": laterGeneration + 3_600_000} {
+		t.Run("there is no delay if "+name, func(t *testing.T) {
 			_, known := delayAt(clock)
 			assert.False(t, known)
 		})
 	}
 }
 
-// TestRestartInStoreMissed has an entry at work hear of an engine's new start from the store alone.
+// Guards against missing the restart of an engine that only the store reports.
 func TestRestartInStoreMissed(t *testing.T) {
 	e := &site.Engine{Model: site.Model, Version: 1, Born: earlierGeneration}
 	e.ID = "e1"
@@ -151,15 +151,16 @@
 	<-first.Ended()
 }
 
-// TestStreamHangsOnEndedRun: a runner starts again behind a cut, so that its callers' connections are not reset, and nothing comes on them.
+// Guards against a stream that hangs after its runner has restarted while the network is partitioned, so that the
+// connections of its callers are not reset.
 func TestStreamHangsOnEndedRun(t *testing.T) {
 	hangs := func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
 		<-r.Context().Done()
 	}
 	a, b := &site.Runner{ID: "a", Handle: hangs}, &site.Runner{ID: "b", Handle: cutAfter(0)}
-	patient := routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "gap_aim_ms": 60000})
-	w := begin(t, configOf(1, patient), a)
+	route := routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "gap_aim_ms": 60000})
+	w := begin(t, configOf(1, route), a)
 	defer w.stop()
 	startedAt := func(start int) jsonMap {
 		entry := record(a, "ready")
--- a/gateway/second_attempt_test.go
+++ b/gateway/second_attempt_test.go
@@ -17,7 +17,7 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// A request counts as running at a runner while that may hold it, and no longer: others are kept from the runner for it.
+// Guards against counting a request as running at a runner that has refused it, since that keeps other requests away.
 func TestRefusedHedgeCountsAsRunning(t *testing.T) {
 	w, loads, other := loadingWorld(t, site.Refuse)
 	defer w.stop()
@@ -26,26 +26,26 @@
 	conn := w.prompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(other.Runs()) == 1 })
 	assert.Eventually(t, func() bool { return w.gateway.state.Roster.Find("other").View(time.Now()).RunningRequests == 0 }, wait/4, 5*time.Millisecond,
-		"a request that the runner refused counts as running there until the first runner's answer ends")
+		"a refused request counts as running until the answer of the first runner ends")
 	close(goOn)
 	got := read(t, conn, "POST")
 	require.NoError(t, got.err)
 	assert.Equal(t, pieces(streamEvents), got.body)
 }
 
-// A runner that fails a request has given no answer that is worth more than one that another runner is already making.
+// Guards against forwarding a runner's failure while a hedge may still answer the request.
 func TestFailureForwardedDespiteHedge(t *testing.T) {
-	failsOnce := func(asked chan struct{}) http.HandlerFunc {
+	failAfter := func(hedged chan struct{}) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			<-asked
+			<-hedged
 			site.Seal(w, r)
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
-	t.Run("the second attempt's answer is the caller's", func(t *testing.T) {
-		asked := make(chan struct{})
-		w := silentWorld(t, failsOnce(asked), func(w http.ResponseWriter, r *http.Request) {
-			close(asked)
+	t.Run("the answer of the hedge is forwarded", func(t *testing.T) {
+		hedged := make(chan struct{})
+		w := silentWorld(t, failAfter(hedged), func(w http.ResponseWriter, r *http.Request) {
+			close(hedged)
 			time.Sleep(minSilence)
 			site.Answer(w, r, "second")
 		})
@@ -55,10 +55,10 @@
 		assert.Equal(t, http.StatusOK, got.status)
 		assert.Equal(t, "second", got.body)
 	})
-	t.Run("the failure is passed on where the second attempt is refused", func(t *testing.T) {
-		asked := make(chan struct{})
-		w := silentWorld(t, failsOnce(asked), func(w http.ResponseWriter, r *http.Request) {
-			close(asked)
+	t.Run("the failure is forwarded if the hedge is refused", func(t *testing.T) {
+		hedged := make(chan struct{})
+		w := silentWorld(t, failAfter(hedged), func(w http.ResponseWriter, r *http.Request) {
+			close(hedged)
 			time.Sleep(minSilence)
 			site.Refuse(w, r)
 		})
@@ -70,53 +70,53 @@
 	})
 }
 
-// A stream is left only for an answer that it can go on with.
+// Guards against leaving a stream for an answer that cannot continue it.
 func TestStreamDroppedForUnjoinableHedge(t *testing.T) {
-	named := func(w io.Writer, from, to int) {
+	writeEvents := func(w io.Writer, from, to int) {
 		for id := from; id <= to; id++ {
 			_, _ = io.WriteString(w, eventWithNamedID(id))
 		}
 	}
-	t.Run("the ids don't tell which events the caller has", func(t *testing.T) {
-		passed := make(chan struct{})
+	t.Run("the event IDs do not show which events the caller has", func(t *testing.T) {
+		sixthSent := make(chan struct{})
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) {
-			<-passed
+			<-sixthSent
 			site.Seal(w, r)
-			named(w, 5, streamEvents)
+			writeEvents(w, 5, streamEvents)
 		})
 		defer w.stop()
 		loads.Handle = func(rw http.ResponseWriter, r *http.Request) {
 			site.Seal(rw, r)
 			flush := func() { _ = http.NewResponseController(rw).Flush() }
-			named(rw, 1, 4)
+			writeEvents(rw, 1, 4)
 			flush()
 			setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 			time.Sleep(eventInterval)
-			named(rw, 5, 5)
+			writeEvents(rw, 5, 5)
 			flush()
 			for len(other.Runs()) == 0 && r.Context().Err() == nil {
 				time.Sleep(time.Millisecond)
 			}
-			named(rw, 6, 6)
+			writeEvents(rw, 6, 6)
 			flush()
 			time.Sleep(eventInterval)
-			close(passed)
+			close(sixthSent)
 			select {
 			case <-r.Context().Done():
 			case <-time.After(4 * eventInterval):
-				named(rw, 7, streamEvents)
+				writeEvents(rw, 7, streamEvents)
 			}
 		}
 		got := read(t, w.prompt(t, "/prompt/x"), "POST")
-		require.NoError(t, got.err, "the stream's runner was given up for one whose events can't be joined")
+		require.NoError(t, got.err, "the stream was left for one that cannot continue it")
 		var whole strings.Builder
-		named(&whole, 1, streamEvents)
+		writeEvents(&whole, 1, streamEvents)
 		assert.Equal(t, whole.String(), got.body)
 	})
-	t.Run("the other's answer is no stream, and the first began meanwhile", func(t *testing.T) {
-		asked, began := make(chan struct{}), make(chan struct{})
+	t.Run("the other answer is an error and the first stream has started meanwhile", func(t *testing.T) {
+		hedged, began := make(chan struct{}), make(chan struct{})
 		w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
-			<-asked
+			<-hedged
 			site.Events(w, r, 4, 0)
 			close(began)
 			select {
@@ -126,33 +126,33 @@
 				site.Events(w, r, streamEvents, 0)
 			}
 		}, func(w http.ResponseWriter, r *http.Request) {
-			close(asked)
+			close(hedged)
 			<-began
 			site.Seal(w, r)
 			w.WriteHeader(http.StatusNotFound)
 		})
 		defer w.stop()
 		got := w.call(t, "POST", "/stream/x", "prompt")
-		require.NoError(t, got.err, "the stream's runner was given up for an answer that is no stream")
+		require.NoError(t, got.err, "the stream was left for an error")
 		assert.Equal(t, pieces(streamEvents), got.body)
 	})
 }
 
-// eventWithNamedID is an event whose id doesn't say which of two comes first.
+// eventWithNamedID returns an event whose ID does not show its position in the stream.
 func eventWithNamedID(id int) string { return fmt.Sprintf("id: part-%d\ndata: piece %d\n\n", id, id) }
 
-// Two runners must not work on one stream for long, also where nothing of it goes out before it is whole.
+// Guards against two runners that work on one buffered stream until it is complete.
 func TestHedgeOfBufferedStreamAwaitsWholeStream(t *testing.T) {
 	x := &exchange{route: &deployment.Route{Kind: deployment.EventStream, Resumable: true}, buffered: true}
 	a := &attempt{exchange: x, answer: &forward.Answer{Response: &http.Response{StatusCode: http.StatusOK}}}
 	a.prefetched.WriteString("id: 1\n")
 	assert.False(t, a.prefetchedEnough())
 	a.prefetched.WriteString(eventWithNamedID(2))
-	assert.True(t, a.prefetchedEnough(), "the first runner goes on until the second one's stream is whole")
+	assert.True(t, a.prefetchedEnough(), "the first runner continues until the stream of the hedge is complete")
 }
 
-// threeRunnerWorld is an entry with a route that allows three runners, before one that answers as given and two others, which are listed once
-// that is asked.
+// threeRunnerWorld is an entry with a route that allows three runners. The first answers with the first handler, and
+// the others are listed once it gets a request.
 func threeRunnerWorld(t *testing.T, first, others http.HandlerFunc) *world {
 	t.Helper()
 	a, b, c := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: others}, &site.Runner{ID: "c", Handle: others}
@@ -169,7 +169,7 @@
 	return w
 }
 
-// A route that allows three runners has the third asked where the second refuses a request whose runner says nothing.
+// Guards against waiting for a silent runner after the hedge was refused, although the route allows a third runner.
 func TestThirdRunnerNotTriedAfterHedgeRefusal(t *testing.T) {
 	var others atomic.Int64
 	refusesOnce := func(w http.ResponseWriter, r *http.Request) {
@@ -185,33 +185,34 @@
 	defer w.stop()
 	got := w.call(t, "GET", "/repeat/x", "")
 	require.NoError(t, got.err)
-	assert.Equal(t, "third", got.body, "nobody was asked after the refusal")
+	assert.Equal(t, "third", got.body, "no runner was tried after the refusal")
 	assert.EqualValues(t, 2, others.Load())
 }
 
-// A route that allows three runners has the third asked where the first breaks off and the second says nothing.
+// Guards against waiting for a silent hedge after the first runner has disconnected, although the route allows a third
+// runner.
 func TestThirdRunnerNotTriedAfterDisconnect(t *testing.T) {
 	var others atomic.Int64
-	asked := make(chan struct{})
+	hedged := make(chan struct{})
 	hangsOnce := func(w http.ResponseWriter, r *http.Request) {
 		if others.Add(1) == 1 {
-			close(asked)
+			close(hedged)
 			<-r.Context().Done()
 			return
 		}
 		site.Answer(w, r, "third")
 	}
 	w := threeRunnerWorld(t, func(http.ResponseWriter, *http.Request) {
-		<-asked
+		<-hedged
 		panic(http.ErrAbortHandler)
 	}, hangsOnce)
 	defer w.stop()
 	got := w.call(t, "GET", "/repeat/x", "")
 	require.NoError(t, got.err)
-	assert.Equal(t, "third", got.body, "nobody was asked beside the second")
+	assert.Equal(t, "third", got.body, "no runner was tried besides the second")
 }
 
-// A runner's bytes that are no events don't fill the entry's memory.
+// Guards against buffering a stream without event boundaries until the entry runs out of memory.
 func TestHedgeBuffersEndlessEvent(t *testing.T) {
 	const most = 64 * maxEvent
 	written := make(chan int, 1)
@@ -236,18 +237,18 @@
 	got := w.call(t, "POST", "/stream/x", "prompt")
 	require.NoError(t, got.err)
 	assert.Equal(t, pieces(streamEvents), got.body)
-	assert.Less(t, <-written, most, "all was read that the runner sent")
+	assert.Less(t, <-written, most, "the entry has read everything that the runner sent")
 }
 
-// A runner whose events wait for a caller that takes none isn't silent.
+// Guards against taking a runner for silent while its events wait for a slow caller.
 func TestSlowCallerStartsHedge(t *testing.T) {
 	const events = 400
 	blocked := make(chan struct{})
 	big := strings.Repeat("x", 64<<10)
 	var second atomic.Int64
-	// The answer's 26 MB take longer than the usual time-out where the machine is busy.
-	patient := configOf(1, routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
-	w := silentWorldWithConfig(t, patient, func(w http.ResponseWriter, r *http.Request) {
+	// The 26 MB of the answer take longer than the default timeout on a busy machine.
+	config := configOf(1, routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
+	w := silentWorldWithConfig(t, config, func(w http.ResponseWriter, r *http.Request) {
 		site.Seal(w, r)
 		for id := 1; id <= events; id++ {
 			if id == events/2 {
@@ -264,31 +265,31 @@
 	w.ask(t, conn, "/stream/x")
 	select {
 	case <-blocked:
-		t.Fatal("the caller's connection holds more than this test allows for")
+		t.Fatal("the connection buffers more data than this test assumes")
 	case <-time.After(4 * minSilence):
 	}
 	got := read(t, conn, "GET")
 	require.NoError(t, got.err)
 	assert.Equal(t, events, strings.Count(got.body, "\n\n"))
-	assert.Zero(t, second.Load(), "another runner was asked, though the first one's events were there")
+	assert.Zero(t, second.Load(), "another runner was tried although the first one has sent events")
 }
 
-// A stop of the entry ends neither attempt of a stream: the second goes on where the first breaks off.
+// Guards against a shutdown that ends an attempt of a stream. The hedge continues if the first runner disconnects.
 func TestShutdownEndsHedge(t *testing.T) {
-	asked, leaving := make(chan struct{}), make(chan struct{})
+	hedged, leaving := make(chan struct{}), make(chan struct{})
 	w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
 		<-leaving
 		panic(http.ErrAbortHandler)
 	}, func(w http.ResponseWriter, r *http.Request) {
-		close(asked)
+		close(hedged)
 		<-leaving
 		time.Sleep(minSilence)
 		site.Events(w, r, streamEvents, 0)
 	})
 	conn := w.dial(t)
 	w.ask(t, conn, "/stream/x")
-	<-asked
+	<-hedged
 	w.stop()
 	w.eventually(t, w.gateway.leaving.Load)
 	close(leaving)
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -42,50 +42,50 @@
 //
 // A request whose answer has started is never shed. None are shed while most engines are cold either, because the
 // observed admission rate is then that of the permits and rises once the slow start ends.
-func (l *admissionQueue) shed(w *waitingRequest, tokensAhead int, now time.Time) (decision, bool) {
-	if l.mostEnginesCold || w.request.AnswerStarted {
+func (q *admissionQueue) shed(w *waitingRequest, tokensAhead int, now time.Time) (decision, bool) {
+	if q.mostEnginesCold || w.request.AnswerStarted {
 		return decision{}, false
 	}
-	wait, known := l.estimateWait(w, tokensAhead, now)
+	wait, known := q.estimateWait(w, tokensAhead, now)
 	tooLate := known && w.request.MissesDeadline(now.Add(wait))
-	if !tooLate && !l.standingQueue.ShouldShed(now, w.request, wait) {
+	if !tooLate && !q.standingQueue.ShouldShed(now, w.request, wait) {
 		return decision{}, false
 	}
-	w.exchange.comeBack = max(wait, l.standingQueue.Age(now))
+	w.exchange.comeBack = max(wait, q.standingQueue.Age(now))
 	return decision{verdict: verdictBacklog}, true
 }
 
 // estimateWait returns how long it takes to admit the requests ahead of this one. A deprioritized request only gets the
 // capacity that the others leave.
-func (l *admissionQueue) estimateWait(w *waitingRequest, tokensAhead int, now time.Time) (time.Duration, bool) {
+func (q *admissionQueue) estimateWait(w *waitingRequest, tokensAhead int, now time.Time) (time.Duration, bool) {
 	if w.request.Deprioritized(now) {
-		if wait, known := l.lateAdmitRate.EstimateWait(now, tokensAhead); known {
+		if wait, known := q.lateAdmitRate.EstimateWait(now, tokensAhead); known {
 			return wait, true
 		}
 	}
-	return l.admitRate.EstimateWait(now, tokensAhead)
+	return q.admitRate.EstimateWait(now, tokensAhead)
 }
 
 // recordAdmission records that a request was admitted.
-func (l *admissionQueue) recordAdmission(w *waitingRequest, now time.Time) {
-	l.admitRate.Record(now, w.request.Tokens)
+func (q *admissionQueue) recordAdmission(w *waitingRequest, now time.Time) {
+	q.admitRate.Record(now, w.request.Tokens)
 	if w.request.MissesTarget(now) {
-		l.lateAdmitRate.Record(now, w.request.Tokens)
+		q.lateAdmitRate.Record(now, w.request.Tokens)
 	}
 }
 
 // observeStandingQueue records whether requests that can still meet their target are waiting. A wait for cold engines
-// does not count. l.mu must be held.
-func (l *admissionQueue) observeStandingQueue(now time.Time) {
-	l.standingQueue.Observe(now, !l.mostEnginesCold && slices.ContainsFunc(l.waiting, func(w *waitingRequest) bool { return !w.request.MissesTarget(now) }))
+// does not count. q.mu must be held.
+func (q *admissionQueue) observeStandingQueue(now time.Time) {
+	q.standingQueue.Observe(now, !q.mostEnginesCold && slices.ContainsFunc(q.waiting, func(w *waitingRequest) bool { return !w.request.MissesTarget(now) }))
 }
 
 // drainTime estimates how long it takes to admit all requests that wait now, or returns zero if that is not known.
-func (l *admissionQueue) drainTime(now time.Time) time.Duration {
+func (q *admissionQueue) drainTime(now time.Time) time.Duration {
 	tokens := 0
-	for _, w := range l.waiting {
+	for _, w := range q.waiting {
 		tokens += w.request.Tokens
 	}
-	wait, _ := l.admitRate.EstimateWait(now, tokens)
+	wait, _ := q.admitRate.EstimateWait(now, tokens)
 	return wait
 }
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -63,85 +63,86 @@
 	return v.ReportFresh && !v.Load.Unresponsive
 }
 
-// start starts the wait for the start of the answer.
-func (b *watchdog) start(timeout time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stopped {
+// start starts the watchdog with the given timeout for the first data, after which the wait is reset to w.timeout.
+func (w *watchdog) start(timeout time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return
 	}
-	if b.timer != nil {
-		b.timer.Stop()
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	b.timer = time.AfterFunc(timeout, b.handleTimer)
-	b.setTimer(timeout)
+	w.timer = time.AfterFunc(timeout, w.handleTimer)
+	w.setTimer(timeout)
 }
 
 // handleTimer checks the runner if the entry has run throughout the last part of the wait.
-func (b *watchdog) handleTimer() {
-	if b.waitsLonger(time.Now()) {
+func (w *watchdog) handleTimer() {
+	if w.waitsLonger(time.Now()) {
 		return
 	}
-	b.check()
+	w.check()
 }
 
 // waitsLonger reports whether the wait goes on because its last part has yet to pass, or because the entry may have
 // stalled during it. In both cases it starts the last part.
-func (b *watchdog) waitsLonger(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stopped {
+func (w *watchdog) waitsLonger(now time.Time) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return true
 	}
-	if b.settling && now.Sub(b.due) < settleTime {
+	if w.settling && now.Sub(w.due) < settleTime {
 		return false
 	}
-	b.settling, b.due = true, now.Add(settleTime)
-	b.timer.Reset(settleTime)
+	w.settling, w.due = true, now.Add(settleTime)
+	w.timer.Reset(settleTime)
 	return true
 }
 
 // check hedges the attempt if the runner is not alive. The next check comes later after a hedge, which may be refused,
 // and soon otherwise.
-func (b *watchdog) check() {
-	if !b.isAlive() && b.startHedge() {
-		b.resetTo(minSilence)
+func (w *watchdog) check() {
+	if !w.isAlive() && w.startHedge() {
+		w.resetTo(minSilence)
 		return
 	}
-	b.resetTo(livenessCheckInterval)
+	w.resetTo(livenessCheckInterval)
 }
 
 // checkNow checks the runner without waiting any longer. It is called when the runner is known to have restarted, since
 // a runner that restarts while the network is partitioned does not reset the connections of its callers.
-func (b *watchdog) checkNow() { b.resetTo(0) }
+func (w *watchdog) checkNow() { w.resetTo(0) }
 
 // reset restarts the wait because the runner has sent data.
-func (b *watchdog) reset() { b.resetTo(b.timeout) }
-
-func (b *watchdog) resetTo(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.timer != nil && !b.stopped {
-		b.setTimer(d)
+func (w *watchdog) reset() { w.resetTo(w.timeout) }
+
+// resetTo restarts the wait with the given duration if the watchdog is running.
+func (w *watchdog) resetTo(d time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer != nil && !w.stopped {
+		w.setTimer(d)
 	}
 }
 
-// setTimer sets the end of the wait. b.mu must be held.
-func (b *watchdog) setTimer(d time.Duration) {
-	b.settling = d <= settleTime
-	if !b.settling {
+// setTimer sets the end of the wait. w.mu must be held.
+func (w *watchdog) setTimer(d time.Duration) {
+	w.settling = d <= settleTime
+	if !w.settling {
 		d -= settleTime
 	}
-	b.due = time.Now().Add(d)
-	b.timer.Reset(d)
+	w.due = time.Now().Add(d)
+	w.timer.Reset(d)
 }
 
 // stop stops the watchdog for good, even during a check.
-func (b *watchdog) stop() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.stopped = true
-	if b.timer != nil {
-		b.timer.Stop()
+func (w *watchdog) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	if w.timer != nil {
+		w.timer.Stop()
 	}
 }
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -11,13 +11,13 @@
 func returnTrue() bool { return true }
 
 func TestWatchdog(t *testing.T) {
-	t.Run("nothing is asked once the bound is lifted, also where it was being asked just then", func(t *testing.T) {
+	t.Run("a stopped watchdog makes no further check, even if stopped during one", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			asked := 0
 			b := &watchdog{startHedge: returnTrue}
 			b.isAlive = func() bool {
 				asked++
-				b.stop() // the answer comes while the runner is being looked at
+				b.stop() // the answer arrives during the check
 				return true
 			}
 			b.start(time.Second)
@@ -26,7 +26,7 @@
 			assert.Equal(t, 1, asked)
 		})
 	})
-	t.Run("a runner that lives is asked again, beside one that does not another is asked once", func(t *testing.T) {
+	t.Run("a runner is checked while it is alive and hedged once when it is not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			asked, hedged := 0, 0
 			b := &watchdog{startHedge: func() bool {
@@ -44,22 +44,22 @@
 			assert.Equal(t, 1, hedged)
 		})
 	})
-	t.Run("an entry that stood still reads first what came meanwhile", func(t *testing.T) {
+	t.Run("a stall of the entry prolongs the wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			b := &watchdog{timeout: time.Second, isAlive: func() bool { return false }, startHedge: returnTrue}
 			b.start(time.Second)
 			defer b.stop()
-			time.Sleep(time.Second - settleTime/2) // the last part has begun
+			time.Sleep(time.Second - settleTime/2) // the last part of the wait has begun
 			synctest.Wait()
-			assert.False(t, b.waitsLonger(b.due), "the entry has run")
-			assert.True(t, b.waitsLonger(b.due.Add(time.Second)), "the entry has stood still")
-			assert.False(t, b.waitsLonger(b.due), "the entry has run since")
+			assert.False(t, b.waitsLonger(b.due), "the entry has run without a stall")
+			assert.True(t, b.waitsLonger(b.due.Add(time.Second)), "the entry has stalled")
+			assert.False(t, b.waitsLonger(b.due), "the entry has run since the stall")
 		})
 	})
-	t.Run("each word of the runner begins the wait anew", func(t *testing.T) {
+	t.Run("data from the runner restarts the wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			b := &watchdog{timeout: time.Second, isAlive: func() bool { return false }, startHedge: func() bool {
-				t.Error("another was asked")
+				t.Error("another runner was tried")
 				return true
 			}}
 			b.start(time.Second)
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -18,20 +18,21 @@
 	"github.com/rillreach/rillreach/slowstart"
 )
 
-// coldLimits is what a cold runner of these tests may get in any one second.
+// coldLimits bounds the requests to a cold runner in any second.
 var coldLimits = slowstart.Limits{PerSecond: 8, Factor: 1.5, Slack: 4}
 
 const (
-	// coldDuration is how long it is cold, coldLoad how many requests come meanwhile, one after the other, and coldPrompts how many prompts.
+	// coldDuration is how long the runner is cold. Meanwhile coldRequests requests come one after the other, or
+	// coldPrompts prompts.
 	coldDuration = 3 * time.Second
 	coldRequests = 60
 	coldPrompts  = 21
-	// simultaneousPrompts of them come at once, the others one by one after each pause.
+	// simultaneousPrompts is the number of prompts that come at once. The others follow at promptInterval.
 	simultaneousPrompts = 17
 	promptInterval      = 100 * time.Millisecond
 )
 
-// arrivals are the moments at which requests reached a runner.
+// arrivals records when requests reached a runner.
 type arrivals struct {
 	mu sync.Mutex
 	at []time.Time
@@ -43,7 +44,7 @@
 	a.at = append(a.at, time.Now())
 }
 
-// elapsedSince are how long after a moment they were.
+// elapsedSince returns the time from start to each arrival.
 func (a *arrivals) elapsedSince(start time.Time) []time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,7 +61,7 @@
 	return len(a.at)
 }
 
-// withSlowStart adds to a configuration how a service's runners start.
+// withSlowStart adds the slow start settings to a service of the configuration.
 func withSlowStart(config jsonMap, service string) jsonMap {
 	for _, s := range config["services"].([]jsonMap) {
 		if s["name"] == service {
@@ -74,17 +75,17 @@
 	s.Bounds.SlowStartFactor, s.Bounds.SlowStartSlack = coldLimits.Factor, coldLimits.Slack
 }
 
-// assertColdLimits asserts that so many had come at no moment since the start that the bound was broken in one of the seconds. A machine that is busy
-// lets requests arrive late, and never early.
+// assertColdLimits asserts that the number of arrivals since start never exceeds the limits for the elapsed time. A
+// busy machine delays arrivals but never makes them early.
 func assertColdLimits(t *testing.T, a *arrivals, start time.Time) {
 	t.Helper()
 	most := coldLimits.PerSecond*coldLimits.Factor + coldLimits.Slack
-	for i, after := range a.elapsedSince(start) {
-		assert.LessOrEqual(t, float64(i+1), most*math.Ceil(after.Seconds()), "after %s", after)
+	for i, elapsed := range a.elapsedSince(start) {
+		assert.LessOrEqual(t, float64(i+1), most*math.Ceil(elapsed.Seconds()), "after %s", elapsed)
 	}
 }
 
-// TestColdRunnerOverloadedWithoutAgent has many requests come at once while the only runner of a plain service is cold.
+// Guards against too many requests to the only runner of a plain service while it is cold.
 func TestColdRunnerOverloadedWithoutAgent(t *testing.T) {
 	var reached arrivals
 	r := &site.Runner{ID: "cold", Handle: func(w http.ResponseWriter, req *http.Request) {
@@ -101,7 +102,7 @@
 	w := beginWith(t, store, setSlowStartBounds)
 	defer w.stop()
 	w.awaitReady(t)
-	began := time.Now()
+	start := time.Now()
 	for range coldRequests {
 		w.call(t, "POST", "/once/x", "body")
 	}
@@ -109,20 +110,21 @@
 		w.call(t, "POST", "/once/x", "body")
 		return reached.len() > 0
 	})
-	assertColdLimits(t, &reached, began)
+	assertColdLimits(t, &reached, start)
 	assert.Contains(t, w.call(t, "POST", "/once/x", "body").body, verdictCold)
 	store.Put("servers", r.ID, record(r, "ready"))
 	w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
 	for range coldRequests {
-		require.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status, "a warm runner takes all")
+		require.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status, "a warm runner accepts every request")
 	}
 }
 
-// promptLatencyTarget is so short that most of the prompts are late when the engine takes them.
+// promptLatencyTarget is so short that most prompts miss it before the engine accepts them.
 const promptLatencyTarget = 400 * time.Millisecond
 
-// TestColdEngineOverloaded has prompts come to two entries at once while the only engine is cold, as all engines of a fleet are after a loss of power: they
-// wait for permits of its agent, which the entries share, and are served late rather than refused.
+// Guards against too many prompts to a cold engine from several entries, as after a power loss when all engines are
+// cold. The prompts wait for permits of the engine's agent, which the entries share, and are served late rather than
+// refused.
 func TestColdEngineOverloaded(t *testing.T) {
 	s := beginShared(t)
 	var reached arrivals
@@ -134,18 +136,18 @@
 	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptLatencyTarget.Milliseconds(), "gap_aim_ms": 1000}))
 	config["services"] = append(config["services"].([]jsonMap), engineService())
 	s.store.Put("config", "main", withSlowStart(config, "e"))
-	one, two := s.entry(t, "entry-1"), s.entry(t, "entry-2")
+	first, second := s.entry(t, "entry-1"), s.entry(t, "entry-2")
 	listed := site.EngineRecordOf(s.engine.Address(), "ready", 1)
 	listed["cold_remaining_ms"] = coldDuration.Milliseconds()
 	s.store.Put("servers", s.engine.ID, listed)
-	for _, w := range []*world{one, two} {
+	for _, w := range []*world{first, second} {
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("engine").View(time.Now()).Cold })
 	}
 	var wg sync.WaitGroup
 	var served arrivals
-	began := time.Now()
+	start := time.Now()
 	for i := range coldPrompts {
-		w := []*world{one, two}[i%2]
+		w := []*world{first, second}[i%2]
 		wg.Go(func() {
 			time.Sleep(promptInterval * time.Duration(max(0, i-simultaneousPrompts)))
 			if read(t, w.prompt(t, fmt.Sprint("/prompt/", i)), "GET").status == http.StatusOK {
@@ -154,11 +156,12 @@
 		})
 	}
 	wg.Wait()
-	assertColdLimits(t, &reached, began)
-	assert.Equal(t, coldPrompts, served.len(), "those that wait are served")
+	assertColdLimits(t, &reached, start)
+	assert.Equal(t, coldPrompts, served.len(), "prompts that wait are served")
 }
 
-// TestPermitsOfEarlierRunDropped: a runner that has crashed comes back under another name and is cold; its agent still names the earlier run.
+// Guards against dropping permits for a runner that has crashed and is listed under another name, while its agent still
+// names the earlier process.
 func TestPermitsOfEarlierRunDropped(t *testing.T) {
 	g, _ := gatewayWithEngines(1)
 	now := time.Now()
