--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,49 +14,51 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// attempt is one send of a request to one runner, until the end of that runner's answer.
+// attempt is one send of a request to one runner, up to the end of that runner's answer.
 type attempt struct {
 	gateway  *Gateway
 	exchange *exchange
 	target   *target
-	// parent is the context of the request's attempts, and waiting that of this one, which cancel ends for a reason.
-	parent  context.Context
-	waiting context.Context
-	cancel  context.CancelCauseFunc
-	silence *silenceBound
-	start   *startDeadline
-	// unwatch takes back what is to be done when the runner's run turns out to be over.
-	unwatch func() bool
+	// requestCtx is shared by all attempts of the request. ctx is that of this attempt, and cancel ends it with a
+	// cause.
+	requestCtx    context.Context
+	ctx           context.Context
+	cancel        context.CancelCauseFunc
+	watchdog      *watchdog
+	startDeadline *startDeadline
+	// stopAfterEnd unregisters the callback for the end of the runner's process.
+	stopAfterEnd func() bool
 
-	// sentAt is when the request was sent.
-	sentAt time.Time
-	answer *forward.Response
-	head   platform.Response
-	// ahead is what was read of the answer before it is passed on, had the last event that the caller has from another attempt.
-	ahead bytes.Buffer
-	had   string
-	// received is how much of the answer has come, in bytes.
+	sentAt  time.Time
+	answer  *forward.Response
+	headers platform.Response
+	// prefetched holds the part of the answer that was read before any of it is forwarded. resumeAfter is the ID of the
+	// last event that the caller has from another attempt; events up to it are skipped.
+	prefetched  bytes.Buffer
+	resumeAfter string
+	// received is the number of bytes of the answer received so far.
 	received int64
-	// lost is what ended the reading of an answer that isn't whole.
-	lost error
+	// readErr is the error that ended an incomplete answer.
+	readErr error
 
-	// spared says that the entry ended the attempt for a reason that doesn't speak against the runner.
-	spared atomic.Bool
-	// mu guards the attempt that was begun beside this one, and whether another may still be.
-	mu     sync.Mutex
-	hedge  *hedge
-	closed bool
-	// ranBeside says that an earlier second attempt may have run.
-	ranBeside bool
-	// passing says that what the runner said is being written to the caller.
-	passing atomic.Bool
+	// noEjection is set if the entry itself ended the attempt for a reason that is not a fault of the runner.
+	noEjection atomic.Bool
+	// mu guards hedge and hedgingClosed, which is set once no further hedge may start.
+	mu            sync.Mutex
+	hedge         *hedge
+	hedgingClosed bool
+	// hedgeMayHaveRun is set if an earlier hedge of this attempt may have run the request.
+	hedgeMayHaveRun bool
+	// writingToCaller is set while part of the answer is being written to the caller.
+	writingToCaller atomic.Bool
 }
 
-// attempt sends the request to one runner, and where need be to another beside it; it reports whether the request is done with.
-func (g *Gateway) attempt(ctx context.Context, x *exchange) bool {
-	t, verdict := g.target(ctx, x)
-	if t != nil && !x.trial && g.isQuarantined(x) { // runners may have ended under it while it waited
-		t.work.end()
+// runAttempt sends the request to one runner and, if needed, hedges it to another one. It reports whether the request
+// is done.
+func (g *Gateway) runAttempt(ctx context.Context, x *exchange) bool {
+	t, verdict := g.findTarget(ctx, x)
+	if t != nil && !x.trial && g.isQuarantined(x) { // runners may have crashed on it while it waited
+		t.inflight.end()
 		t, verdict = nil, verdictCrashesRunners
 	}
 	if t == nil {
@@ -79,20 +81,20 @@
 	}
 }
 
-// newAttempt prepares a send to the target.
+// newAttempt prepares an attempt on the target.
 func (g *Gateway) newAttempt(ctx context.Context, x *exchange, t *target) *attempt {
-	a := &attempt{gateway: g, exchange: x, target: t, parent: ctx}
-	a.waiting, a.cancel = context.WithCancelCause(ctx)
-	a.silence = g.boundSilence(a)
-	a.start = g.boundStart(x, t, func() { a.cancel(errStartTooLate) })
-	a.unwatch = t.runner.AfterEnd(a.silence.askNow)
+	a := &attempt{gateway: g, exchange: x, target: t, requestCtx: ctx}
+	a.ctx, a.cancel = context.WithCancelCause(ctx)
+	a.watchdog = g.newWatchdog(a)
+	a.startDeadline = g.newStartDeadline(x, t, func() { a.cancel(errStartTooLate) })
+	a.stopAfterEnd = t.runner.AfterEnd(a.watchdog.checkNow)
 	return a
 }
 
-// run sends the request, unless that is done already, and passes the answer on; it reports whether the request is done with.
+// run sends the request, unless that has been done, and forwards the answer. It reports whether the request is done.
 func (a *attempt) run() bool {
 	if a.answer == nil {
-		a.awaitFirstWord()
+		a.startWatchdog()
 		if !a.send() {
 			return false
 		}
@@ -100,112 +102,112 @@
 	return a.relay()
 }
 
-// awaitFirstWord bounds the wait for the runner's answer where another runner may be asked beside it.
-func (a *attempt) awaitFirstWord() {
+// startWatchdog bounds the wait for the start of the answer if the request can be hedged to another runner.
+func (a *attempt) startWatchdog() {
 	x := a.exchange
 	if !x.route.AtMostOnce() && x.runnersLeft() > 1 {
-		a.silence.begin(firstWordAfter(x.route))
+		a.watchdog.start(firstByteTimeout(x.route))
 	}
 }
 
-// send sends the request and reads the head of the answer; it reports whether the runner took it.
+// send sends the request and reads the headers of the answer. It reports whether the runner accepted the request.
 func (a *attempt) send() bool {
 	g, x, t := a.gateway, a.exchange, a.target
 	call := x.call
 	call.Header = g.directions(x, t).Merge(x.request.Header)
-	x.sends.add(t.view.ID)
+	x.sends.recordSend(t.view.ID)
 	a.sentAt = time.Now()
-	answer, err := g.pool.Do(a.waiting, t.view.Address, g.maxConns(x), &call, func(resp *http.Response) bool {
-		a.head = platform.DecodeResponse(resp.StatusCode, resp.Header)
-		return a.head.RequestID == x.wire.ID || a.head.RequestID == "" && x.wire.ID == ""
+	answer, err := g.pool.Do(a.ctx, t.view.Address, g.maxConns(x), &call, func(resp *http.Response) bool {
+		a.headers = platform.DecodeResponse(resp.StatusCode, resp.Header)
+		return a.headers.RequestID == x.wire.ID || a.headers.RequestID == "" && x.wire.ID == ""
 	})
 	if err != nil {
 		if errors.Is(err, forward.ErrNotSent) {
-			x.sends.drop(t.view.ID)
+			x.sends.recordNotSent(t.view.ID)
 			x.untaken++
 		}
-		a.failed(err)
+		a.handleFailure(err)
 		return false
 	}
 	a.answer = answer
-	answer.KeepAliveTimeout = a.head.KeepAliveTimeout
-	a.believe(time.Now())
-	if a.head.NotExecuted {
-		g.notRun(x, t, answer, a.head)
+	answer.KeepAliveTimeout = a.headers.KeepAliveTimeout
+	a.applyRunnerState(time.Now())
+	if a.headers.NotExecuted {
+		g.handleRefusal(x, t, answer, a.headers)
 		return false
 	}
 	return true
 }
 
-// Read reads the answer's body.
+// Read reads the body of the answer, starting with the part that was prefetched.
 func (a *attempt) Read(buf []byte) (int, error) {
-	if a.ahead.Len() > 0 {
-		return a.ahead.Read(buf)
+	if a.prefetched.Len() > 0 {
+		return a.prefetched.Read(buf)
 	}
 	return a.readAnswer(buf)
 }
 
-// readAnswer reads what the runner sends, and records that it does.
+// readAnswer reads the body of the answer from the runner and records the progress.
 func (a *attempt) readAnswer(buf []byte) (int, error) {
 	n, err := a.answer.Read(buf)
 	if n > 0 {
-		a.heard()
+		a.recordProgress()
 		a.received += int64(n)
 		a.gateway.noteReceived(a.exchange, a.received)
 	}
 	if err != nil && !isEnd(err) {
-		a.lost = err
+		a.readErr = err
 	}
 	return n, err
 }
 
-// heard records that the runner has said something of its answer.
-func (a *attempt) heard() {
-	a.start.stop()
-	a.silence.heard()
-	a.target.work.first()
+// recordProgress records that the runner has sent part of its answer.
+func (a *attempt) recordProgress() {
+	a.startDeadline.stop()
+	a.watchdog.reset()
+	a.target.inflight.recordFirstToken()
 }
 
-// close ends the attempt, and the one that was begun beside it.
+// close ends the attempt and its hedge.
 func (a *attempt) close() {
-	if h := a.releaseHedge(); h != nil {
-		h.end()
+	if h := a.takeHedge(); h != nil {
+		h.discard()
 	}
-	a.unwatch()
-	a.silence.stop()
-	a.start.stop()
+	a.stopAfterEnd()
+	a.watchdog.stop()
+	a.startDeadline.stop()
 	if a.answer != nil {
-		a.answer.Close() // before the context ends, which would close a connection that can be kept
+		a.answer.Close() // before the context is cancelled, which would close a reusable connection
 	}
 	a.cancel(nil)
-	a.target.work.end()
+	a.target.inflight.end()
 }
 
-// target finds a runner for the next attempt, or says why there is none.
-func (g *Gateway) target(ctx context.Context, x *exchange) (*target, string) {
+// findTarget chooses the runner for the next attempt, or returns the reason why there is none.
+func (g *Gateway) findTarget(ctx context.Context, x *exchange) (*target, string) {
 	if x.needsEngine() {
 		return g.line.admit(ctx, x)
 	}
 	return g.choose(x, time.Now())
 }
 
-// maxConns is how many connections this entry may have to one runner.
+// maxConns returns how many connections this entry may open to one runner. Zero means no limit.
 func (g *Gateway) maxConns(x *exchange) int {
 	if x.service.MaxConns == 0 {
 		return 0
 	}
-	return max(leastConns, x.service.MaxConns/connShare)
+	return max(minConns, x.service.MaxConns/connShareDivisor)
 }
 
 const (
-	// connShare is into how many parts a runner's connections are dealt among entries.
-	connShare = 6
-	// leastConns is the least that an entry takes for itself.
-	leastConns = 8
+	// connShareDivisor is the number of shares into which a runner's connections are divided; each entry uses one.
+	connShareDivisor = 6
+	// minConns is the number of connections that an entry may open even if its share is smaller.
+	minConns = 8
 )
 
-// failed judges an attempt that brought no answer.
-func (a *attempt) failed(err error) {
+// handleFailure records an attempt that failed without a complete answer, and ejects the runner if it is at fault.
+func (a *attempt) handleFailure(err error) {
 	g, x, t := a.gateway, a.exchange, a.target
 	cause := a.cause(err)
 	notSent := cause == causeNotSent
@@ -220,51 +222,51 @@
 	if t.cancelled.Load() {
 		x.reason = errStartTooLate.Error()
 		g.Log.Info("request cancelled before it began", "decision", "cancel", "request", x.wire.ID, "runner", t.view.ID, "weights", t.weights,
-			"replacedFor", g.replacedFor(x, t.weights, now).String(), "notSent", notSent, "after", now.Sub(x.arrived).String())
+			"replacedFor", g.sinceReplaced(x, t.weights, now).String(), "notSent", notSent, "after", now.Sub(x.arrived).String())
 		return
 	}
 	x.reason = err.Error()
 	callerLeft := x.request.Context().Err() != nil
-	pause := time.Duration(0)
-	if !callerLeft && !a.spared.Load() && !errors.Is(err, forward.ErrTooManyConns) {
-		pause = t.runner.Eject(now)
+	ejectedFor := time.Duration(0)
+	if !callerLeft && !a.noEjection.Load() && !errors.Is(err, forward.ErrTooManyConns) {
+		ejectedFor = t.runner.Eject(now)
 		if cause != causeClosed {
 			g.pool.CloseIdle(t.view.Address)
 		}
 	}
 	g.Log.Info("attempt failed", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "notSent", notSent,
-		"callerLeft", callerLeft, "spared", a.spared.Load(), "timedOut", a.parent.Err() != nil, "kind", cause, "endedBy", a.endedBy(), "fingerprint", x.fingerprint().String(),
-		"events", x.lastEvent, "cause", err.Error(), "avoidedFor", pause.String(), "after", now.Sub(x.arrived).String())
+		"callerLeft", callerLeft, "spared", a.noEjection.Load(), "timedOut", a.requestCtx.Err() != nil, "kind", cause, "endedBy", a.endedBy(), "fingerprint", x.fingerprint().String(),
+		"events", x.lastEvent, "cause", err.Error(), "avoidedFor", ejectedFor.String(), "after", now.Sub(x.arrived).String())
 }
 
-// notRun judges a runner's word that it has not run the request.
-func (g *Gateway) notRun(x *exchange, t *target, answer *forward.Response, head platform.Response) {
+// handleRefusal records that the runner has stated that it did not run the request.
+func (g *Gateway) handleRefusal(x *exchange, t *target, answer *forward.Response, headers platform.Response) {
 	x.reason = "runner-refused"
 	x.untaken++
-	x.sends.refused(t.view.ID)
+	x.sends.recordRefusal(t.view.ID)
 	g.Log.Info("runner refused", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID,
-		"status", answer.Head.StatusCode, "began", x.began, "rest", head.RetryAfter.String(), "otherRunner", head.Misdirected, "answeredBy", head.Instance, "weights", head.Weights)
+		"status", answer.Head.StatusCode, "began", x.began, "rest", headers.RetryAfter.String(), "otherRunner", headers.Misdirected, "answeredBy", headers.Instance, "weights", headers.Weights)
 	switch {
-	case head.Misdirected && head.Instance != "" && head.Instance != t.view.ID:
-		t.runner.MarkLeaving() // another run has its address, so that this one is over, whatever the list says
+	case headers.Misdirected && headers.Instance != "" && headers.Instance != t.view.ID:
+		t.runner.MarkLeaving() // another process has its address, so this one has ended even if it is still listed
 		select {
 		case g.restarted <- struct{}{}:
-		default: // the list is going to be asked for already
+		default: // a refresh of the list is already pending
 		}
-	case head.Misdirected && x.wire.Prompt != nil:
-		g.noteWeights(x, t, head)
-	case head.RetryAfter == 0: // it has not said for how long it wants nothing
+	case headers.Misdirected && x.wire.Prompt != nil:
+		g.updateWeights(x, t, headers)
+	case headers.RetryAfter == 0: // it gave no time after which to retry
 		t.runner.Eject(time.Now())
 	}
 }
 
-// noteWeights takes from a refusal that the runner has other weights than were expected.
-func (g *Gateway) noteWeights(x *exchange, t *target, head platform.Response) {
-	version := head.Weights
+// updateWeights records the weights of a runner that refused the request because they are not the expected ones.
+func (g *Gateway) updateWeights(x *exchange, t *target, headers platform.Response) {
+	version := headers.Weights
 	if version == 0 {
-		named, _ := g.state.NamedWeights(x.wire.Prompt.Model)
-		version = named.Version
+		desired, _ := g.state.NamedWeights(x.wire.Prompt.Model)
+		version = desired.Version
 	}
 	t.runner.SetWeights(x.wire.Prompt.Model, version)
-	x.sends.allowAgain() // the same runner may be asked again for its own weights
+	x.sends.allowRetry() // so that the runner can be tried again with its actual weights
 }
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -6,52 +6,53 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// Kinds of what runners ask for in their answers.
+// The kinds of backpressure that a runner can signal in its response headers.
 const (
-	askLimit   = "limit"
-	askLeaving = "leaving"
-	askRest    = "rest"
+	signalLimit      = "limit"
+	signalLeaving    = "leaving"
+	signalRetryAfter = "rest"
 )
 
-// believe takes over what the runner says of itself in the head of its answer, unless another run has answered in its place.
-func (a *attempt) believe(now time.Time) {
-	if a.head.Misdirected && a.head.Instance != a.target.view.ID {
+// applyRunnerState records what the response headers say about the runner, unless another process has answered at its
+// address.
+func (a *attempt) applyRunnerState(now time.Time) {
+	if a.headers.Misdirected && a.headers.Instance != a.target.view.ID {
 		return
 	}
-	a.noteBackpressure()
+	a.recordBackpressure()
 	a.observeLimit(now)
-	if a.head.Leaving {
+	if a.headers.Leaving {
 		a.target.runner.MarkLeaving()
 	}
-	if a.head.RetryAfter > 0 {
-		a.target.runner.BackOff(now.Add(a.head.RetryAfter))
+	if a.headers.RetryAfter > 0 {
+		a.target.runner.BackOff(now.Add(a.headers.RetryAfter))
 	}
 }
 
-// noteBackpressure records what the runner asks for in the head of its answer.
-func (a *attempt) noteBackpressure() {
-	asks := asksOf(&a.head)
-	if len(asks) == 0 {
+// recordBackpressure logs and counts the backpressure signals in the response headers.
+func (a *attempt) recordBackpressure() {
+	signals := backpressureSignals(&a.headers)
+	if len(signals) == 0 {
 		return
 	}
-	for _, kind := range asks {
+	for _, kind := range signals {
 		a.gateway.Metrics.Backpressure(kind)
 	}
-	a.gateway.Log.Info("runner asks for less", "decision", "note", "request", a.exchange.wire.ID, "runner", a.target.view.ID, "asks", asks,
-		"perSecond", a.head.Limit.PerSecond, "retryAfter", a.head.RetryAfter.String())
+	a.gateway.Log.Info("runner asks for less", "decision", "note", "request", a.exchange.wire.ID, "runner", a.target.view.ID, "asks", signals,
+		"perSecond", a.headers.Limit.PerSecond, "retryAfter", a.headers.RetryAfter.String())
 }
 
-// asksOf are the kinds that an answer asks for.
-func asksOf(head *platform.Response) []string {
-	var asks []string
-	if head.Limit.Bounded {
-		asks = append(asks, askLimit)
+// backpressureSignals returns the kinds of backpressure that the response headers signal.
+func backpressureSignals(headers *platform.Response) []string {
+	var signals []string
+	if headers.Limit.Bounded {
+		signals = append(signals, signalLimit)
 	}
-	if head.Leaving {
-		asks = append(asks, askLeaving)
+	if headers.Leaving {
+		signals = append(signals, signalLeaving)
 	}
-	if head.RetryAfter > 0 {
-		asks = append(asks, askRest)
+	if headers.RetryAfter > 0 {
+		signals = append(signals, signalRetryAfter)
 	}
-	return asks
+	return signals
 }
--- a/gateway/hedge_test.go
+++ b/gateway/hedge_test.go
@@ -15,59 +15,51 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// An entry heard that a runner was about to load weights, closed the stream that this runner was still answering, and only then asked
-// another one, with the last send that the route allows. That one had begun a load of its own 57 ms before, which the entry had not heard
-// of yet, and refused; the caller's answer was cut in the middle. The log had, within 3 ms:
-//
-//	stream moves on     runner=i-235ca2e12a lastEvent=23
-//	runner chosen       chosen=i-22e6720c3d attempt=2 estimate=0.096s candidates=18
-//	runner refused      runner=i-22e6720c3d status=503
-//	request given up    decision=runners-used began=true sends=2
-//
-// It happened to 3 requests in six runs of 30 s. However fresh its knowledge, an entry can't know that another runner will accept: what
-// works is given up only once its replacement answers.
-func TestStreamIsKeptUntilAnotherRunnerAnswers(t *testing.T) {
-	t.Run("the other refuses it", func(t *testing.T) {
+// Guards against closing a stream because its runner is about to load weights before another runner has accepted it.
+// The other one may have started a load that the entry does not know of yet. If it refuses the last attempt that the
+// route allows, the caller's answer is cut although the first runner was still answering.
+func TestStreamCutBeforeHedgeAnswers(t *testing.T) {
+	t.Run("the other runner refuses", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
-	t.Run("the other fails", func(t *testing.T) {
+	t.Run("the other runner disconnects", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
-	t.Run("the other takes it and refuses it after a while", func(t *testing.T) {
+	t.Run("the other runner refuses after a delay", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(4 * eventPace)
+			time.Sleep(4 * eventInterval)
 			site.Refuse(w, r)
 		})
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
-	t.Run("the other begins, and goes on from the last event that the caller has", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, streamed, 0) })
+	t.Run("the other runner continues after the last event that the caller has", func(t *testing.T) {
+		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, streamEvents, 0) })
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
+		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
 }
 
-// A runner that had fallen silent was taken for dead, and its stream closed before another runner was asked; that one refused it, while the
-// first went on 1.2 s later, with nobody left to take its answer.
-func TestSilentRunnerIsKeptUntilAnotherAnswers(t *testing.T) {
-	pauses := func(w http.ResponseWriter, r *http.Request) {
+// Guards against closing the stream of a silent runner before another runner has accepted it. If that one refuses and
+// the first runner continues after a pause, no attempt is left to receive its answer.
+func TestSilentRunnerDroppedBeforeHedgeAnswers(t *testing.T) {
+	pauseStream := func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
 		select {
-		case <-time.After(4 * leastSilence):
+		case <-time.After(4 * minSilence):
 		case <-r.Context().Done():
 			return
 		}
 		r.Header.Set("Last-Event-Id", "4")
-		site.Events(w, r, streamed, 0)
+		site.Events(w, r, streamEvents, 0)
 	}
-	sleeps := func(w http.ResponseWriter, r *http.Request) {
+	answerLate := func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-time.After(4 * leastSilence):
+		case <-time.After(4 * minSilence):
 			site.Answer(w, r, "late and whole")
 		case <-r.Context().Done():
 		}
@@ -76,18 +68,18 @@
 		name    string
 		answers http.HandlerFunc
 	}{
-		{"the other refuses", site.Refuse},
-		{"the other breaks off", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
+		{"the other runner refuses", site.Refuse},
+		{"the other runner disconnects", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
 	} {
-		t.Run("a stream, where "+other.name, func(t *testing.T) {
-			w := silentWorld(t, pauses, other.answers)
+		t.Run("a stream and "+other.name, func(t *testing.T) {
+			w := silentWorld(t, pauseStream, other.answers)
 			defer w.stop()
 			got := w.call(t, "POST", "/stream/x", "prompt")
-			require.NoError(t, got.err, "the answer of a runner that was only slow was cut")
-			assert.Equal(t, pieces(streamed), got.body)
+			require.NoError(t, got.err, "the answer of a slow runner was cut")
+			assert.Equal(t, pieces(streamEvents), got.body)
 		})
-		t.Run("a request without an answer so far, where "+other.name, func(t *testing.T) {
-			w := silentWorld(t, sleeps, other.answers)
+		t.Run("a request without an answer so far and "+other.name, func(t *testing.T) {
+			w := silentWorld(t, answerLate, other.answers)
 			defer w.stop()
 			got := w.call(t, "GET", "/repeat/x", "")
 			require.NoError(t, got.err)
@@ -96,72 +88,73 @@
 	}
 }
 
-// A second attempt costs a place at its runner, which nobody must hold in vain.
-func TestSecondAttemptEnds(t *testing.T) {
-	left := make(chan struct{}, 2)
-	waits := func(_ http.ResponseWriter, r *http.Request) {
+// Guards against hedges that hold capacity at their runner after the request has ended or no longer needs them.
+func TestHedgeNotCancelled(t *testing.T) {
+	released := make(chan struct{}, 2)
+	holdRequest := func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		left <- struct{}{}
+		released <- struct{}{}
 	}
-	assertLeft := func(t *testing.T, runners int) {
+	assertReleased := func(t *testing.T, runners int) {
 		t.Helper()
 		for range runners {
 			select {
-			case <-left:
+			case <-released:
 			case <-time.After(wait):
-				t.Fatal("a runner still holds the request")
+				t.Fatal("a runner is still working on the request")
 			}
 		}
 	}
-	t.Run("where the first one's answer is whole before", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, waits)
+	t.Run("the first answer is completed first", func(t *testing.T) {
+		w, loads, other := loadingWorld(t, holdRequest)
 		defer w.stop()
-		assertWholeBeside(t, w, loads, other)
-		assertLeft(t, 1)
+		assertStreamCompleteWithHedge(t, w, loads, other)
+		assertReleased(t, 1)
 	})
-	t.Run("where its runner takes longer than a stream that is being answered waits", func(t *testing.T) {
-		w, loads, _ := loadingWorld(t, waits)
+	t.Run("the hedge exceeds its timeout", func(t *testing.T) {
+		w, loads, _ := loadingWorld(t, holdRequest)
 		defer w.stop()
-		holds := make(chan struct{})
-		loads.Handle = pausesAfterFive(w, holds)
+		goOn := make(chan struct{})
+		loads.Handle = pauseAfterFifthEvent(w, goOn)
 		conn := w.prompt(t, "/prompt/x")
-		assertLeft(t, 1)
-		close(holds)
+		assertReleased(t, 1)
+		close(goOn)
 		got := read(t, conn, "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, pieces(streamEvents), got.body)
 	})
-	t.Run("at both runners, where the caller leaves", func(t *testing.T) {
+	t.Run("the caller disconnects", func(t *testing.T) {
 		var asked atomic.Int64
-		w := silentWorld(t, waits, func(rw http.ResponseWriter, r *http.Request) {
+		w := silentWorld(t, holdRequest, func(rw http.ResponseWriter, r *http.Request) {
 			asked.Add(1)
-			waits(rw, r)
+			holdRequest(rw, r)
 		})
 		defer w.stop()
 		conn := w.dial(t)
 		w.ask(t, conn, "/stream/x")
 		w.eventually(t, func() bool { return asked.Load() == 1 })
 		require.NoError(t, conn.Close())
-		assertLeft(t, 2)
+		assertReleased(t, 2)
 	})
 }
 
-// A request gets no second attempt that its route or the retry budget doesn't allow, and only one.
-func TestSecondAttemptIsBounded(t *testing.T) {
-	t.Run("one that was refused is the last", func(t *testing.T) {
+// Guards against a hedge that the route or the retry budget does not allow, and against a second one on a working
+// runner.
+func TestHedgeExceedsLimits(t *testing.T) {
+	t.Run("there is no second hedge after a refusal", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
 		third := &site.Engine{Model: site.Model, Version: 1}
 		third.ID, third.Handle = "third", site.Refuse
 		w.addEngine(t, third)
-		report(w, "third", deployment.Load{Running: 60, UsedTokens: 3000})
+		setReport(w, "third", deployment.Load{Running: 60, UsedTokens: 3000})
 		got := read(t, w.prompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, pieces(streamEvents), got.body)
 		assert.Len(t, loads.Runs(), 1)
 		assert.LessOrEqual(t, len(other.Runs())+len(third.Runs()), 1, "the route allows two runners")
 	})
-	t.Run("none is begun with the budget spent", func(t *testing.T) {
+	t.Run("there is no hedge once the retry budget is used up", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, site.Refuse)
 		defer w.stop()
 		for w.gateway.budgets.TrySpend(time.Now(), "e") {
@@ -172,13 +165,13 @@
 		assert.Len(t, loads.Runs(), 1)
 		assert.Empty(t, other.Runs())
 	})
-	t.Run("none is begun for a request that must not run twice", func(t *testing.T) {
-		late := func(w http.ResponseWriter, r *http.Request) {
-			time.Sleep(3 * leastSilence)
+	t.Run("there is no hedge for a request that must not run twice", func(t *testing.T) {
+		answerLate := func(w http.ResponseWriter, r *http.Request) {
+			time.Sleep(3 * minSilence)
 			site.Answer(w, r, "once")
 		}
 		var second atomic.Int64
-		w := silentWorld(t, late, func(http.ResponseWriter, *http.Request) { second.Add(1) })
+		w := silentWorld(t, answerLate, func(http.ResponseWriter, *http.Request) { second.Add(1) })
 		defer w.stop()
 		got := w.call(t, "POST", "/once/x", "order")
 		require.NoError(t, got.err)
@@ -187,26 +180,27 @@
 	})
 }
 
-// TestConnectionIsKept: a connection to a runner costs it a place, and a caller a round trip.
-func TestConnectionIsKept(t *testing.T) {
+// Guards against a new connection for each request, which costs the runner one of its connections and the caller a
+// round trip.
+func TestConnectionNotReused(t *testing.T) {
 	w := begin(t, defaultConfig(), &site.Runner{ID: "a"})
 	defer w.stop()
 	for range 5 {
 		require.NoError(t, w.call(t, "GET", "/repeat/x", "").err)
 		require.NoError(t, w.call(t, "POST", "/once/x", "order").err)
 	}
-	assert.Equal(t, int64(1), w.gateway.pool.Opened.Load(), "each request took a connection of its own")
+	assert.Equal(t, int64(1), w.gateway.pool.Opened.Load(), "each request opened a connection")
 }
 
 const (
-	// streamed is how many events the streams of these tests have.
-	streamed = 9
-	// eventPace is how long a runner that loads soon takes for each event.
-	eventPace = 40 * time.Millisecond
+	// streamEvents is the number of events in the streams of these tests.
+	streamEvents = 9
+	// eventInterval is the interval between events of a runner that is about to load weights.
+	eventInterval = 40 * time.Millisecond
 )
 
-// loadingWorld is an entry before an engine that reports a load after the fourth event of its stream and ends what it has begun, and
-// another one that reports room and answers as given.
+// loadingWorld is an entry with two engines. The first reports a pending weight load after the fourth event of its
+// stream but completes the stream. The other one reports room and answers with the given handler.
 func loadingWorld(t *testing.T, answers http.HandlerFunc) (w *world, loads, other *site.Engine) {
 	t.Helper()
 	loads = &site.Engine{Model: site.Model, Version: 1}
@@ -216,10 +210,10 @@
 	other.Handle = answers
 	loads.Handle = func(rw http.ResponseWriter, r *http.Request) {
 		site.Events(rw, r, 4, 0)
-		report(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
-		for last := 5; last <= streamed; last++ {
+		setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
+		for last := 5; last <= streamEvents; last++ {
 			select {
-			case <-time.After(eventPace):
+			case <-time.After(eventInterval):
 			case <-r.Context().Done():
 				return
 			}
@@ -228,46 +222,48 @@
 		}
 	}
 	w = enginesWorld(t, loads, other)
-	report(w, "other", deployment.Load{Running: 60, UsedTokens: 3000})
+	setReport(w, "other", deployment.Load{Running: 60, UsedTokens: 3000})
 	return w, loads, other
 }
 
-// pausesAfterFive has the engine that loads soon report it after the fourth event of its stream, and go on after the fifth once it may.
-func pausesAfterFive(w *world, goOn <-chan struct{}) http.HandlerFunc {
+// pauseAfterFifthEvent returns a handler that reports a pending weight load after the fourth event of a stream, and
+// pauses after the fifth event until goOn is closed.
+func pauseAfterFifthEvent(w *world, goOn <-chan struct{}) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		site.Events(rw, r, 4, 0)
-		report(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
+		setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 		r.Header.Set("Last-Event-Id", "4")
-		time.Sleep(eventPace)
+		time.Sleep(eventInterval)
 		site.Events(rw, r, 5, 0)
 		<-goOn
 		r.Header.Set("Last-Event-Id", "5")
-		site.Events(rw, r, streamed, 0)
+		site.Events(rw, r, streamEvents, 0)
 	}
 }
 
-func report(w *world, id rillreach.InstanceID, load deployment.Load) {
+func setReport(w *world, id rillreach.InstanceID, load deployment.Load) {
 	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
 }
 
-// assertWholeBeside checks that a stream of the first engine is whole though the other was asked to go on with it.
-func assertWholeBeside(t *testing.T, w *world, loads, other *site.Engine) {
+// assertStreamCompleteWithHedge asserts that a stream from the first engine is complete and that the other was tried.
+func assertStreamCompleteWithHedge(t *testing.T, w *world, loads, other *site.Engine) {
 	t.Helper()
 	got := read(t, w.prompt(t, "/prompt/x"), "POST")
-	require.NoError(t, got.err, "the answer was cut though its runner was answering it")
-	assert.Equal(t, pieces(streamed), got.body)
+	require.NoError(t, got.err, "the answer was cut although its runner was still answering")
+	assert.Equal(t, pieces(streamEvents), got.body)
 	assert.Len(t, loads.Runs(), 1)
-	require.Len(t, other.Runs(), 1, "the other runner was not asked")
+	require.Len(t, other.Runs(), 1, "the other runner was not tried")
 }
 
-// silentWorld is an entry before a runner that answers as given and isn't known to live, and another that is listed once that is asked.
+// silentWorld is an entry with a runner that answers with the first handler and is not known to be alive. A second
+// runner is listed once the first gets a request.
 func silentWorld(t *testing.T, first, second http.HandlerFunc) *world {
 	t.Helper()
-	return silentWorldAt(t, defaultConfig(), first, second)
+	return silentWorldWithConfig(t, defaultConfig(), first, second)
 }
 
-// silentWorldAt is the same with a configuration.
-func silentWorldAt(t *testing.T, config jsonMap, first, second http.HandlerFunc) *world {
+// silentWorldWithConfig is silentWorld with another configuration.
+func silentWorldWithConfig(t *testing.T, config jsonMap, first, second http.HandlerFunc) *world {
 	t.Helper()
 	a, b := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: second}
 	w := begin(t, config, a)
--- a/gateway/left_out.go
+++ b/gateway/left_out.go
@@ -8,100 +8,103 @@
 )
 
 const (
-	// evacuationComeBack is when a caller may come back whose request could only run in evacuated zones: evacuations last for seconds at the least.
-	evacuationComeBack = time.Second
-	// coldComeBack is the same where all runners are cold and have as much as they bear.
-	coldComeBack = 200 * time.Millisecond
-	// limitComeBack and mostLimitComeBack bound the same where all runners name limits and have as much as those allow.
-	limitComeBack     = 50 * time.Millisecond
-	mostLimitComeBack = 2 * time.Second
+	// evacuationRetryAfter is the retry delay for a request that could only run in evacuated zones or disallowed
+	// regions. Evacuations last for seconds at least.
+	evacuationRetryAfter = time.Second
+	// coldRetryAfter is the retry delay if all remaining runners are cold and at the limit of their slow start.
+	coldRetryAfter = 200 * time.Millisecond
+	// minLimitRetryAfter and maxLimitRetryAfter bound the retry delay if all remaining runners are at the limits that
+	// they state.
+	minLimitRetryAfter = 50 * time.Millisecond
+	maxLimitRetryAfter = 2 * time.Second
 )
 
-// leftOut counts the runners of a service that may not take a request, by why.
-type leftOut struct {
-	evacuated, elsewhere, cold, limited, resting int
-	// perSecond is what those that are limited take together, in requests a second.
-	perSecond float64
-	// restEnds is when the first of those that rest takes requests again.
-	restEnds time.Time
+// exclusions counts the runners of a service that may not take a request, by reason.
+type exclusions struct {
+	evacuated, disallowedRegion, cold, limited, backingOff int
+	// limitedRate is the combined limit of the limited runners, in requests per second.
+	limitedRate float64
+	// backoffEnds is when the first of the runners that asked for backoff accepts requests again.
+	backoffEnds time.Time
 }
 
-// add counts a runner for which one of the reasons holds, the first that does, and reports that one does. One that only lacks a permit is counted where
-// the request doesn't wait for that.
-func (l *leftOut) add(v *roster.View, evacuated, elsewhere, waits bool) bool {
+// add counts a runner under the first reason that applies and reports whether one does. A runner that only lacks a
+// permit is not excluded if the request waits for permits.
+func (e *exclusions) add(v *roster.View, evacuated, disallowedRegion, awaitsPermit bool) bool {
 	switch {
 	case evacuated:
-		l.evacuated++
-	case elsewhere:
-		l.elsewhere++
-	case v.Denied == "" || waits && lacksPermit(v):
+		e.evacuated++
+	case disallowedRegion:
+		e.disallowedRegion++
+	case v.Denied == "" || awaitsPermit && lacksPermit(v):
 		return false
 	default:
-		l.addDenied(v)
+		e.addDenied(v)
 	}
 	return true
 }
 
-// addDenied counts a runner that may not be given a request now.
-func (l *leftOut) addDenied(v *roster.View) {
+// addDenied counts a runner that does not admit a request now.
+func (e *exclusions) addDenied(v *roster.View) {
 	switch v.Denied {
 	case roster.DeniedLimited:
-		l.limited++
-		l.perSecond += v.Limit.PerSecond
+		e.limited++
+		e.limitedRate += v.Limit.PerSecond
 	case roster.DeniedCold:
-		l.cold++
+		e.cold++
 	case roster.DeniedBackoff:
-		l.resting++
-		if l.restEnds.IsZero() || v.BackoffUntil.Before(l.restEnds) {
-			l.restEnds = v.BackoffUntil
+		e.backingOff++
+		if e.backoffEnds.IsZero() || v.BackoffUntil.Before(e.backoffEnds) {
+			e.backoffEnds = v.BackoffUntil
 		}
 	}
 }
 
-// lacksPermit reports that a runner would take a request of this entry if there were a permit.
+// lacksPermit reports whether the runner would admit a request if this entry had a permit.
 func lacksPermit(v *roster.View) bool {
 	return v.Denied == roster.DeniedCold || v.Denied == roster.DeniedLimited
 }
 
-// refuse records why the request has no runner, where no other was left, and when its caller may come back.
-func (l *leftOut) refuse(x *exchange) (verdict string) {
+// setRefusal sets the retry delay of a request for which no runner is left, and returns the reason.
+func (e *exclusions) setRefusal(x *exchange) (verdict string) {
 	x.comeBack, x.notBefore = 0, time.Time{}
 	switch {
-	case l.cold > 0:
-		x.comeBack = coldComeBack
+	case e.cold > 0:
+		x.comeBack = coldRetryAfter
 		return verdictCold
-	case l.limited > 0:
-		x.comeBack = l.nextUnderLimit()
+	case e.limited > 0:
+		x.comeBack = e.limitRetryAfter()
 		return verdictLimited
-	case l.resting > 0:
-		x.notBefore = l.restEnds
+	case e.backingOff > 0:
+		x.notBefore = e.backoffEnds
 		return verdictResting
-	case l.evacuated > 0:
-		x.comeBack = evacuationComeBack
+	case e.evacuated > 0:
+		x.comeBack = evacuationRetryAfter
 		return verdictEvacuated
-	case l.elsewhere > 0:
-		x.comeBack = evacuationComeBack
+	case e.disallowedRegion > 0:
+		x.comeBack = evacuationRetryAfter
 		return verdictElsewhere
 	default:
 		return verdictNoRunner
 	}
 }
 
-// endsInTime reports that no runner is left but for rests of which the first ends early enough for the request.
-func (l *leftOut) endsInTime(r admission.Request) bool {
-	if l.resting == 0 || l.cold+l.limited > 0 {
+// backoffEndsInTime reports whether all remaining runners are in backoff and the first of them accepts requests again
+// soon enough for the request.
+func (e *exclusions) backoffEndsInTime(r admission.Request) bool {
+	if e.backingOff == 0 || e.cold+e.limited > 0 {
 		return false
 	}
 	if r.AnswerStarted {
-		return !r.MissesDeadline(l.restEnds)
+		return !r.MissesDeadline(e.backoffEnds)
 	}
-	return !r.MissesTarget(l.restEnds)
+	return !r.MissesTarget(e.backoffEnds)
 }
 
-// nextUnderLimit is how long the runners that are limited take to take one more request.
-func (l *leftOut) nextUnderLimit() time.Duration {
-	if l.perSecond*mostLimitComeBack.Seconds() <= 1 {
-		return mostLimitComeBack
+// limitRetryAfter returns the time in which the limited runners together accept one more request.
+func (e *exclusions) limitRetryAfter() time.Duration {
+	if e.limitedRate*maxLimitRetryAfter.Seconds() <= 1 {
+		return maxLimitRetryAfter
 	}
-	return max(limitComeBack, time.Duration(float64(time.Second)/l.perSecond))
+	return max(minLimitRetryAfter, time.Duration(float64(time.Second)/e.limitedRate))
 }
--- a/gateway/line.go
+++ b/gateway/line.go
@@ -12,202 +12,203 @@
 )
 
 const (
-	// linePause is the least time between two looks at the waiting requests, which bounds what they cost.
-	linePause = 5 * time.Millisecond
-	// lineIdle is the longest time between two looks while requests wait, in case no report comes.
-	lineIdle = 20 * time.Millisecond
-	// mostBlocked is how many requests in a row may find no room before a look ends.
-	mostBlocked = 8
+	// minAdmitInterval is the minimum time between two passes over the waiting requests, which bounds their cost.
+	minAdmitInterval = 5 * time.Millisecond
+	// maxAdmitInterval is the maximum time between two passes while requests wait, in case no report arrives.
+	maxAdmitInterval = 20 * time.Millisecond
+	// maxBlocked is the number of requests without room after which a pass admits no more.
+	maxBlocked = 8
 )
 
-// waitingRequest is one request that waits for room at an engine.
+// waitingRequest is a request that waits for room at a model engine.
 type waitingRequest struct {
 	exchange *exchange
 	request  admission.Request
-	// decided is told once what becomes of it.
+	// decided receives the decision once.
 	decided chan decision
 }
 
-// decision is what became of a waiting request: a target, or why it has none.
+// decision is the target of a waiting request, or the reason why it has none.
 type decision struct {
 	target  *target
 	verdict string
 }
 
-// line holds the requests that wait at this entry for room at a model engine.
-type line struct {
+// admissionQueue holds the requests that wait at this entry for room at a model engine.
+type admissionQueue struct {
 	gateway *Gateway
 
-	mu       sync.Mutex
-	waiting  []*waitingRequest
-	backlog  admission.RateEstimator
-	late     admission.RateEstimator
-	standing admission.StandingQueue
-	// mostCold says that most engines were cold when requests were last decided on.
-	mostCold bool
-	wake     chan struct{}
+	mu            sync.Mutex
+	waiting       []*waitingRequest
+	admitRate     admission.RateEstimator
+	lateAdmitRate admission.RateEstimator
+	standingQueue admission.StandingQueue
+	// mostEnginesCold is set if most engines were cold at the last decision.
+	mostEnginesCold bool
+	wake            chan struct{}
 }
 
-func newLine(g *Gateway) *line {
-	return &line{gateway: g, wake: make(chan struct{}, 1)}
+func newAdmissionQueue(g *Gateway) *admissionQueue {
+	return &admissionQueue{gateway: g, wake: make(chan struct{}, 1)}
 }
 
-// Name is the controller's name.
-func (l *line) Name() string { return "admit-waiting" }
+// Name returns the name of the controller.
+func (q *admissionQueue) Name() string { return "admit-waiting" }
 
-// Run admits waiting requests as room comes back, until the context ends.
-func (l *line) Run(ctx context.Context) error {
+// Run admits waiting requests as engines become free, until the context ends.
+func (q *admissionQueue) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		l.await(ctx)
-		l.look(time.Now())
-		pause.For(ctx, linePause)
+		q.awaitWake(ctx)
+		q.admitWaiting(time.Now())
+		pause.For(ctx, minAdmitInterval)
 	}
 	return nil
 }
 
-// await waits until the line is to be looked at; while nobody waits there, only a request that comes ends that.
-func (l *line) await(ctx context.Context) {
-	var idle <-chan time.Time
-	if l.len() > 0 {
-		timer := time.NewTimer(lineIdle)
+// awaitWake waits until the next pass is due. While the queue is empty, only a new request ends the wait.
+func (q *admissionQueue) awaitWake(ctx context.Context) {
+	var timeout <-chan time.Time
+	if q.len() > 0 {
+		timer := time.NewTimer(maxAdmitInterval)
 		defer timer.Stop()
-		idle = timer.C
+		timeout = timer.C
 	}
 	select {
 	case <-ctx.Done():
-	case <-l.wake:
-	case <-idle:
+	case <-q.wake:
+	case <-timeout:
 	}
 }
 
-// changed has the waiting requests looked at soon, since something is known anew of an engine. An entry before hundreds of engines hears of
-// one some hundred times a second, and mostly nobody waits.
-func (l *line) changed() {
-	if l.len() == 0 {
+// notify schedules a pass over the waiting requests because the state of an engine has changed. With hundreds of
+// engines this is called several hundred times per second, mostly while the queue is empty.
+func (q *admissionQueue) notify() {
+	if q.len() == 0 {
 		return
 	}
 	select {
-	case l.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// len is how many requests wait.
-func (l *line) len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.waiting)
+// len returns the number of waiting requests.
+func (q *admissionQueue) len() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting)
 }
 
-// admit waits until the request may go to an engine, and says why where it may not.
-func (l *line) admit(ctx context.Context, x *exchange) (*target, string) {
-	w := &waitingRequest{exchange: x, request: l.gateway.admissionOf(x), decided: make(chan decision, 1)}
-	if d, done := l.enter(w, time.Now()); done {
+// admit waits until the request may be sent to an engine, or returns the reason why it may not.
+func (q *admissionQueue) admit(ctx context.Context, x *exchange) (*target, string) {
+	w := &waitingRequest{exchange: x, request: q.gateway.admissionRequest(x), decided: make(chan decision, 1)}
+	if d, done := q.enqueue(w, time.Now()); done {
 		return d.target, d.verdict
 	}
-	l.changed()
+	q.notify()
 	select {
 	case d := <-w.decided:
 		return d.target, d.verdict
 	case <-ctx.Done():
 	}
-	if l.leave(w) {
+	if q.remove(w) {
 		return nil, verdictLeftLine
 	}
-	d := <-w.decided // it was decided just now
+	d := <-w.decided // it was decided at the same moment
 	return d.target, d.verdict
 }
 
-// enter decides on a request that nobody waits before, or has it wait.
-func (l *line) enter(w *waitingRequest, now time.Time) (decision, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.waiting) == 0 || w.request.AnswerStarted {
-		if d, done := l.decide(w, l.gateway.viewsAt(now), nil, l.drainTime(now), now); done {
+// enqueue decides on the request at once if no others wait or its answer has started, and adds it to the queue
+// otherwise. The second result is false if it was added.
+func (q *admissionQueue) enqueue(w *waitingRequest, now time.Time) (decision, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.waiting) == 0 || w.request.AnswerStarted {
+		if d, done := q.tryAdmit(w, q.gateway.viewsAt(now), nil, q.drainTime(now), now); done {
 			return d, true
 		}
 	}
-	if d, done := l.shed(w, l.tokensBefore(w, now), now); done {
+	if d, done := q.shed(w, q.tokensAhead(w, now), now); done {
 		return d, true
 	}
-	l.waiting = append(l.waiting, w)
-	l.noteStanding(now)
+	q.waiting = append(q.waiting, w)
+	q.observeStandingQueue(now)
 	return decision{}, false
 }
 
-// tokensBefore is how many tokens the requests take that are to be admitted before this one.
-func (l *line) tokensBefore(w *waitingRequest, now time.Time) int {
-	sum := 0
-	for _, other := range l.waiting {
+// tokensAhead returns the total tokens of the waiting requests that are admitted before this one.
+func (q *admissionQueue) tokensAhead(w *waitingRequest, now time.Time) int {
+	tokens := 0
+	for _, other := range q.waiting {
 		if admission.Compare(other.request, w.request, now) <= 0 {
-			sum += other.request.Tokens
+			tokens += other.request.Tokens
 		}
 	}
-	return sum
+	return tokens
 }
 
-// leave takes a request off the line; it reports whether that was still there.
-func (l *line) leave(w *waitingRequest) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	i := slices.Index(l.waiting, w)
+// remove removes a request from the queue and reports whether it was there.
+func (q *admissionQueue) remove(w *waitingRequest) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	i := slices.Index(q.waiting, w)
 	if i < 0 {
 		return false
 	}
-	l.waiting = slices.Delete(l.waiting, i, i+1)
-	l.noteStanding(time.Now())
+	q.waiting = slices.Delete(q.waiting, i, i+1)
+	q.observeStandingQueue(time.Now())
 	return true
 }
 
-// look admits those that wait in their order. One that finds no room keeps the engine that has the most for itself, so that those
-// behind it, which may be smaller, don't take room there as it comes back.
-func (l *line) look(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	defer l.noteStanding(now)
-	if len(l.waiting) == 0 {
+// admitWaiting admits waiting requests in order. A request without room reserves the engine that has the most, so that
+// later, smaller requests do not take the memory that becomes free there.
+func (q *admissionQueue) admitWaiting(now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	defer q.observeStandingQueue(now)
+	if len(q.waiting) == 0 {
 		return
 	}
-	slices.SortStableFunc(l.waiting, func(a, b *waitingRequest) int { return admission.Compare(a.request, b.request, now) })
-	claimed := map[*roster.Runner]bool{}
-	views := l.gateway.viewsAt(now)
-	drain := l.drainTime(now)
-	blocked, before := 0, 0
-	l.waiting = slices.DeleteFunc(l.waiting, func(w *waitingRequest) bool {
+	slices.SortStableFunc(q.waiting, func(a, b *waitingRequest) int { return admission.Compare(a.request, b.request, now) })
+	reserved := map[*roster.Runner]bool{}
+	views := q.gateway.viewsAt(now)
+	drainTime := q.drainTime(now)
+	blocked, tokensAhead := 0, 0
+	q.waiting = slices.DeleteFunc(q.waiting, func(w *waitingRequest) bool {
 		d, done := decision{}, false
-		if blocked < mostBlocked {
-			d, done = l.decide(w, views, claimed, drain, now)
+		if blocked < maxBlocked {
+			d, done = q.tryAdmit(w, views, reserved, drainTime, now)
 		}
 		if !done {
-			d, done = l.shed(w, before, now)
+			d, done = q.shed(w, tokensAhead, now)
 		}
 		if !done {
 			blocked++
-			before += w.request.Tokens
+			tokensAhead += w.request.Tokens
 			return false
 		}
 		if d.target != nil {
-			l.noteAdmitted(w, now)
+			q.recordAdmission(w, now)
 		}
 		w.decided <- d
 		return true
 	})
 }
 
-// decide admits a request, or ends its wait, with drain as the time to come back; it reports whether it did either. Claimed are the
-// engines that requests before it keep, nil where nobody waits.
-func (l *line) decide(w *waitingRequest, views *runnerViews, claimed map[*roster.Runner]bool, drain time.Duration, now time.Time) (decision, bool) {
-	g, x := l.gateway, w.exchange
-	o := g.options(x, views, now)
+// tryAdmit admits or refuses the request, or returns false if it has to wait. A refused caller is told to retry after
+// drainTime. The engines in reserved are kept for requests ahead of this one; nil means that none wait.
+func (q *admissionQueue) tryAdmit(w *waitingRequest, views *runnerViews, reserved map[*roster.Runner]bool, drainTime time.Duration, now time.Time) (decision, bool) {
+	g, x := q.gateway, w.exchange
+	o := g.findOptions(x, views, now)
 	switch {
 	case len(o.views) > 0:
-	case o.leftOut.endsInTime(w.request):
+	case o.exclusions.backoffEndsInTime(w.request):
 		return decision{}, false
 	default:
-		return decision{verdict: o.leftOut.refuse(x)}, true
+		return decision{verdict: o.exclusions.setRefusal(x)}, true
 	}
-	l.mostCold = o.mostCold()
-	choice, room := g.chooseWithRoom(x, o, roomQuery{claimed: claimed, senders: l.senders(claimed), idle: w.request.Deprioritized(now)}, now)
+	q.mostEnginesCold = o.mostlyCold()
+	choice, mostFree := g.chooseWithRoom(x, o, roomQuery{reserved: reserved, senders: q.senders(reserved), idleOnly: w.request.Deprioritized(now)}, now)
 	switch {
 	case choice.Index >= 0:
 		t := g.assign(x, o, choice, now)
@@ -217,18 +218,18 @@
 		*o.views[choice.Index] = t.runner.View(now) // the next request finds less room there
 		return decision{target: t}, true
 	case w.request.MissesDeadline(now):
-		x.comeBack = drain
+		x.comeBack = drainTime
 		return decision{verdict: verdictNoRoom}, true
-	case room >= 0 && claimed != nil:
-		claimed[o.runners[room]] = true
+	case mostFree >= 0 && reserved != nil:
+		reserved[o.runners[mostFree]] = true
 	}
 	return decision{}, false
 }
 
-// senders is how many entries are taken to send at the same time.
-func (l *line) senders(claimed map[*roster.Runner]bool) int {
-	if claimed == nil {
-		return 1 // nobody waits here
+// senders returns the number of entries assumed to send at the same time.
+func (q *admissionQueue) senders(reserved map[*roster.Runner]bool) int {
+	if reserved == nil {
+		return 1 // no requests wait here
 	}
-	return l.gateway.budgets.Entries()
+	return q.gateway.budgets.Entries()
 }
--- a/gateway/loads_soon.go
+++ b/gateway/loads_soon.go
@@ -6,15 +6,16 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// beginsWithin is the least that a stream that moves is taken to wait at its new runner for its first token: streams waited 0.2 s to 1.6 s
-// there before a load began and refused them.
-const beginsWithin = 1500 * time.Millisecond
+// minExpectedWait is the minimum assumed wait for the first token of a stream that moves to another runner. Streams
+// wait 0.2 s to 1.6 s there before a weight load starts and they are refused.
+const minExpectedWait = 1500 * time.Millisecond
 
-// loadsSoon reports that the runner may begin to load newer weights before a stream that moves there has begun, and would then refuse it.
-// Where newer weights are named and the runner's agent has not told its start yet, that may be at any moment.
-func (g *Gateway) loadsSoon(x *exchange, v *roster.View) bool {
+// weightLoadImminent reports whether the runner may start to load newer weights, and refuse the request, before a
+// stream that moves there has its first token. If its weights have been replaced and the start of the load is not
+// scheduled yet, it may start at any moment.
+func (g *Gateway) weightLoadImminent(x *exchange, v *roster.View) bool {
 	if v.WeightLoadScheduled {
-		return v.TimeToWeightLoad < max(v.ExpectedWait, beginsWithin)
+		return v.TimeToWeightLoad < max(v.ExpectedWait, minExpectedWait)
 	}
 	return !g.state.ReplacedAt(x.wire.Prompt.Model, v.Weights[x.wire.Prompt.Model]).IsZero()
 }
--- a/gateway/move_test.go
+++ b/gateway/move_test.go
@@ -18,16 +18,16 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// TestStreamStaysWhereOthersHaveNoRoom: an engine is about to load weights, and the only other one is full. A stream that left would
-// wait there for room, with no engine left to be sent to.
-func TestStreamStaysWhereOthersHaveNoRoom(t *testing.T) {
-	empties, seen := make(chan struct{}), make(chan struct{})
+// Guards against moving a stream from an engine that is about to load weights to a full one. The stream would wait
+// there for room, and the route allows no third engine.
+func TestStreamMovesToFullEngine(t *testing.T) {
+	sendFifth, sendSixth := make(chan struct{}), make(chan struct{})
 	loads := &site.Engine{Model: site.Model, Version: 1}
 	loads.ID = "loads"
 	loads.Handle = func(w http.ResponseWriter, r *http.Request) {
 		site.Events(w, r, 4, 0)
-		passEvent(w, 5, empties)
-		passEvent(w, 6, seen)
+		writeEventAfter(w, 5, sendFifth)
+		writeEventAfter(w, 6, sendSixth)
 	}
 	full := &site.Engine{Model: site.Model, Version: 1}
 	full.ID = "full"
@@ -40,34 +40,34 @@
 	conn := w.prompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
 	report("loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
-	close(empties)
-	body := awaitPiece(t, conn, 5) // so that the entry has decided whether the stream moves
-	close(seen)
+	close(sendFifth)
+	body := readThroughEvent(t, conn, 5) // by then the entry has decided whether to move the stream
+	close(sendSixth)
 	rest, err := io.ReadAll(body.rest)
 	require.NoError(t, err)
 	assert.Equal(t, pieces(6), body.read+string(rest))
 	assert.Empty(t, full.Runs())
 }
 
-// passEvent has a runner make an event once it is its turn.
-func passEvent(w http.ResponseWriter, id int, turn <-chan struct{}) {
+// writeEventAfter writes an event once turn is closed.
+func writeEventAfter(w http.ResponseWriter, id int, turn <-chan struct{}) {
 	<-turn
 	_, _ = io.WriteString(w, site.Piece(id))
 	_ = http.NewResponseController(w).Flush()
 }
 
-// begunBody is an answer of which the caller has read a part.
-type begunBody struct {
+// partialBody is the body of an answer, of which a part was read.
+type partialBody struct {
 	read string
 	rest io.Reader
 }
 
-// awaitPiece reads an answer up to the end of an event.
-func awaitPiece(t *testing.T, conn net.Conn, id int) begunBody {
+// readThroughEvent reads an answer up to the end of the event with the given ID.
+func readThroughEvent(t *testing.T, conn net.Conn, id int) partialBody {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: http.MethodPost})
 	require.NoError(t, err)
-	b := begunBody{rest: resp.Body}
+	b := partialBody{rest: resp.Body}
 	buf := make([]byte, 256)
 	for !strings.HasSuffix(b.read, site.Piece(id)) {
 		n, err := resp.Body.Read(buf)
--- a/gateway/runner_views.go
+++ b/gateway/runner_views.go
@@ -7,28 +7,28 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// runnerViews are copies of what is known of runners at one moment. Requests that wait together are decided on with the same copies: before
-// hundreds of runners these cost more than the decisions.
+// runnerViews caches copies of the runners' state at one moment. All waiting requests are decided on with the same
+// copies, since with hundreds of runners making them costs more than the decisions.
 type runnerViews struct {
-	roster *roster.Roster
-	now    time.Time
-	groups map[rillreach.ServiceID]*serviceViews
+	roster    *roster.Roster
+	now       time.Time
+	byService map[rillreach.ServiceID]*serviceViews
 }
 
-// serviceViews are the runners of one service.
+// serviceViews holds the runners of one service, in matching order.
 type serviceViews struct {
 	runners []*roster.Runner
 	views   []roster.View
 }
 
-// viewsAt are copies that are made at the given moment.
+// viewsAt returns an empty cache for the given moment.
 func (g *Gateway) viewsAt(now time.Time) *runnerViews {
-	return &runnerViews{roster: &g.state.Roster, now: now, groups: map[rillreach.ServiceID]*serviceViews{}}
+	return &runnerViews{roster: &g.state.Roster, now: now, byService: map[rillreach.ServiceID]*serviceViews{}}
 }
 
-// of are the runners of a service.
-func (r *runnerViews) of(service rillreach.ServiceID) *serviceViews {
-	if group := r.groups[service]; group != nil {
+// forService returns the runners of a service and copies their state on the first call.
+func (r *runnerViews) forService(service rillreach.ServiceID) *serviceViews {
+	if group := r.byService[service]; group != nil {
 		return group
 	}
 	group := &serviceViews{runners: r.roster.ByService(service)}
@@ -36,6 +36,6 @@
 	for i, runner := range group.runners {
 		group.views[i] = runner.View(r.now)
 	}
-	r.groups[service] = group
+	r.byService[service] = group
 	return group
 }
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -9,52 +9,53 @@
 )
 
 const (
-	// silenceTargets times what callers expect, of the first event or of a pause, is how long a request that another runner may
-	// begin on waits for its runner before it is asked whether that lives.
-	silenceTargets = 2
-	// leastSilence keeps a short target from moving requests that are merely a little late.
-	leastSilence = 300 * time.Millisecond
-	// askEvery is how often it is asked then, since a runner that lives and is slow has the request's work behind it that
-	// another would begin anew.
-	askEvery = 50 * time.Millisecond
-	// settleTime is how long the entry has to have run without standing still before it takes a runner for silent: what the runner said meanwhile
-	// has to be read first.
+	// silenceTargetFactor times the route's target for the first event, or for the gap between events, is how long a
+	// runner may be silent before the watchdog checks whether it is alive.
+	silenceTargetFactor = 2
+	// minSilence keeps a short target from hedging requests that are only slightly late.
+	minSilence = 300 * time.Millisecond
+	// livenessCheckInterval is the interval of further checks while the runner is alive. A slow runner has already done
+	// work on the request that another would have to repeat.
+	livenessCheckInterval = 50 * time.Millisecond
+	// settleTime is how long the entry must have run without a stall before it considers a runner silent,
+	// because data that arrived meanwhile has to be read first.
 	settleTime = 50 * time.Millisecond
 )
 
-// firstWordAfter is how long a runner may take for its first word before it is asked whether it lives.
-func firstWordAfter(r *deployment.Route) time.Duration {
-	return max(silenceTargets*r.TargetLatency, leastSilence)
+// firstByteTimeout returns how long a runner may take to start its answer before the watchdog checks whether it is
+// alive.
+func firstByteTimeout(r *deployment.Route) time.Duration {
+	return max(silenceTargetFactor*r.TargetLatency, minSilence)
 }
 
-// silenceBound has another runner asked beside one that says nothing for too long and is not known to live.
-type silenceBound struct {
-	// allowed is how long a pause may be before it is asked whether the runner lives.
-	allowed time.Duration
-	// lives says whether the runner is known to live; hedge has another one asked, and reports whether there is one.
-	lives func() bool
-	hedge func() bool
+// watchdog hedges an attempt whose runner is silent for too long and not known to be alive.
+type watchdog struct {
+	// timeout is how long a gap between events may last before the watchdog checks the runner.
+	timeout time.Duration
+	// isAlive reports whether the runner is known to be alive. startHedge reports whether it has started a hedge.
+	isAlive    func() bool
+	startHedge func() bool
 
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
-	// due is when the timer fires, and settling says that this ends the last part of the wait.
+	// due is when the timer fires. settling is set if this ends the last part of the wait, which lasts settleTime.
 	due      time.Time
 	settling bool
 }
 
-// boundSilence prepares the wait for the words of the attempt's runner.
-func (g *Gateway) boundSilence(a *attempt) *silenceBound {
-	return &silenceBound{
-		allowed: max(silenceTargets*a.exchange.route.TargetEventGap, leastSilence),
-		// While an event is being written to the caller it is the caller who is slow, and not the runner.
-		lives: func() bool { return a.passing.Load() || lives(a.target.runner) },
-		hedge: func() bool { return a.beginHedge(hedgeSilent) },
+// newWatchdog returns the watchdog of an attempt; it has yet to be started.
+func (g *Gateway) newWatchdog(a *attempt) *watchdog {
+	return &watchdog{
+		timeout: max(silenceTargetFactor*a.exchange.route.TargetEventGap, minSilence),
+		// While an event is being written, it is the caller that is slow and not the runner.
+		isAlive:    func() bool { return a.writingToCaller.Load() || isAlive(a.target.runner) },
+		startHedge: func() bool { return a.startHedge(hedgeSilent) },
 	}
 }
 
-// lives reports that a runner's agent speaks, and says that the run that the request went to answers.
-func lives(r *roster.Runner) bool {
+// isAlive reports whether the agent of the runner reports that the process to which the request was sent responds.
+func isAlive(r *roster.Runner) bool {
 	if isOver(r) {
 		return false
 	}
@@ -62,83 +63,86 @@
 	return v.ReportFresh && !v.Load.Unresponsive
 }
 
-// begin begins to wait for the runner's first word.
-func (b *silenceBound) begin(first time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stopped {
+// start starts the watchdog with the given timeout for the first data, after which the wait is reset to w.timeout.
+func (w *watchdog) start(timeout time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return
 	}
-	if b.timer != nil {
-		b.timer.Stop()
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	b.timer = time.AfterFunc(first, b.expire)
-	b.set(first)
+	w.timer = time.AfterFunc(timeout, w.handleTimer)
+	w.setTimer(timeout)
 }
 
-// expire asks about the runner once a wait has passed through whose last part the entry has run.
-func (b *silenceBound) expire() {
-	if b.settles(time.Now()) {
+// handleTimer checks the runner if the entry has run throughout the last part of the wait.
+func (w *watchdog) handleTimer() {
+	if w.waitsLonger(time.Now()) {
 		return
 	}
-	b.ask()
+	w.check()
 }
 
-// settles reports that the wait goes on, since the entry hasn't run for its last part or may have stood still in it.
-func (b *silenceBound) settles(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stopped {
+// waitsLonger reports whether the wait goes on because its last part has yet to pass, or because the entry may have
+// stalled during it. In both cases it starts the last part.
+func (w *watchdog) waitsLonger(now time.Time) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
 		return true
 	}
-	if b.settling && now.Sub(b.due) < settleTime {
+	if w.settling && now.Sub(w.due) < settleTime {
 		return false
 	}
-	b.settling, b.due = true, now.Add(settleTime)
-	b.timer.Reset(settleTime)
+	w.settling, w.due = true, now.Add(settleTime)
+	w.timer.Reset(settleTime)
 	return true
 }
 
-// ask has another runner asked where there is one, and looks again later, since that may refuse, or soon: the runner may only be slow.
-func (b *silenceBound) ask() {
-	if !b.lives() && b.hedge() {
-		b.wait(leastSilence)
+// check hedges the attempt if the runner is not alive. The next check comes later after a hedge, which may be refused,
+// and soon otherwise.
+func (w *watchdog) check() {
+	if !w.isAlive() && w.startHedge() {
+		w.resetTo(minSilence)
 		return
 	}
-	b.wait(askEvery)
+	w.resetTo(livenessCheckInterval)
 }
 
-// askNow asks without waiting any longer, since a later run is known to have taken the place of the one that was asked: a runner that
-// starts again behind a cut does not reset its callers' connections.
-func (b *silenceBound) askNow() { b.wait(0) }
+// checkNow checks the runner without waiting any longer. It is called when the runner is known to have restarted, since
+// a runner that restarts while the network is partitioned does not reset the connections of its callers.
+func (w *watchdog) checkNow() { w.resetTo(0) }
 
-// heard records that the runner has said something, and waits for the next.
-func (b *silenceBound) heard() { b.wait(b.allowed) }
+// reset restarts the wait because the runner has sent data.
+func (w *watchdog) reset() { w.resetTo(w.timeout) }
 
-func (b *silenceBound) wait(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.timer != nil && !b.stopped {
-		b.set(d)
+// resetTo restarts the wait with the given duration if the watchdog is running.
+func (w *watchdog) resetTo(d time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer != nil && !w.stopped {
+		w.setTimer(d)
 	}
 }
 
-// set has the wait end after the given time; the lock is held.
-func (b *silenceBound) set(d time.Duration) {
-	b.settling = d <= settleTime
-	if !b.settling {
+// setTimer sets the end of the wait. w.mu must be held.
+func (w *watchdog) setTimer(d time.Duration) {
+	w.settling = d <= settleTime
+	if !w.settling {
 		d -= settleTime
 	}
-	b.due = time.Now().Add(d)
-	b.timer.Reset(d)
+	w.due = time.Now().Add(d)
+	w.timer.Reset(d)
 }
 
-// stop lifts the bound for good, also where it is just being asked.
-func (b *silenceBound) stop() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.stopped = true
-	if b.timer != nil {
-		b.timer.Stop()
+// stop stops the watchdog for good, even during a check.
+func (w *watchdog) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	if w.timer != nil {
+		w.timer.Stop()
 	}
 }
