--- a/cmd/platform_test.go
+++ b/cmd/platform_test.go
@@ -10,5 +10,5 @@
 
 // TestStopLeavesTimeForTheLog: an entry that has requests to the end of its grace must still end by itself, log included.
 func TestStopLeavesTimeForTheLog(t *testing.T) {
-	assert.GreaterOrEqual(t, gateway.EndMargin, 4*drainLog)
+	assert.GreaterOrEqual(t, gateway.ExitMargin, 4*drainLog)
 }
--- a/gateway/agents.go
+++ b/gateway/agents.go
@@ -19,57 +19,57 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// followEvery is how often it is looked at whether each runner's agent is followed.
-const followEvery = 200 * time.Millisecond
+// followInterval is how often it is looked at whether each runner's agent is followed.
+const followInterval = 200 * time.Millisecond
 
-// speaksWithin is how long an agent may be silent and still be reported to: twice the longest pause between the bulletins of one that was
+// agentTimeout is how long an agent may be silent and still be reported to: twice the longest pause between the bulletins of one that was
 // asked for little.
-const speaksWithin = 2 * time.Second
+const agentTimeout = 2 * time.Second
 
-// agents follows the agents of all listed runners of engines.
-type agents struct {
+// agentFollower follows the agentFollower of all listed runners of engines.
+type agentFollower struct {
 	gateway *Gateway
 	pool    *peer.Pool
 
 	wg        conc.WaitGroup
 	mu        sync.Mutex
-	following map[netip.AddrPort]*followed
+	following map[netip.AddrPort]*followedAgent
 }
 
 // wantedAgent is an agent that is to be followed.
 type wantedAgent struct {
 	// runner is the address of the runner beside it.
 	runner netip.AddrPort
-	// sparse says that it's asked for little.
-	sparse bool
+	// loadOnly says that it's asked for little.
+	loadOnly bool
 }
 
-// followed is an agent that is followed.
-type followed struct {
+// followedAgent is an agent that is followedAgent.
+type followedAgent struct {
 	wanted wantedAgent
 	stop   context.CancelFunc
-	// heard is when its last bulletin came, in nanoseconds by the entry's clock.
-	heard atomic.Int64
+	// lastBulletinAt is when its last bulletin came, in nanoseconds by the entry's clock.
+	lastBulletinAt atomic.Int64
 }
 
 // Name is the controller's name.
-func (a *agents) Name() string { return "follow-agents" }
+func (a *agentFollower) Name() string { return "follow-agents" }
 
 // Run follows the agents until the context ends.
-func (a *agents) Run(ctx context.Context) error {
+func (a *agentFollower) Run(ctx context.Context) error {
 	a.mu.Lock()
-	a.following = map[netip.AddrPort]*followed{}
+	a.following = map[netip.AddrPort]*followedAgent{}
 	a.mu.Unlock()
-	pause.Every(ctx, followEvery, a.look)
+	pause.Every(ctx, followInterval, a.reconcile)
 	a.wg.Wait()
 	return nil
 }
 
-// look begins to follow the agents of new runners, and ends with those of runners that are gone or that are to be asked otherwise.
-func (a *agents) look(ctx context.Context) {
+// reconcile begins to follow the agents of new runners, and ends with those of runners that are gone or that are to be asked otherwise.
+func (a *agentFollower) reconcile(ctx context.Context) {
 	groups := a.gateway.engineGroups()
 	a.gateway.updateLocalServices(groups)
-	wanted := a.wanted(groups)
+	wanted := a.wantedAgents(groups)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for address, f := range a.following {
@@ -86,46 +86,46 @@
 }
 
 // follow begins to follow an agent.
-func (a *agents) follow(ctx context.Context, address netip.AddrPort, w wantedAgent) *followed {
+func (a *agentFollower) follow(ctx context.Context, address netip.AddrPort, w wantedAgent) *followedAgent {
 	one, stop := context.WithCancel(ctx)
 	g := a.gateway
-	f := &followed{wanted: w, stop: stop}
+	f := &followedAgent{wanted: w, stop: stop}
 	take := g.applyBulletin
-	if w.sparse {
-		take = g.applySparseBulletin
+	if w.loadOnly {
+		take = g.applyLoadOnlyBulletin
 	}
 	s := &subscribe.Subscription{
 		Pool: a.pool, Agent: address, Log: g.Log,
 		Take: func(b *bulletin.Bulletin, now time.Time) {
-			f.heard.Store(g.Clock.Now().UnixNano())
+			f.lastBulletinAt.Store(g.Clock.Now().UnixNano())
 			take(b, now)
 			g.applyPermits(w.runner, b, now)
 			a.applyQuotas(address, b, now)
 		},
-		Ask: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.sparse},
+		Ask: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.loadOnly},
 	}
 	a.wg.Go(func() { s.Run(one) })
 	return f
 }
 
-// live are the agents that have spoken lately.
-func (a *agents) live(now time.Time) []netip.AddrPort {
+// liveAgents are the agents that have spoken lately.
+func (a *agentFollower) liveAgents(now time.Time) []netip.AddrPort {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var live []netip.AddrPort
 	for address, f := range a.following {
-		if now.Sub(time.Unix(0, f.heard.Load())) < speaksWithin {
+		if now.Sub(time.Unix(0, f.lastBulletinAt.Load())) < agentTimeout {
 			live = append(live, address)
 		}
 	}
 	return live
 }
 
-// allotterOf is the agent among those that shares out a runner's limit, if there is one: an engine's own, for any other runner the first by a hash.
-func (a *agents) allotterOf(r *roster.Runner, live []netip.AddrPort) (netip.AddrPort, bool) {
+// allocatorOf is the agent among those that shares out a runner's limit, if there is one: an engine's own, for any other runner the first by a hash.
+func (a *agentFollower) allocatorOf(r *roster.Runner, live []netip.AddrPort) (netip.AddrPort, bool) {
 	info := r.Info()
-	if a.gateway.servesModels(info.Service) {
-		own := a.gateway.agentBeside(info.Address)
+	if a.gateway.isEngineService(info.Service) {
+		own := a.gateway.agentAddress(info.Address)
 		return own, slices.Contains(live, own)
 	}
 	key := hash.String(string(info.ID))
@@ -139,27 +139,27 @@
 	return chosen, chosen.IsValid()
 }
 
-// allots reports that an agent is the one that shares out a runner's limit.
-func (a *agents) allots(agent netip.AddrPort, r *roster.Runner) bool {
-	allotter, ok := a.allotterOf(r, a.live(a.gateway.Clock.Now()))
+// isAllocatorOf reports that an agent is the one that shares out a runner's limit.
+func (a *agentFollower) isAllocatorOf(agent netip.AddrPort, r *roster.Runner) bool {
+	allotter, ok := a.allocatorOf(r, a.liveAgents(a.gateway.Clock.Now()))
 	return ok && allotter == agent
 }
 
-// wanted are the agents beside runners of engines, by their addresses.
-func (a *agents) wanted(groups map[rillreach.ServiceID][]*roster.Runner) map[netip.AddrPort]wantedAgent {
+// wantedAgents are the agents beside runners of engines, by their addresses.
+func (a *agentFollower) wantedAgents(groups map[rillreach.ServiceID][]*roster.Runner) map[netip.AddrPort]wantedAgent {
 	wanted := map[netip.AddrPort]wantedAgent{}
 	for service, group := range groups {
-		local := a.gateway.local.has(service)
+		local := a.gateway.localServices.isLocal(service)
 		for _, r := range group {
 			info := r.Info()
-			address := a.gateway.agentBeside(info.Address)
-			wanted[address] = wantedAgent{runner: info.Address, sparse: local && info.Zone != a.gateway.Settings.Zone}
+			address := a.gateway.agentAddress(info.Address)
+			wanted[address] = wantedAgent{runner: info.Address, loadOnly: local && info.Zone != a.gateway.Settings.Zone}
 		}
 	}
 	return wanted
 }
 
-// agentBeside is the address of the agent beside an engine.
-func (g *Gateway) agentBeside(engine netip.AddrPort) netip.AddrPort {
+// agentAddress is the address of the agent beside an engine.
+func (g *Gateway) agentAddress(engine netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(engine.Addr(), g.Settings.FirstPort)
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -61,7 +61,7 @@
 	}
 	if t == nil {
 		x.reason = verdict
-		x.exhausted = true
+		x.noRunnerLeft = true
 		return false
 	}
 	a := g.newAttempt(ctx, x, t)
@@ -122,7 +122,7 @@
 	if err != nil {
 		if errors.Is(err, forward.ErrNotSent) {
 			x.sends.drop(t.view.ID)
-			x.untaken++
+			x.failedSends++
 		}
 		a.failed(err)
 		return false
@@ -151,9 +151,9 @@
 	if n > 0 {
 		a.heard()
 		a.received += int64(n)
-		a.gateway.noteReceived(a.exchange, a.received)
+		a.gateway.recordProgress(a.exchange, a.received)
 	}
-	if err != nil && !isEnd(err) {
+	if err != nil && !isCompleteAnswer(err) {
 		a.lost = err
 	}
 	return n, err
@@ -184,7 +184,7 @@
 // target finds a runner for the next attempt, or says why there is none.
 func (g *Gateway) target(ctx context.Context, x *exchange) (*target, string) {
 	if x.needsEngine() {
-		return g.line.admit(ctx, x)
+		return g.queue.admit(ctx, x)
 	}
 	return g.choose(x, time.Now())
 }
@@ -207,14 +207,14 @@
 // failed judges an attempt that brought no answer.
 func (a *attempt) failed(err error) {
 	g, x, t := a.gateway, a.exchange, a.target
-	cause := a.cause(err)
+	cause := a.classifyFailure(err)
 	notSent := cause == causeNotSent
 	if !notSent {
 		x.maybeRan = true
 	}
 	g.Metrics.Attempt(string(cause))
 	if cause == causeRunnerEnded {
-		a.noteCrash()
+		a.recordCrash()
 	}
 	now := time.Now()
 	if t.cancelled.Load() {
@@ -228,27 +228,27 @@
 	pause := time.Duration(0)
 	if !callerLeft && !a.spared.Load() && !errors.Is(err, forward.ErrFull) {
 		pause = t.runner.Eject(now)
-		if cause != causeClosed {
+		if cause != causeConnectionClosed {
 			g.pool.Forget(t.view.Address)
 		}
 	}
 	g.Log.Info("attempt failed", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "notSent", notSent,
-		"callerLeft", callerLeft, "spared", a.spared.Load(), "timedOut", a.parent.Err() != nil, "kind", cause, "endedBy", a.endedBy(), "fingerprint", x.fingerprint().String(),
+		"callerLeft", callerLeft, "spared", a.spared.Load(), "timedOut", a.parent.Err() != nil, "kind", cause, "endedBy", a.cancelReason(), "fingerprint", x.fingerprint().String(),
 		"events", x.lastEvent, "cause", err.Error(), "avoidedFor", pause.String(), "after", now.Sub(x.arrived).String())
 }
 
 // notRun judges a runner's word that it has not run the request.
 func (g *Gateway) notRun(x *exchange, t *target, answer *forward.Answer, head platform.Answer) {
 	x.reason = "runner-refused"
-	x.untaken++
+	x.failedSends++
 	x.sends.refused(t.view.ID)
 	g.Log.Info("runner refused", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID,
-		"status", answer.Response.StatusCode, "began", x.began, "rest", head.RetryAfter.String(), "otherRunner", head.OtherRunner, "answeredBy", head.Instance, "weights", head.Weights)
+		"status", answer.Response.StatusCode, "began", x.headSent, "rest", head.RetryAfter.String(), "otherRunner", head.OtherRunner, "answeredBy", head.Instance, "weights", head.Weights)
 	switch {
 	case head.OtherRunner && head.Instance != "" && head.Instance != t.view.ID:
 		t.runner.MarkLeaving() // another run has its address, so that this one is over, whatever the list says
 		select {
-		case g.restarted <- struct{}{}:
+		case g.refreshRunners <- struct{}{}:
 		default: // the list is going to be asked for already
 		}
 	case head.OtherRunner && x.wire.Prompt != nil:
--- a/gateway/backpressure_test.go
+++ b/gateway/backpressure_test.go
@@ -88,7 +88,7 @@
 	t.Helper()
 	var all []*world
 	for i := range n {
-		all = append(all, s.entry(t, fmt.Sprint("entry-", i)))
+		all = append(all, s.startEntry(t, fmt.Sprint("entry-", i)))
 	}
 	return all
 }
@@ -96,8 +96,8 @@
 // withPrompts adds a route for prompts to a site's configuration.
 func (s *sharedSite) withPrompts() {
 	config := defaultConfig()
-	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "gap_aim_ms": 1000}))
-	config["services"] = append(config["services"].([]jsonMap), engineService())
+	config["routes"] = append(config["routes"].([]jsonMap), routeConfig("prompt", "streaming", "e", jsonMap{"resumable": true, "gap_aim_ms": 1000}))
+	config["services"] = append(config["services"].([]jsonMap), engineServiceConfig())
 	s.store.Put("config", "main", config)
 }
 
@@ -107,7 +107,7 @@
 	t.Helper()
 	stop := load(limitEvery, entries, send)
 	defer stop()
-	require.Eventually(t, func() bool { return l.reached.len() >= limitEntries }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return l.reached.len() >= limitEntries }, testTimeout, time.Millisecond)
 	l.on.Store(true)
 	began := time.Now()
 	time.Sleep(limitFor / 3)
@@ -119,7 +119,7 @@
 	most := mostWithin(&l.reached, began.Add(2*limitTold), limitWindow)
 	assert.LessOrEqual(t, float64(most), limitPerSecond*limitOver*limitWindow.Seconds()+limitSlack)
 	assert.Positive(t, most, "what it takes is used")
-	require.Eventually(t, func() bool { return l.reached.len() > lifted+10*limitEntries }, wait, 5*time.Millisecond, "it is in use again")
+	require.Eventually(t, func() bool { return l.reached.len() > lifted+10*limitEntries }, testTimeout, 5*time.Millisecond, "it is in use again")
 }
 
 // TestLimitOfRunnerIsKept: runners that name a limit got as many requests as before.
@@ -127,43 +127,43 @@
 	t.Run("a plain runner beside a sound one", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle}, &site.Runner{ID: "sound"})
-		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
+		s := startSharedSite(t, &site.Runner{ID: "limited", Handle: limited.handle}, &site.Runner{ID: "sound"})
+		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) { w.send(t, "POST", "/once/x", "body") }, func() {})
 	})
 	t.Run("a plain runner alone", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
-		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
+		s := startSharedSite(t, &site.Runner{ID: "limited", Handle: limited.handle})
+		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) { w.send(t, "POST", "/once/x", "body") }, func() {})
 	})
 	t.Run("a plain runner whose limit no agent shares out any more", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
+		s := startSharedSite(t, &site.Runner{ID: "limited", Handle: limited.handle})
 		entries := s.entries(t, limitEntries)
-		assertLimitKept(t, &limited, entries, func(w *world) { w.call(t, "POST", "/once/x", "body") }, s.stop)
+		assertLimitKept(t, &limited, entries, func(w *world) { w.send(t, "POST", "/once/x", "body") }, s.stop)
 	})
 	t.Run("an engine whose agent starts again meanwhile, and knows of no limit", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t)
+		s := startSharedSite(t)
 		s.withPrompts()
 		s.engine.Handle = limited.handle
 		entries := s.entries(t, limitEntries)
 		var n atomic.Int64
 		assertLimitKept(t, &limited, entries, func(w *world) {
-			read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
+			readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
 		}, func() { s.restartAgent(t) })
 	})
 	t.Run("an engine", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t)
+		s := startSharedSite(t)
 		s.withPrompts()
 		s.engine.Handle = limited.handle
 		var n atomic.Int64
 		assertLimitKept(t, &limited, s.entries(t, limitEntries), func(w *world) {
-			read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
+			readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
 		}, func() {})
 	})
 }
--- a/gateway/begin.go
+++ b/gateway/begin.go
@@ -17,7 +17,7 @@
 
 // awaitState waits until the entry knows enough to serve, for a short time after its start.
 func (g *Gateway) awaitState(ctx context.Context) {
-	for !g.state.HasSynced() && time.Since(g.began) < beginWithin && ctx.Err() == nil {
+	for !g.state.HasSynced() && time.Since(g.startedAt) < beginWithin && ctx.Err() == nil {
 		pause.For(ctx, beginLook)
 	}
 }
--- a/gateway/begin_test.go
+++ b/gateway/begin_test.go
@@ -21,23 +21,23 @@
 		r := &site.Runner{ID: "r", Handle: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "sound") }}
 		r.Start()
 		t.Cleanup(r.Stop)
-		store.Put("servers", r.ID, record(r, "ready"))
-		return beginWith(t, store, func(*deployment.Settings) {}), store
+		store.Put("servers", r.ID, runnerRecord(r, "ready"))
+		return startWithSettings(t, store, func(*deployment.Settings) {}), store
 	}
 	t.Run("one that comes soon before it waits", func(t *testing.T) {
 		w, store := begin(t)
 		defer w.stop()
 		time.AfterFunc(beginWithin/4, func() { store.Put("config", "main", defaultConfig()) })
-		assert.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status)
+		assert.Equal(t, http.StatusOK, w.send(t, "POST", "/once/x", "body").status)
 	})
 	t.Run("where it doesn't come, one waits for a short time", func(t *testing.T) {
 		w, _ := begin(t)
 		defer w.stop()
-		assertOwn(t, w.call(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
+		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
 	})
 	t.Run("later ones don't wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			g := &Gateway{began: time.Now()}
+			g := &Gateway{startedAt: time.Now()}
 			for _, waited := range []time.Duration{beginWithin, 0} {
 				start := time.Now()
 				g.awaitState(t.Context())
--- a/gateway/begun_answer.go
+++ b/gateway/begun_answer.go
@@ -24,7 +24,7 @@
 // isTransient reports that what keeps a request from runners may be over soon.
 func isTransient(verdict string) bool {
 	switch verdict {
-	case verdictNoRunner, verdictCold, verdictLimited, verdictResting, verdictEvacuated, verdictElsewhere, verdictBacklog, verdictNoBudget:
+	case verdictNoRunner, verdictRunnersCold, verdictRunnersLimited, verdictRunnersResting, verdictZoneEvacuated, verdictRegionNotAllowed, verdictBacklog, verdictNoBudget:
 		return true
 	default:
 		return false
@@ -32,46 +32,46 @@
 }
 
 // canResume reports that the caller has a part of an answer that another runner can go on with.
-func (x *exchange) canResume() bool { return x.began && x.route.Resumable }
+func (x *exchange) canResume() bool { return x.headSent && x.route.Resumable }
 
 // resendAt is when a begun answer may be sent on again: at once after the first send that no runner took, since another may have room.
 func (x *exchange) resendAt(now time.Time) time.Time {
-	if x.notBefore.After(now) {
-		return x.notBefore
+	if x.retryNotBefore.After(now) {
+		return x.retryNotBefore
 	}
-	if x.untaken < 2 {
+	if x.failedSends < 2 {
 		return now
 	}
-	delay := firstResendDelay << min(x.untaken-2, mostDoublings)
+	delay := firstResendDelay << min(x.failedSends-2, mostDoublings)
 	return now.Add(min(delay, mostResendDelay))
 }
 
 // staysUntil is when the caller of a begun answer gives it up, or its time is over.
 func (x *exchange) staysUntil() time.Time {
-	quiet := x.lastPassed().Add(x.route.CallerIdleTimeout())
-	if quiet.Before(x.ends) {
+	quiet := x.lastWrite().Add(x.route.CallerIdleTimeout())
+	if quiet.Before(x.deadline) {
 		return quiet
 	}
-	return x.ends
+	return x.deadline
 }
 
 // awaitResend decides whether an attempt of a begun answer may follow the last one, and waits until it is worthwhile. It returns why none may, or
 // nothing.
 func (g *Gateway) awaitResend(ctx context.Context, x *exchange) string {
 	for {
-		verdict := g.again(ctx, x)
+		verdict := g.checkRetry(ctx, x)
 		if !x.canResume() || verdict != "" && !isTransient(verdict) {
 			return verdict
 		}
 		if verdict != "" {
-			x.untaken++
+			x.failedSends++
 		}
 		now := time.Now()
 		at := x.resendAt(now)
 		if at.After(x.staysUntil()) {
 			return verdictNoneInTime
 		}
-		x.exhausted = false
+		x.noRunnerLeft = false
 		pause.For(ctx, at.Sub(now))
 		if verdict == "" && ctx.Err() == nil {
 			return ""
--- a/gateway/begun_answer_test.go
+++ b/gateway/begun_answer_test.go
@@ -42,7 +42,7 @@
 	}
 	route["resumable"] = true
 	runners := []*site.Runner{{ID: "a", Handle: handle}, {ID: "b", Handle: handle}, {ID: "c", Handle: handle}}
-	s.world = begin(t, configOf(1, routeOf("stream", "streaming", "plain", route)), runners...)
+	s.world = startWorld(t, configWithRoutes(1, routeConfig("stream", "streaming", "plain", route)), runners...)
 	t.Cleanup(s.stop)
 	return s
 }
@@ -54,9 +54,9 @@
 
 func (s *begunSite) assertWhole(t *testing.T) {
 	t.Helper()
-	got := s.call(t, "POST", "/stream/x", "prompt")
+	got := s.send(t, "POST", "/stream/x", "prompt")
 	require.NoError(t, got.err, "the answer was cut, with time left and nothing run in vain")
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, eventsUpTo(streamed), got.body)
 }
 
 // Half of an answer is not lost at the first moment in which no other runner has room for the rest.
@@ -103,16 +103,16 @@
 			runs.Add(1)
 			site.Events(w, r, streamed, cutAt+2)
 		})
-		got := s.call(t, "POST", "/stream/x", "prompt")
+		got := s.send(t, "POST", "/stream/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
 		assert.EqualValues(t, 1, runs.Load(), "the route allows two runners")
 	})
 	t.Run("nobody ever has room", func(t *testing.T) {
 		s := newBegunSite(t, jsonMap{"max_attempts": 2}, func(s *begunSite, _ time.Duration, w http.ResponseWriter, r *http.Request) { s.refuse(w, r) })
 		begun := time.Now()
-		got := s.call(t, "POST", "/stream/x", "prompt")
+		got := s.send(t, "POST", "/stream/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
-		assert.Equal(t, pieces(cutAt), got.body)
+		assert.Equal(t, eventsUpTo(cutAt), got.body)
 		quiet := s.gateway.state.Config().Routes[0].CallerIdleTimeout()
 		assert.Less(t, time.Since(begun), quiet+quiet/2, "the caller is held longer than it stays")
 	})
@@ -132,15 +132,15 @@
 	t.Run("the only other engine refuses once", func(t *testing.T) {
 		var refused atomic.Bool
 		first, other := newEngine("first"), newEngine("other")
-		first.Handle = cutAfter(cutAt)
+		first.Handle = cutAfterEvents(cutAt)
 		other.Handle = refusesOnce(&refused)
-		w := enginesWorld(t, first)
+		w := startWithEngines(t, first)
 		defer w.stop()
-		conn := w.prompt(t, "/prompt/x")
+		conn := w.sendPrompt(t, "/prompt/x")
 		w.addEngine(t, other)
-		got := read(t, conn, "POST")
+		got := readAnswer(t, conn, "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, eventsUpTo(streamed), got.body)
 	})
 	t.Run("a move was refused before the first one breaks off", func(t *testing.T) {
 		var refused atomic.Bool
@@ -157,9 +157,9 @@
 			time.Sleep(eventPace) // so that the entry has the refusal
 			panic(http.ErrAbortHandler)
 		}
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, eventsUpTo(streamed), got.body)
 	})
 }
 
--- a/gateway/bulletins.go
+++ b/gateway/bulletins.go
@@ -10,9 +10,9 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// clockDrift is by how much per second the estimate of the runners' clock falls back, so that one message that came early by mistake does
+// clockDecay is by how much per second the estimate of the runners' clock falls back, so that one message that came early by mistake does
 // not spoil it for long.
-const clockDrift = 0.001
+const clockDecay = 0.001
 
 // applyBulletin takes a bulletin over.
 func (g *Gateway) applyBulletin(b *bulletin.Bulletin, now time.Time) {
@@ -24,18 +24,18 @@
 	if b.Config != nil {
 		g.state.ObservePeerConfig(*b.Config, now)
 	}
-	g.applyNamings(b, now)
+	g.applyWeightsFirstSeen(b, now)
 	for _, n := range b.Notices {
 		g.relays.Receive(n, now)
 	}
 	g.applyCrashes(b.Crashes)
 	g.budgets.SetEntries(b.Followers)
-	g.stores.clock.hear(b.Clock, now)
+	g.cache.clock.observe(b.Clock, now)
 	for i := range b.CacheUpdates {
 		if h := &b.CacheUpdates[i]; h.Store {
-			g.stores.apply(b.Runner, b.Clock, h, now)
+			g.cache.applyStoreUpdate(b.Runner, b.Clock, h, now)
 		} else {
-			g.stores.applyRunner(b.Run(), h)
+			g.cache.applyRunnerUpdate(b.Run(), h)
 		}
 	}
 }
@@ -55,22 +55,22 @@
 		g.Metrics.InvalidReport()
 		return
 	}
-	if r.SetReport(roster.Report{ReceivedAt: now, Load: load, WeightLoadAt: loadsAt(b, now)}) {
+	if r.SetReport(roster.Report{ReceivedAt: now, Load: load, WeightLoadAt: weightLoadTime(b, now)}) {
 		g.state.MarkCold(r, now) // it may have started anew in its silence
 	}
-	g.line.changed()
+	g.queue.changed()
 }
 
-// loadsAt is when the runner's next load of weights is scheduled, by this process's clock; zero where the bulletin does not tell.
-func loadsAt(b *bulletin.Bulletin, now time.Time) time.Time {
+// weightLoadTime is when the runner's next load of weights is scheduled, by this process's clock; zero where the bulletin does not tell.
+func weightLoadTime(b *bulletin.Bulletin, now time.Time) time.Time {
 	if b.Clock == 0 || b.Load.WeightLoadAt == 0 {
 		return time.Time{}
 	}
 	return now.Add(time.Duration(b.Load.WeightLoadAt-b.Clock) * time.Millisecond)
 }
 
-// applyNamings takes over when versions of weights were named: an entry that has just started knows only that they are.
-func (g *Gateway) applyNamings(b *bulletin.Bulletin, now time.Time) {
+// applyWeightsFirstSeen takes over when versions of weights were named: an entry that has just started knows only that they are.
+func (g *Gateway) applyWeightsFirstSeen(b *bulletin.Bulletin, now time.Time) {
 	if b.Clock == 0 {
 		return
 	}
@@ -80,34 +80,34 @@
 	}
 }
 
-// runnersClock estimates the runners' clock from the bulletins, which come late by some milliseconds: the greatest of the
+// runnerClock estimates the runners' clock from the bulletins, which come late by some milliseconds: the greatest of the
 // differences is the truest.
-type runnersClock struct {
-	mu     sync.Mutex
-	known  bool
-	offset time.Duration
-	at     time.Time
-	start  time.Time
+type runnerClock struct {
+	mu        sync.Mutex
+	known     bool
+	offset    time.Duration
+	updatedAt time.Time
+	start     time.Time
 }
 
-func (c *runnersClock) hear(clock int64, now time.Time) {
+func (c *runnerClock) observe(clock int64, now time.Time) {
 	if clock == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.known {
-		c.known, c.start, c.at = true, now, now
+		c.known, c.start, c.updatedAt = true, now, now
 		c.offset = time.Duration(clock) * time.Millisecond
 		return
 	}
-	c.offset -= time.Duration(float64(now.Sub(c.at)) * clockDrift)
-	c.at = now
+	c.offset -= time.Duration(float64(now.Sub(c.updatedAt)) * clockDecay)
+	c.updatedAt = now
 	c.offset = max(c.offset, time.Duration(clock)*time.Millisecond-now.Sub(c.start))
 }
 
-// read is the runners' clock at a moment of ours; it reports whether that is known.
-func (c *runnersClock) read(now time.Time) (time.Time, bool) {
+// estimate is the runners' clock at a moment of ours; it reports whether that is known.
+func (c *runnerClock) estimate(now time.Time) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.UnixMilli((c.offset + now.Sub(c.start)).Milliseconds()), c.known
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -49,7 +49,7 @@
 }
 
 // offset is where among so many candidates a choice begins to look.
-func (g *Gateway) offset(n int) int { return int(g.seq.Add(1) % uint64(n)) }
+func (g *Gateway) offset(n int) int { return int(g.choices.Add(1) % uint64(n)) }
 
 // assign makes a choice the target of the next attempt, and counts the request as running there. It returns nil where the runner may no longer be
 // given one: another request has just taken the last permit.
@@ -67,8 +67,8 @@
 		t.weights = t.view.Weights[x.wire.Prompt.Model]
 		t.kept = o.versions[t.weights].prompt
 		g.bookMoves(t, now)
-		g.reads.add(t.reading)
-		g.sizes.add(t.held)
+		g.prefillSizes.add(t.reading)
+		g.requestSizes.add(t.held)
 	}
 	t.work = g.begin(x, t)
 	g.logChoice(x, t, o, now)
@@ -79,7 +79,7 @@
 func (g *Gateway) logChoice(x *exchange, t *target, o *options, now time.Time) {
 	fetchUntil := time.Time{}
 	if t.kept != nil && len(t.plan.Sources) > 0 {
-		fetchUntil = t.kept.until
+		fetchUntil = t.kept.fetchDeadline
 	}
 	g.Log.Info("runner chosen", "decision", "send", "request", x.wire.ID, "account", x.accountName(), "route", x.route.Name,
 		"chosen", t.view.ID, "candidates", len(o.candidates), "cost", t.choice.Cost, "estimate", t.choice.Estimate.String(), "attempt", x.sends.sent()+1,
@@ -119,7 +119,7 @@
 // bookMoves records which links the chosen runner's fetches take.
 func (g *Gateway) bookMoves(t *target, now time.Time) {
 	for _, m := range t.plan.Transfers {
-		g.stores.book(m.Source, m.Duration, now)
+		g.cache.reserveLink(m.Source, m.Duration, now)
 	}
 }
 
@@ -135,10 +135,10 @@
 		d.Salt = "request/" + string(x.wire.ID)
 		return
 	}
-	if len(t.plan.Sources) > 0 && !t.kept.until.IsZero() {
+	if len(t.plan.Sources) > 0 && !t.kept.fetchDeadline.IsZero() {
 		d.Fetch = make([]netip.AddrPort, len(x.wire.Prompt.Parts))
 		copy(d.Fetch, t.plan.Sources)
-		d.FetchUntil = t.kept.until
+		d.FetchUntil = t.kept.fetchDeadline
 	}
-	d.Save = g.saves(x, t.kept, &t.view, time.Now())
+	d.Save = g.chooseSaveStores(x, t.kept, &t.view, time.Now())
 }
--- a/gateway/choose_bench_test.go
+++ b/gateway/choose_bench_test.go
@@ -21,7 +21,7 @@
 // beforeEngines is an entry that knows so many engines, each with a report, and a request for one of them.
 func beforeEngines(engines int) (*Gateway, *exchange) {
 	g := &Gateway{Settings: &deployment.Settings{Zone: "z0"}, Log: logr.Discard()}
-	g.line = newLine(g)
+	g.queue = newLine(g)
 	now := time.Now()
 	for i := range engines {
 		info := deployment.Runner{
@@ -37,7 +37,7 @@
 		sends: &sends{}, progress: &progress{},
 		service: &deployment.Service{Name: "s", Engine: &deployment.Engine{CapacityTokens: 70000, CacheBytesPerToken: 18432, LinkBitsPerSecond: 3e11}},
 		route:   &deployment.Route{Name: "r", TargetLatency: time.Second, Kind: deployment.EventStream},
-		config:  &deployment.Config{}, arrived: now, ends: now.Add(10 * time.Second),
+		config:  &deployment.Config{}, arrived: now, deadline: now.Add(10 * time.Second),
 	}
 	x.wire.Prompt = &deployment.Prompt{Model: benchModel, Tokens: 12000, MaxOutputTokens: 200, Parts: []deployment.Part{{ID: "a", Tokens: 500}, {ID: "b", Tokens: 8600}, {ID: "c", Tokens: 2900}}}
 	return g, x
@@ -47,7 +47,7 @@
 // as many stores hold both.
 func holdParts(g *Gateway, x *exchange, engines int) {
 	now := time.Now()
-	g.stores.clock.hear(now.UnixMilli(), now)
+	g.cache.clock.observe(now.UnixMilli(), now)
 	x.config.Services = map[rillreach.ServiceID]*deployment.Service{"s": x.service}
 	key := func(part string) holdings.Key {
 		return holdings.Key{Salt: deployment.Salt{Model: benchModel, Weights: 1}.String(), Part: part}
@@ -59,7 +59,7 @@
 		if i < 3 {
 			changes = append(changes, conversation)
 		}
-		g.stores.index.Apply(r.Info().Address, changes)
+		g.cache.index.Apply(r.Info().Address, changes)
 	}
 	for i := range engines / 5 {
 		place := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 80)
@@ -67,7 +67,7 @@
 		x.config.Services[name] = &deployment.Service{Name: name, CacheStore: &deployment.CacheStore{
 			Address: place, Zone: rillreach.ZoneID(fmt.Sprintf("z%d", i%3)), CapacityTokens: 1e6, LinkBitsPerSecond: 1e11,
 		}}
-		g.stores.apply("agent", now.UnixMilli(), &bulletin.CacheUpdate{Address: place, Store: true, Snapshot: true, Changes: []holdings.Change{opening, conversation}}, now)
+		g.cache.applyStoreUpdate("agent", now.UnixMilli(), &bulletin.CacheUpdate{Address: place, Store: true, Snapshot: true, Changes: []holdings.Change{opening, conversation}}, now)
 	}
 }
 
--- a/gateway/crash_reporter.go
+++ b/gateway/crash_reporter.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// reportAgents is how many agents are told of a crash: entries follow all agents, so that one would do, and three may be frozen or cut off.
-	reportAgents = 4
-	// reportEvery is how often it is looked at whether other agents are to be told than before.
-	reportEvery = 500 * time.Millisecond
+	// crashReportAgents is how many agents are told of a crash: entries follow all agents, so that one would do, and three may be frozen or cut off.
+	crashReportAgents = 4
+	// crashReportInterval is how often it is looked at whether other agents are to be told than before.
+	crashReportInterval = 500 * time.Millisecond
 	// reportTimeout bounds one report, so that an agent that doesn't answer holds up no other for long.
 	reportTimeout = 500 * time.Millisecond
-	// reportSize is how many crashes one report tells of.
-	reportSize = 256
+	// maxCrashesPerReport is how many crashes one report tells of.
+	maxCrashesPerReport = 256
 )
 
 // crashReporter tells a few agents of the crashes that this entry has seen; they tell all entries. All entries choose the same agents, as
@@ -31,7 +31,7 @@
 type crashReporter struct {
 	gateway *Gateway
 	pool    *peer.Pool
-	agents  *agents
+	agents  *agentFollower
 
 	reported map[netip.AddrPort]*reportState
 }
@@ -41,10 +41,10 @@
 	address netip.AddrPort
 	// conn is the connection on which it was told.
 	conn *peer.Conn
-	// all is how far it has been told of all crashes that the entry knew then, and own of those that the entry has seen.
-	all, own uint64
-	// until is where the telling of all ends.
-	until uint64
+	// allVersion is how far it has been told of allVersion crashes that the entry knew then, and observedVersion of those that the entry has seen.
+	allVersion, observedVersion uint64
+	// allTarget is where the telling of all ends.
+	allTarget uint64
 }
 
 // Name is the controller's name.
@@ -53,10 +53,10 @@
 // Run reports until the context ends.
 func (c *crashReporter) Run(ctx context.Context) error {
 	c.reported = map[netip.AddrPort]*reportState{}
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(crashReportInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		crashed := c.gateway.crashed.Wait()
+		crashed := c.gateway.crashesChanged.Wait()
 		c.report(ctx)
 		select {
 		case <-ctx.Done():
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var wg conc.WaitGroup
-	chosen := chosenAgents(c.agents.live(c.gateway.Clock.Now()))
+	chosen := selectAgents(c.agents.liveAgents(c.gateway.Clock.Now()))
 	maps.DeleteFunc(c.reported, func(address netip.AddrPort, _ *reportState) bool { return !slices.Contains(chosen, address) })
 	for _, address := range chosen {
 		t := c.reported[address]
@@ -88,10 +88,10 @@
 	wg.Wait()
 }
 
-// chosenAgents are the first by a hash.
-func chosenAgents(live []netip.AddrPort) []netip.AddrPort {
+// selectAgents are the first by a hash.
+func selectAgents(live []netip.AddrPort) []netip.AddrPort {
 	slices.SortFunc(live, func(a, b netip.AddrPort) int { return cmp.Compare(hash.String(a.String()), hash.String(b.String())) })
-	return live[:min(len(live), reportAgents)]
+	return live[:min(len(live), crashReportAgents)]
 }
 
 // reportTo reports to one agent what it hasn't been told.
@@ -104,16 +104,16 @@
 	}
 	if t.conn != conn {
 		*t = reportState{address: t.address, conn: conn}
-		t.own = g.observed.Version() // asked first: what is seen meanwhile is told twice rather than not at all
-		t.until = g.suspects.Version()
+		t.observedVersion = g.observedCrashes.Version() // asked first: what is seen meanwhile is told twice rather than not at all
+		t.allTarget = g.suspects.Version()
 	}
-	for t.all < t.until {
-		if !c.send(ctx, t, &g.suspects, &t.all) {
+	for t.allVersion < t.allTarget {
+		if !c.send(ctx, t, &g.suspects, &t.allVersion) {
 			return
 		}
 	}
-	for t.own < g.observed.Version() {
-		if !c.send(ctx, t, &g.observed, &t.own) {
+	for t.observedVersion < g.observedCrashes.Version() {
+		if !c.send(ctx, t, &g.observedCrashes, &t.observedVersion) {
 			return
 		}
 	}
@@ -122,7 +122,7 @@
 // send tells an agent the next crashes of a tracker, and reports whether it has taken them.
 func (c *crashReporter) send(ctx context.Context, t *reportState, from *poison.Tracker, version *uint64) bool {
 	g := c.gateway
-	crashes, next := from.Since(g.Clock.Now(), *version, reportSize)
+	crashes, next := from.Since(g.Clock.Now(), *version, maxCrashesPerReport)
 	if len(crashes) > 0 {
 		if _, err := peer.Ask[poison.Report, poison.Receipt](ctx, t.conn, peer.MethodCrashes, poison.Report{Crashes: crashes}); err != nil {
 			g.Log.Info("crashes not reported", "decision", "retry", "agent", t.address, "crashes", len(crashes), "cause", err.Error())
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -19,7 +19,7 @@
 	r := &site.Runner{ID: "r-" + zone, Handle: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, zone) }}
 	r.Start()
 	t.Cleanup(r.Stop)
-	listed := record(r, "ready")
+	listed := runnerRecord(r, "ready")
 	listed["zone"] = zone
 	store.Put("servers", r.ID, listed)
 	return r
@@ -35,13 +35,13 @@
 		for _, zone := range zones {
 			runners = append(runners, beginInZone(t, store, zone))
 		}
-		return beginWith(t, store, func(s *deployment.Settings) { s.Bounds.ZoneEvacuation = 5 * time.Second }), runners
+		return startWithSettings(t, store, func(s *deployment.Settings) { s.Bounds.ZoneEvacuation = 5 * time.Second }), runners
 	}
 	served := func(t *testing.T, w *world) map[string]bool {
 		t.Helper()
 		zones := map[string]bool{}
 		for range 40 {
-			if got := w.call(t, "POST", "/once/x", "body"); got.status == http.StatusOK {
+			if got := w.send(t, "POST", "/once/x", "body"); got.status == http.StatusOK {
 				zones[got.body] = true
 			}
 		}
@@ -62,7 +62,7 @@
 		w.awaitReady(t)
 		w.store.Put("evacuations", "z1", jsonMap{})
 		w.stop()
-		later := beginWith(t, w.store, func(s *deployment.Settings) { s.Bounds.ZoneEvacuation = 5 * time.Second })
+		later := startWithSettings(t, w.store, func(s *deployment.Settings) { s.Bounds.ZoneEvacuation = 5 * time.Second })
 		defer later.stop()
 		later.awaitReady(t)
 		assert.Equal(t, map[string]bool{"z2": true}, served(t, later))
@@ -74,9 +74,9 @@
 		w.awaitReady(t)
 		w.store.Put("evacuations", "z1", jsonMap{})
 		w.eventually(t, func() bool { return w.gateway.state.Evacuations().Has("z1") })
-		got := w.call(t, "POST", "/once/x", "body")
-		assertOwn(t, got, http.StatusServiceUnavailable)
-		assert.Contains(t, got.body, verdictEvacuated)
+		got := w.send(t, "POST", "/once/x", "body")
+		assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
+		assert.Contains(t, got.body, verdictZoneEvacuated)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		assert.InDelta(t, evacuationComeBack.Seconds(), after, evacuationComeBack.Seconds()/2)
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -15,7 +15,7 @@
 
 // readEvents reads a stream to its end, for a caller that has the events up to the given one.
 func readEvents(t require.TestingT, from io.Reader, had string) string {
-	r := eventReader{from: from, whole: true, had: had}
+	r := eventReader{from: from, wholeEvents: true, resumeAfter: had}
 	var all strings.Builder
 	for {
 		part, err := r.next()
@@ -54,7 +54,7 @@
 		assert.Equal(t, eventsOf(6, 6), got)
 	})
 	t.Run("ids that are no numbers don't tell which events are new", func(t *testing.T) {
-		assert.False(t, isNumber("a7"))
-		assert.True(t, isNumber("7"))
+		assert.False(t, isNumericID("a7"))
+		assert.True(t, isNumericID("7"))
 	})
 }
--- a/gateway/failure.go
+++ b/gateway/failure.go
@@ -20,41 +20,41 @@
 	// causeRunnerEnded says that the runner's process ended with the request under way, causeRunnerLeft that it did so as it had announced.
 	causeRunnerEnded failureCause = "runner-ended"
 	causeRunnerLeft  failureCause = "runner-left"
-	// causeClosed says that the runner closed the connection, and isn't known to have ended.
-	causeClosed failureCause = "connection-closed"
-	// causeEnded is all that this side ends: a caller that leaves, a time-out, an attempt that another one replaces.
-	causeEnded failureCause = "ended-by-entry"
-	// causeOther is an answer that can't be read.
-	causeOther failureCause = "unreadable-answer"
+	// causeConnectionClosed says that the runner closed the connection, and isn't known to have ended.
+	causeConnectionClosed failureCause = "connection-closed"
+	// causeEndedByEntry is all that this side ends: a caller that leaves, a time-out, an attempt that another one replaces.
+	causeEndedByEntry failureCause = "ended-by-entry"
+	// causeUnreadableAnswer is an answer that can't be read.
+	causeUnreadableAnswer failureCause = "unreadable-answer"
 )
 
 // Why the entry itself ends an attempt, beside the end of the request's own time.
 var (
-	errAnotherAnswers = errors.New("a second attempt answers")
-	errNotNeeded      = errors.New("the first attempt goes on, or its answer is enough")
+	errSecondAttemptAnswers   = errors.New("a second attempt answers")
+	errSecondAttemptNotNeeded = errors.New("the first attempt goes on, or its answer is enough")
 )
 
-// endedBy says why the entry ended the attempt, empty where it did not.
-func (a *attempt) endedBy() string {
+// cancelReason says why the entry ended the attempt, empty where it did not.
+func (a *attempt) cancelReason() string {
 	if cause := context.Cause(a.waiting); cause != nil {
 		return cause.Error()
 	}
 	return ""
 }
 
-// cause finds out why the attempt failed. Only a runner that closes the connection is asked whether it still listens.
-func (a *attempt) cause(err error) failureCause {
+// classifyFailure finds out why the attempt failed. Only a runner that closes the connection is asked whether it still listens.
+func (a *attempt) classifyFailure(err error) failureCause {
 	switch {
 	case errors.Is(err, forward.ErrNotSent):
 		return causeNotSent
 	case !forward.ClosedByRunner(err):
 		if a.waiting.Err() != nil {
-			return causeEnded
+			return causeEndedByEntry
 		}
-		return causeOther
+		return causeUnreadableAnswer
 	case !a.gateway.hasEnded(a.target.runner):
-		return causeClosed
-	case a.target.runner.View(time.Now()).Leaving && !isOver(a.target.runner):
+		return causeConnectionClosed
+	case a.target.runner.View(time.Now()).Leaving && !hasLaterRun(a.target.runner):
 		return causeRunnerLeft
 	default:
 		return causeRunnerEnded
@@ -64,19 +64,19 @@
 // hasEnded reports that the runner's process is known to have ended: a later run took its place, or nobody listens at its address. The
 // requests that failed there together ask once.
 func (g *Gateway) hasEnded(r *roster.Runner) bool {
-	if isOver(r) {
+	if hasLaterRun(r) {
 		return true
 	}
 	info := r.Info()
-	refuses, _, _ := g.probes.Do(info.Address.String(), func() (any, error) {
+	refuses, _, _ := g.listenProbes.Do(info.Address.String(), func() (any, error) {
 		g.pool.Forget(info.Address) // before the question, whose connection is kept
 		return g.pool.Refuses(context.Background(), info.Address), nil
 	})
 	return refuses == true
 }
 
-// isOver reports that a later run of the runner is known.
-func isOver(r *roster.Runner) bool {
+// hasLaterRun reports that a later run of the runner is known.
+func hasLaterRun(r *roster.Runner) bool {
 	select {
 	case <-r.Ended():
 		return true
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -16,11 +16,11 @@
 
 func TestPassingOn(t *testing.T) {
 	runner := &site.Runner{ID: "r1"}
-	w := begin(t, defaultConfig(), runner)
+	w := startWorld(t, defaultConfig(), runner)
 	defer w.stop()
 
 	t.Run("method, target and body arrive as they were sent", func(t *testing.T) {
-		got := w.call(t, "POST", "/once/a%2Fb//c?q=%20x&&y", "hello")
+		got := w.send(t, "POST", "/once/a%2Fb//c?q=%20x&&y", "hello")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 		assert.Equal(t, "sealed", got.header.Get("X-Rillreach-Response-Seal"))
@@ -35,7 +35,7 @@
 		assert.Empty(t, run.Header.Get("User-Agent"))
 	})
 	t.Run("what is the system's to set is not taken from callers", func(t *testing.T) {
-		w.call(t, "GET", "/repeat/x", "", "X-Rillreach-Tenant: other", "Hold: 7", "Kv-From: 1.2.3.4:1/2", "Pin-Ms: 5", "Kv-Backup: 1.2.3.4:1",
+		w.send(t, "GET", "/repeat/x", "", "X-Rillreach-Tenant: other", "Hold: 7", "Kv-From: 1.2.3.4:1/2", "Pin-Ms: 5", "Kv-Backup: 1.2.3.4:1",
 			"Cache-Salt: s", "Connection: X-Rillreach-Model", "X-Rillreach-Model: m", "X-Plain: kept")
 		runs := runner.Runs()
 		run := runs[len(runs)-1]
@@ -47,7 +47,7 @@
 		}
 	})
 	t.Run("the runner is told what is left of the time", func(t *testing.T) {
-		w.call(t, "GET", "/repeat/x", "", "X-Rillreach-Deadline-Ms: 90000")
+		w.send(t, "GET", "/repeat/x", "", "X-Rillreach-Deadline-Ms: 90000")
 		runs := runner.Runs()
 		var left int
 		_, err := fmt.Sscan(runs[len(runs)-1].Header.Get("X-Rillreach-Deadline-Ms"), &left)
@@ -56,14 +56,14 @@
 		assert.Positive(t, left)
 	})
 	t.Run("a body in chunks arrives whole", func(t *testing.T) {
-		got := w.call(t, "POST", "/once/c", "", "Transfer-Encoding: chunked", "", "5", "hello", "0", "")
+		got := w.send(t, "POST", "/once/c", "", "Transfer-Encoding: chunked", "", "5", "hello", "0", "")
 		assert.Equal(t, http.StatusOK, got.status)
 		runs := runner.Runs()
 		assert.Equal(t, "hello", runs[len(runs)-1].Body)
 	})
 	t.Run("a request inside another is not run", func(t *testing.T) {
 		before := len(runner.Runs())
-		w.call(t, "POST", "/once/s", "GET /once/smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
+		w.send(t, "POST", "/once/s", "GET /once/smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
 		runs := runner.Runs()
 		require.Len(t, runs, before+1)
 		assert.Equal(t, "/once/s", runs[before].Target)
@@ -72,20 +72,20 @@
 
 func TestOwnAnswers(t *testing.T) {
 	runner := &site.Runner{ID: "r1"}
-	w := begin(t, defaultConfig(), runner)
+	w := startWorld(t, defaultConfig(), runner)
 	defer w.stop()
 
-	t.Run("no route is 404", func(t *testing.T) { assertOwn(t, w.call(t, "GET", "/nowhere/", ""), http.StatusNotFound) })
-	t.Run("an unknown key is 401", func(t *testing.T) { assertOwn(t, w.callWithKey(t, "other"), http.StatusUnauthorized) })
+	t.Run("no route is 404", func(t *testing.T) { assertGatewayAnswer(t, w.send(t, "GET", "/nowhere/", ""), http.StatusNotFound) })
+	t.Run("an unknown key is 401", func(t *testing.T) { assertGatewayAnswer(t, w.getWithKey(t, "other"), http.StatusUnauthorized) })
 	t.Run("a body over the limit is 413", func(t *testing.T) {
-		assertOwn(t, w.call(t, "POST", "/once/", strings.Repeat("x", 70000)), http.StatusRequestEntityTooLarge)
+		assertGatewayAnswer(t, w.send(t, "POST", "/once/", strings.Repeat("x", 70000)), http.StatusRequestEntityTooLarge)
 	})
 	t.Run("a key that is taken away is refused", func(t *testing.T) {
 		config := defaultConfig()
 		config["version"] = 2
 		config["tenants"] = []jsonMap{{"name": "shop", "api_keys": []string{"another"}}}
 		w.store.Put("config", "main", config)
-		w.eventually(t, func() bool { return w.call(t, "GET", "/repeat/", "").status == http.StatusUnauthorized })
+		w.eventually(t, func() bool { return w.send(t, "GET", "/repeat/", "").status == http.StatusUnauthorized })
 	})
 	t.Run("a configuration that cannot be understood leaves the last one", func(t *testing.T) {
 		calls := w.store.Calls()
@@ -95,17 +95,17 @@
 	})
 }
 
-func (w *world) callWithKey(t *testing.T, other string) answer {
+func (w *world) getWithKey(t *testing.T, other string) answer {
 	t.Helper()
-	return w.callAs(t, other, "GET", "/repeat/", "")
+	return w.sendWithKey(t, other, "GET", "/repeat/", "")
 }
 
 func TestReadiness(t *testing.T) {
-	w := begin(t, nil)
+	w := startWorld(t, nil)
 	defer w.stop()
 	w.eventually(t, func() bool { return w.readiness(t) == http.StatusServiceUnavailable })
-	got := w.call(t, "GET", "/repeat/", "")
-	assertOwn(t, got, http.StatusServiceUnavailable)
+	got := w.send(t, "GET", "/repeat/", "")
+	assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
 	assert.NotEmpty(t, got.header.Get("Retry-After"))
 	w.store.Put("config", "main", defaultConfig())
 	w.eventually(t, func() bool { return w.readiness(t) == http.StatusOK })
@@ -114,10 +114,10 @@
 func TestRunnersInTrouble(t *testing.T) {
 	t.Run("a runner that refuses is replaced", func(t *testing.T) {
 		good, full := &site.Runner{ID: "good"}, &site.Runner{ID: "full", Handle: site.Refuse}
-		w := begin(t, defaultConfig(), good, full)
+		w := startWorld(t, defaultConfig(), good, full)
 		defer w.stop()
 		for range 8 {
-			got := w.call(t, "POST", "/once/x", "body")
+			got := w.send(t, "POST", "/once/x", "body")
 			assert.Equal(t, http.StatusOK, got.status)
 		}
 		assert.Len(t, good.Runs(), 8)
@@ -125,47 +125,47 @@
 	t.Run("a request that may have run once is not run again, and no promise is made", func(t *testing.T) {
 		cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 		a, b := &site.Runner{ID: "a", Handle: cut}, &site.Runner{ID: "b", Handle: cut}
-		w := begin(t, defaultConfig(), a, b)
+		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
-		assertOwn(t, w.call(t, "POST", "/once/x", "body"), http.StatusBadGateway)
+		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusBadGateway)
 		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 	})
 	t.Run("a repeatable request moves on once, within the route's number of runners", func(t *testing.T) {
 		cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 		a, b, c := &site.Runner{ID: "a", Handle: cut}, &site.Runner{ID: "b", Handle: cut}, &site.Runner{ID: "c", Handle: cut}
-		w := begin(t, defaultConfig(), a, b, c)
+		w := startWorld(t, defaultConfig(), a, b, c)
 		defer w.stop()
-		assertOwn(t, w.call(t, "GET", "/repeat/x", ""), http.StatusBadGateway)
+		assertGatewayAnswer(t, w.send(t, "GET", "/repeat/x", ""), http.StatusBadGateway)
 		assert.Equal(t, 2, len(a.Runs())+len(b.Runs())+len(c.Runs()))
 	})
 	t.Run("nobody there is told at once as not run", func(t *testing.T) {
-		w := begin(t, defaultConfig())
+		w := startWorld(t, defaultConfig())
 		defer w.stop()
-		got := w.call(t, "POST", "/once/x", "body")
-		assertOwn(t, got, http.StatusServiceUnavailable)
+		got := w.send(t, "POST", "/once/x", "body")
+		assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
 		assert.NotEmpty(t, got.header.Get("Retry-After"))
 	})
 	t.Run("a leaving runner gets nothing new", func(t *testing.T) {
 		stays, leaves := &site.Runner{ID: "stays"}, &site.Runner{ID: "leaves"}
-		w := begin(t, defaultConfig(), stays, leaves)
+		w := startWorld(t, defaultConfig(), stays, leaves)
 		defer w.stop()
-		w.store.Put("servers", "leaves", record(leaves, "draining"))
+		w.store.Put("servers", "leaves", runnerRecord(leaves, "draining"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("leaves").Info().Leaving })
 		before := len(leaves.Runs())
 		for range 6 {
-			w.call(t, "GET", "/repeat/x", "")
+			w.send(t, "GET", "/repeat/x", "")
 		}
 		assert.Len(t, leaves.Runs(), before)
 	})
 	t.Run("another runner at the address does not run the request", func(t *testing.T) {
 		real := &site.Runner{ID: "new"}
-		w := begin(t, defaultConfig())
+		w := startWorld(t, defaultConfig())
 		defer w.stop()
 		real.Start()
 		t.Cleanup(real.Stop)
-		w.store.Put("servers", "old", record(real, "ready"))
+		w.store.Put("servers", "old", runnerRecord(real, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Len() == 1 })
-		assertOwn(t, w.call(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
+		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
 		assert.Empty(t, real.Runs())
 	})
 }
@@ -178,10 +178,10 @@
 		case <-r.Context().Done():
 		}
 	}}
-	w := begin(t, defaultConfig(), hang)
+	w := startWorld(t, defaultConfig(), hang)
 	defer w.stop()
 	defer close(release)
-	assertOwn(t, w.call(t, "GET", "/short/x", ""), http.StatusGatewayTimeout)
+	assertGatewayAnswer(t, w.send(t, "GET", "/short/x", ""), http.StatusGatewayTimeout)
 }
 
 func TestCallerLeaves(t *testing.T) {
@@ -190,9 +190,9 @@
 		<-r.Context().Done()
 		close(left)
 	}}
-	w := begin(t, defaultConfig(), runner)
+	w := startWorld(t, defaultConfig(), runner)
 	defer w.stop()
-	conn, err := net.Dial("tcp", w.callers)
+	conn, err := net.Dial("tcp", w.callerAddress)
 	require.NoError(t, err)
 	_, err = fmt.Fprintf(conn, "GET /repeat/ HTTP/1.1\r\nHost: %s\r\nX-Rillreach-Attempt-Id: a\r\nAuthorization: Bearer %s\r\n\r\n", host, key)
 	require.NoError(t, err)
@@ -200,8 +200,8 @@
 	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
 	select {
 	case <-left:
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatal("the runner still works for a caller that has left")
 	}
-	assert.Error(t, read(t, conn, "GET").err, "nothing that looks like an answer goes out")
+	assert.Error(t, readAnswer(t, conn, "GET").err, "nothing that looks like an answer goes out")
 }
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -14,19 +14,19 @@
 		{Name: "rillreach.config.version", Description: "version of the configuration in force", Read: g.configVersion},
 		{Name: "rillreach.config.age", Description: "seconds since the configuration was known to be the newest", Read: func() float64 { return g.configAge(time.Now()).Seconds() }},
 		{Name: "rillreach.runners", Description: "runners that are listed", Read: func() float64 { return float64(g.state.Roster.Len()) }},
-		{Name: "rillreach.runners.leaving", Description: "listed runners that take nothing new", Read: func() float64 { return g.countRunners(func(v roster.View) bool { return v.Leaving }) }},
-		{Name: "rillreach.runners.avoided", Description: "listed runners that are left alone for their answers", Read: func() float64 { return g.countRunners(func(v roster.View) bool { return v.Ejected }) }},
+		{Name: "rillreach.runners.leaving", Description: "listed runners that take nothing new", Read: func() float64 { return g.countRunnersWhere(func(v roster.View) bool { return v.Leaving }) }},
+		{Name: "rillreach.runners.avoided", Description: "listed runners that are left alone for their answers", Read: func() float64 { return g.countRunnersWhere(func(v roster.View) bool { return v.Ejected }) }},
 		{Name: "rillreach.runners.age", Description: "seconds since the list of runners was known to be complete", Read: func() float64 { return g.listAge(time.Now()).Seconds() }},
-		{Name: "rillreach.runners.cold", Description: "listed runners that get requests by permits alone", Read: func() float64 { return g.countRunners(func(v roster.View) bool { return v.Cold }) }},
-		{Name: "rillreach.runners.limited", Description: "listed runners that name a limit on requests", Read: func() float64 { return g.countRunners(func(v roster.View) bool { return v.Limit.Bounded }) }},
+		{Name: "rillreach.runners.cold", Description: "listed runners that get requests by permits alone", Read: func() float64 { return g.countRunnersWhere(func(v roster.View) bool { return v.Cold }) }},
+		{Name: "rillreach.runners.limited", Description: "listed runners that name a limit on requests", Read: func() float64 { return g.countRunnersWhere(func(v roster.View) bool { return v.Limit.Bounded }) }},
 		{Name: "rillreach.zones.evacuated", Description: "zones whose runners get nothing", Read: func() float64 { return float64(len(g.state.Evacuations())) }},
-		{Name: "rillreach.requests.running", Description: "requests that run", Read: func() float64 { return float64(g.running.Count()) }},
-		{Name: "rillreach.requests.waiting", Description: "prompts that wait at the entry for room at a model engine", Read: func() float64 { return float64(g.line.len()) }},
+		{Name: "rillreach.requests.running", Description: "requests that run", Read: func() float64 { return float64(g.inflight.Count()) }},
+		{Name: "rillreach.requests.waiting", Description: "prompts that wait at the entry for room at a model engine", Read: func() float64 { return float64(g.queue.len()) }},
 		{Name: "rillreach.requests.suspected", Description: "requests that were under way at a runner that ended, and not answered since", Read: g.suspectCount},
 		{Name: "rillreach.requests.quarantined", Description: "requests that are not sent to runners, since runners have ended under them", Read: g.quarantinedCount},
 		{Name: "rillreach.repeats.left", Description: "share of the retry budget that is left, for the service with the least", Read: func() float64 { return g.budgets.Remaining(time.Now()) }},
 		{Name: "rillreach.connections.opened", Description: "connections to runners that were made", Read: func() float64 { return float64(g.pool.Opened.Load()) }},
-		{Name: "rillreach.stores.usable", Description: "stores of KV cache that may be asked now", Read: func() float64 { return float64(g.stores.count(time.Now())) }},
+		{Name: "rillreach.stores.usable", Description: "stores of KV cache that may be asked now", Read: func() float64 { return float64(g.cache.usableStores(time.Now())) }},
 	}...)
 }
 
@@ -55,8 +55,8 @@
 	return 0
 }
 
-// countRunners counts the runners of which something holds.
-func (g *Gateway) countRunners(holds func(roster.View) bool) float64 {
+// countRunnersWhere counts the runners of which something holds.
+func (g *Gateway) countRunnersWhere(holds func(roster.View) bool) float64 {
 	n := 0
 	now := time.Now()
 	for _, r := range g.state.Roster.All() {
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -19,24 +19,24 @@
 
 // handle takes one request of a caller.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
-	g.running.Add()
-	defer g.running.Done()
+	g.inflight.Add()
+	defer g.inflight.Done()
 	x := newExchange(w, r)
 	g.awaitState(r.Context())
 	refusal := g.admit(x)
 	if refusal == nil {
-		refusal = g.take(x)
+		refusal = g.accept(x)
 	}
 	if refusal != nil {
 		g.refuse(x, refusal)
 		return
 	}
-	timed, cancel := context.WithDeadline(r.Context(), x.ends)
+	timed, cancel := context.WithDeadline(r.Context(), x.deadline)
 	defer cancel()
 	ctx, end := context.WithCancelCause(timed)
 	defer end(nil)
-	x.keepPastEnd = context.AfterFunc(g.over, func() { end(errStopping) })
-	defer x.keepPastEnd()
+	x.continuePastShutdown = context.AfterFunc(g.drainCtx, func() { end(errShuttingDown) })
+	defer x.continuePastShutdown()
 	g.serve(ctx, x)
 }
 
@@ -44,44 +44,44 @@
 func (g *Gateway) admit(x *exchange) *refusal {
 	x.config = g.state.Config()
 	if x.config == nil || !g.state.HasSynced() {
-		return notYet
+		return refusedNoConfiguration
 	}
 	if most := x.config.Limits.MaxHeader; most > 0 && headSize(x.request) > most {
-		return headTooLarge
+		return refusedHeadTooLarge
 	}
 	path, _, _ := strings.Cut(x.request.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
 		path = x.request.URL.EscapedPath()
 	}
 	if x.route = x.config.Match(x.request.Host, path); x.route == nil {
-		return unknownRoute
+		return refusedNoRoute
 	}
 	if refusal := x.authenticate(); refusal != nil {
 		return refusal
 	}
-	x.regions, x.limited = deployment.AllowedRegions(x.route, x.account)
-	x.ends = x.arrived.Add(x.route.Timeout)
+	x.regions, x.regionsLimited = deployment.AllowedRegions(x.route, x.account)
+	x.deadline = x.arrived.Add(x.route.Timeout)
 	if x.wire.Patience > 0 && x.wire.Patience < x.route.Timeout {
-		x.ends = x.arrived.Add(x.wire.Patience)
+		x.deadline = x.arrived.Add(x.wire.Patience)
 	}
-	x.service = x.config.Services[g.share(x)]
+	x.service = x.config.Services[g.chooseService(x)]
 	if x.service == nil {
-		return unknownService
+		return refusedUnknownService
 	}
 	g.budgets.RecordRequest(x.arrived, x.service.Name)
 	return nil
 }
 
-// take reads the rest of a request that may run; while the entry stops it decides whether there is time for it.
-func (g *Gateway) take(x *exchange) *refusal {
+// accept reads the rest of a request that may run; while the entry stops it decides whether there is time for it.
+func (g *Gateway) accept(x *exchange) *refusal {
 	if refusal := x.read(); refusal != nil {
 		return refusal
 	}
-	if !g.mayBegin(x) {
-		return crashesRunners
+	if !g.admitsSuspect(x) {
+		return refusedCrashesRunners
 	}
-	if g.leaving.Load() {
-		return g.takeLeaving(x)
+	if g.shuttingDown.Load() {
+		return g.acceptDuringShutdown(x)
 	}
 	return nil
 }
@@ -104,13 +104,13 @@
 	}
 	x.account = x.config.AccountByKey(x.wire.Key)
 	if x.account == nil && !x.route.Public {
-		return unknownKey
+		return refusedUnknownKey
 	}
 	return nil
 }
 
-// share picks one of the route's services by their weights; requests of one conversation stay together.
-func (g *Gateway) share(x *exchange) rillreach.ServiceID {
+// chooseService picks one of the route's services by their weights; requests of one conversation stay together.
+func (g *Gateway) chooseService(x *exchange) rillreach.ServiceID {
 	shares := x.route.WeightedServices
 	if len(shares) == 1 {
 		return shares[0].Service
@@ -119,7 +119,7 @@
 	for _, s := range shares {
 		sum += s.Weight
 	}
-	at := float64(xxhash.Sum64String(conversation(x))) / math.MaxUint64 * sum
+	at := float64(xxhash.Sum64String(conversationID(x))) / math.MaxUint64 * sum
 	for _, s := range shares {
 		if at < s.Weight {
 			return s.Service
@@ -129,8 +129,8 @@
 	return shares[len(shares)-1].Service
 }
 
-// conversation names what the request has in common with those that come back: the last shared part of its prompt.
-func conversation(x *exchange) string {
+// conversationID names what the request has in common with those that come back: the last shared part of its prompt.
+func conversationID(x *exchange) string {
 	if x.wire.Prompt != nil {
 		if shared := x.wire.Prompt.SharedParts(); len(shared) > 0 {
 			return shared[len(shared)-1].ID
@@ -150,27 +150,27 @@
 		return nil
 	}
 	control := http.NewResponseController(x.writer)
-	if err := control.SetReadDeadline(x.ends); err != nil {
-		return unreadable
+	if err := control.SetReadDeadline(x.deadline); err != nil {
+		return refusedBodyUnreadable
 	}
 	body, err := readBody(http.MaxBytesReader(x.writer, r.Body, x.config.Limits.MaxBody), r.ContentLength)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return bodyTooLarge
+		return refusedBodyTooLarge
 	case err != nil:
-		return unreadable
+		return refusedBodyUnreadable
 	}
 	x.call.Body = body
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		return unreadable
+		return refusedBodyUnreadable
 	}
 	return nil
 }
 
 // readBody reads a body whose length may be known.
 func readBody(from io.Reader, length int64) ([]byte, error) {
-	if length <= 0 || length > maxPrepared {
+	if length <= 0 || length > maxPreallocatedBody {
 		return io.ReadAll(from)
 	}
 	body := make([]byte, length)
@@ -178,8 +178,8 @@
 	return body, err
 }
 
-// maxPrepared is the largest body for which memory is taken before it has come, in bytes.
-const maxPrepared = 256 << 10
+// maxPreallocatedBody is the largest body for which memory is taken before it has come, in bytes.
+const maxPreallocatedBody = 256 << 10
 
 // serve tries runners until the request has its answer or none can give it.
 func (g *Gateway) serve(ctx context.Context, x *exchange) {
@@ -197,55 +197,55 @@
 
 // Verdicts on a request whose attempts have failed, where they decide on its answer.
 const (
-	verdictStopping = "stopping"
-	verdictLeft     = "caller-left"
-	verdictTimedOut = "timed-out"
-	verdictNoRunner = "no-runner"
-	// verdictCold says that all runners left are cold and have as much as they bear, verdictLimited that they have as much as the limits that they name
+	verdictStopping   = "stopping"
+	verdictCallerLeft = "caller-left"
+	verdictTimedOut   = "timed-out"
+	verdictNoRunner   = "no-runner"
+	// verdictRunnersCold says that all runners left are cold and have as much as they bear, verdictLimited that they have as much as the limits that they name
 	// allow, verdictResting that they rest, verdictEvacuated that they are in evacuated zones, and verdictElsewhere that they are in regions in which the request may not run.
-	verdictCold      = "runners-cold"
-	verdictLimited   = "runners-limited"
-	verdictResting   = "runners-resting"
-	verdictEvacuated = "zone-evacuated"
-	verdictElsewhere = "region-not-allowed"
+	verdictRunnersCold      = "runners-cold"
+	verdictRunnersLimited   = "runners-limited"
+	verdictRunnersResting   = "runners-resting"
+	verdictZoneEvacuated    = "zone-evacuated"
+	verdictRegionNotAllowed = "region-not-allowed"
 	// verdictNoRoom says that no engine had room in time, verdictBacklog that none will have, for what waits already, and
 	// verdictLeftLine that the request's time or its caller's patience ended before one had.
-	verdictNoRoom   = "no-room"
-	verdictBacklog  = "backlog"
-	verdictLeftLine = "left-while-waiting"
+	verdictNoRoom    = "no-room"
+	verdictBacklog   = "backlog"
+	verdictLeftQueue = "left-while-waiting"
 	// verdictCrashesRunners says that runners have ended under the request.
 	verdictCrashesRunners = "crashes-runners"
 )
 
-// again decides whether another attempt may follow; it returns why not, or nothing.
-func (g *Gateway) again(ctx context.Context, x *exchange) string {
+// checkRetry decides whether another attempt may follow; it returns why not, or nothing.
+func (g *Gateway) checkRetry(ctx context.Context, x *exchange) string {
 	now := time.Now()
 	switch {
-	case g.over.Err() != nil && ctx.Err() != nil:
+	case g.drainCtx.Err() != nil && ctx.Err() != nil:
 		return verdictStopping
 	case x.request.Context().Err() != nil:
-		return verdictLeft
+		return verdictCallerLeft
 	case ctx.Err() != nil:
 		return verdictTimedOut
-	case x.maybeRan && (x.route.AtMostOnce() || x.began && !x.route.Resumable):
+	case x.maybeRan && (x.route.AtMostOnce() || x.headSent && !x.route.Resumable):
 		return "may-have-run"
-	case x.exhausted:
+	case x.noRunnerLeft:
 		return x.reason
-	case x.ends.Sub(now) < leastTime:
+	case x.deadline.Sub(now) < minRemainingTime:
 		return "no-time-left"
 	default:
-		return g.allowed(x, now)
+		return g.checkRetryLimits(x, now)
 	}
 }
 
-// allowed decides whether route and budget leave room for another attempt; it returns why not, or nothing.
-func (g *Gateway) allowed(x *exchange, now time.Time) string {
+// checkRetryLimits decides whether route and budget leave room for another attempt; it returns why not, or nothing.
+func (g *Gateway) checkRetryLimits(x *exchange, now time.Time) string {
 	switch {
-	case x.sends.sent() == 0 && (now.Sub(x.arrived) > connectFor || len(x.sends.asked()) >= maxTried):
+	case x.sends.sent() == 0 && (now.Sub(x.arrived) > maxConnectTime || len(x.sends.asked()) >= maxConnectRunners):
 		return "no-connection"
 	case x.sends.sent() == 0:
 		return ""
-	case !x.mayMove():
+	case !x.mayUseAnotherRunner():
 		return "runners-used"
 	case g.isQuarantined(x):
 		return verdictCrashesRunners
@@ -257,12 +257,12 @@
 }
 
 const (
-	// leastTime is the time under which another attempt cannot succeed.
-	leastTime = 10 * time.Millisecond
-	// connectFor bounds the search for a runner that takes a connection.
-	connectFor = 600 * time.Millisecond
-	// maxTried bounds how many runners are asked for a connection.
-	maxTried = 6
+	// minRemainingTime is the time under which another attempt cannot succeed.
+	minRemainingTime = 10 * time.Millisecond
+	// maxConnectTime bounds the search for a runner that takes a connection.
+	maxConnectTime = 600 * time.Millisecond
+	// maxConnectRunners bounds how many runners are asked for a connection.
+	maxConnectRunners = 6
 )
 
 // directions are what goes to the runner beside the caller's own header.
@@ -270,7 +270,7 @@
 	d := &platform.Directions{
 		Runner:    t.view.ID,
 		Account:   x.accountName(),
-		Remaining: time.Until(x.ends),
+		Remaining: time.Until(x.deadline),
 		DropKey:   !x.route.Public || x.account != nil,
 		LastEvent: x.lastEvent,
 	}
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -61,7 +61,7 @@
 	}
 	g, now := a.gateway, time.Now()
 	x := a.exchange.fork()
-	if !x.mayMove() || g.mayEndMore(x) || !g.budgets.Allows(now, x.service.Name) { // asked first: a stream of a busy runner comes here with each event
+	if !x.mayUseAnotherRunner() || g.mayReachCrashLimit(x) || !g.budgets.Allows(now, x.service.Name) { // asked first: a stream of a busy runner comes here with each event
 		return false
 	}
 	o := g.options(x, g.viewsAt(now), now)
@@ -114,7 +114,7 @@
 	if h.reason == hedgeLoading {
 		h.first.spared.Store(true)
 	}
-	h.first.cancel(errAnotherAnswers)
+	h.first.cancel(errSecondAttemptAnswers)
 }
 
 // answers has the request answered by the second attempt, or by a third in its place.
@@ -138,7 +138,7 @@
 		return
 	}
 	h.attempt.spared.Store(true)
-	h.attempt.cancel(errNotNeeded)
+	h.attempt.cancel(errSecondAttemptNotNeeded)
 }
 
 // wait returns once the second attempt answers or is given up; it reports whether it answers.
@@ -204,7 +204,7 @@
 	if h == nil {
 		return nil
 	}
-	if x.mayMove() {
+	if x.mayUseAnotherRunner() {
 		h.attempt.silence.begin(firstWordAfter(x.route)) // nobody else bounds its silence any more
 	}
 	won := h.wait()
@@ -235,18 +235,18 @@
 // answer whole, or as much as is held of one. It reports whether it can.
 func (a *attempt) answers() bool {
 	x, status := a.exchange, a.answer.Response.StatusCode
-	if status >= failureStatus || a.isStream() && !a.goesOn() {
+	if status >= minFailureStatus || a.isEventStream() && !a.canContinue() {
 		x.maybeRan, x.reason = true, "runner-failed"
 		return false
 	}
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferSize)
 	for !a.readEnough() {
 		n, err := a.readAnswer(buf)
 		a.ahead.Write(buf[:n])
-		if isEnd(err) {
+		if isCompleteAnswer(err) {
 			break
 		}
-		if err == nil && a.ahead.Len() > maxEvent && !a.readEnough() {
+		if err == nil && a.ahead.Len() > maxEventSize && !a.readEnough() {
 			err = errEventTooLarge
 		}
 		if err != nil {
@@ -260,10 +260,10 @@
 // readEnough reports that what was read of the answer shows that it can be passed on. A stream's first event does, also where nothing
 // goes out before the stream is whole: two runners must not work on it for long.
 func (a *attempt) readEnough() bool {
-	if a.isStream() {
+	if a.isEventStream() {
 		return bytes.Contains(a.ahead.Bytes(), eventEnd)
 	}
-	return a.ahead.Len() > maxHeld
+	return a.ahead.Len() > maxBufferedAnswer
 }
 
 // request is the request that the attempt answers: a second attempt takes over the first's.
@@ -275,7 +275,7 @@
 
 // joins reports that the stream can go on with this attempt's events: it is known which of them a caller has who has those up to the given.
 func (a *attempt) joins(lastEvent string) bool {
-	return a.exchange.lastEvent == lastEvent || isNumber(lastEvent)
+	return a.exchange.lastEvent == lastEvent || isNumericID(lastEvent)
 }
 
 // takeOver has the attempt answer the request that it worked on a copy of.
@@ -283,11 +283,11 @@
 	if a.exchange.lastEvent != x.lastEvent {
 		a.had = x.lastEvent
 	}
-	x.waited = a.exchange.waited
+	x.firstTokenWait = a.exchange.firstTokenWait
 	a.mu.Lock()
 	a.exchange = x
 	a.mu.Unlock()
-	if x.mayMove() {
+	if x.mayUseAnotherRunner() {
 		a.silence.begin(a.silence.allowed)
 	}
 }
--- a/gateway/hedge_test.go
+++ b/gateway/hedge_test.go
@@ -82,14 +82,14 @@
 		t.Run("a stream, where "+other.name, func(t *testing.T) {
 			w := silentWorld(t, pauses, other.answers)
 			defer w.stop()
-			got := w.call(t, "POST", "/stream/x", "prompt")
+			got := w.send(t, "POST", "/stream/x", "prompt")
 			require.NoError(t, got.err, "the answer of a runner that was only slow was cut")
-			assert.Equal(t, pieces(streamed), got.body)
+			assert.Equal(t, eventsUpTo(streamed), got.body)
 		})
 		t.Run("a request without an answer so far, where "+other.name, func(t *testing.T) {
 			w := silentWorld(t, sleeps, other.answers)
 			defer w.stop()
-			got := w.call(t, "GET", "/repeat/x", "")
+			got := w.send(t, "GET", "/repeat/x", "")
 			require.NoError(t, got.err)
 			assert.Equal(t, "late and whole", got.body)
 		})
@@ -108,7 +108,7 @@
 		for range runners {
 			select {
 			case <-left:
-			case <-time.After(wait):
+			case <-time.After(testTimeout):
 				t.Fatal("a runner still holds the request")
 			}
 		}
@@ -124,12 +124,12 @@
 		defer w.stop()
 		holds := make(chan struct{})
 		loads.Handle = pausesAfterFive(w, holds)
-		conn := w.prompt(t, "/prompt/x")
+		conn := w.sendPrompt(t, "/prompt/x")
 		assertLeft(t, 1)
 		close(holds)
-		got := read(t, conn, "POST")
+		got := readAnswer(t, conn, "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, eventsUpTo(streamed), got.body)
 	})
 	t.Run("at both runners, where the caller leaves", func(t *testing.T) {
 		var asked atomic.Int64
@@ -139,7 +139,7 @@
 		})
 		defer w.stop()
 		conn := w.dial(t)
-		w.ask(t, conn, "/stream/x")
+		w.sendGet(t, conn, "/stream/x")
 		w.eventually(t, func() bool { return asked.Load() == 1 })
 		require.NoError(t, conn.Close())
 		assertLeft(t, 2)
@@ -155,9 +155,9 @@
 		third.ID, third.Handle = "third", site.Refuse
 		w.addEngine(t, third)
 		report(w, "third", deployment.Load{Running: 60, UsedTokens: 3000})
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, eventsUpTo(streamed), got.body)
 		assert.Len(t, loads.Runs(), 1)
 		assert.LessOrEqual(t, len(other.Runs())+len(third.Runs()), 1, "the route allows two runners")
 	})
@@ -167,7 +167,7 @@
 		for w.gateway.budgets.TrySpend(time.Now(), "e") {
 			continue
 		}
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
 		assert.Len(t, loads.Runs(), 1)
 		assert.Empty(t, other.Runs())
@@ -180,7 +180,7 @@
 		var second atomic.Int64
 		w := silentWorld(t, late, func(http.ResponseWriter, *http.Request) { second.Add(1) })
 		defer w.stop()
-		got := w.call(t, "POST", "/once/x", "order")
+		got := w.send(t, "POST", "/once/x", "order")
 		require.NoError(t, got.err)
 		assert.Equal(t, "once", got.body)
 		assert.Zero(t, second.Load())
@@ -189,11 +189,11 @@
 
 // TestConnectionIsKept: a connection to a runner costs it a place, and a caller a round trip.
 func TestConnectionIsKept(t *testing.T) {
-	w := begin(t, defaultConfig(), &site.Runner{ID: "a"})
+	w := startWorld(t, defaultConfig(), &site.Runner{ID: "a"})
 	defer w.stop()
 	for range 5 {
-		require.NoError(t, w.call(t, "GET", "/repeat/x", "").err)
-		require.NoError(t, w.call(t, "POST", "/once/x", "order").err)
+		require.NoError(t, w.send(t, "GET", "/repeat/x", "").err)
+		require.NoError(t, w.send(t, "POST", "/once/x", "order").err)
 	}
 	assert.Equal(t, int64(1), w.gateway.pool.Opened.Load(), "each request took a connection of its own")
 }
@@ -227,7 +227,7 @@
 			site.Events(rw, r, last, 0)
 		}
 	}
-	w = enginesWorld(t, loads, other)
+	w = startWithEngines(t, loads, other)
 	report(w, "other", deployment.Load{Running: 60, UsedTokens: 3000})
 	return w, loads, other
 }
@@ -247,15 +247,15 @@
 }
 
 func report(w *world, id rillreach.InstanceID, load deployment.Load) {
-	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
+	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(testTimeout)})
 }
 
 // assertWholeBeside checks that a stream of the first engine is whole though the other was asked to go on with it.
 func assertWholeBeside(t *testing.T, w *world, loads, other *site.Engine) {
 	t.Helper()
-	got := read(t, w.prompt(t, "/prompt/x"), "POST")
+	got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 	require.NoError(t, got.err, "the answer was cut though its runner was answering it")
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, eventsUpTo(streamed), got.body)
 	assert.Len(t, loads.Runs(), 1)
 	require.Len(t, other.Runs(), 1, "the other runner was not asked")
 }
@@ -270,11 +270,11 @@
 func silentWorldAt(t *testing.T, config jsonMap, first, second http.HandlerFunc) *world {
 	t.Helper()
 	a, b := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: second}
-	w := begin(t, config, a)
+	w := startWorld(t, config, a)
 	b.Start()
 	t.Cleanup(b.Stop)
 	a.Handle = func(rw http.ResponseWriter, r *http.Request) {
-		w.store.Put("servers", "b", record(b, "ready"))
+		w.store.Put("servers", "b", runnerRecord(b, "ready"))
 		first(rw, r)
 	}
 	return w
--- a/gateway/idle.go
+++ b/gateway/idle.go
@@ -7,114 +7,114 @@
 	"time"
 )
 
-// idleKeeper closes callers' connections that rest, or take for the head of a request, longer than the configuration in force
+// idleCloser closes callers' connections that rest, or take for the head of a request, longer than the configuration in force
 // allows. The server's own time-outs are fixed when it starts, before any configuration is known. Exported fields are set before
 // use.
-type idleKeeper struct {
-	// Allowed is how long a connection may rest now, AllowedHead how long a head may take from its first byte on.
-	Allowed     func() time.Duration
-	AllowedHead func() time.Duration
+type idleCloser struct {
+	// IdleTimeout is how long a connection may rest now, AllowedHead how long a head may take from its first byte on.
+	IdleTimeout func() time.Duration
+	HeadTimeout func() time.Duration
 
 	mu    sync.Mutex
-	idles map[net.Conn]*idle
+	conns map[net.Conn]*idleConn
 }
 
-// idle is the time of one connection without a request that has been read.
-type idle struct {
+// idleConn is the time of one connection without a request that has been read.
+type idleConn struct {
 	since time.Time
 	timer *time.Timer
-	// head says that a request has begun to come.
-	head bool
+	// readingHead says that a request has begun to come.
+	readingHead bool
 }
 
 // connState is told of each change of a caller's connection.
-func (k *idleKeeper) connState(c net.Conn, state http.ConnState) {
+func (k *idleCloser) connState(c net.Conn, state http.ConnState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.forget(c)
+	k.remove(c)
 	if state != http.StateNew && state != http.StateIdle {
 		return
 	}
-	if k.idles == nil {
-		k.idles = map[net.Conn]*idle{}
+	if k.conns == nil {
+		k.conns = map[net.Conn]*idleConn{}
 	}
-	r := &idle{since: time.Now()}
-	r.timer = time.AfterFunc(k.Allowed(), func() { k.end(c, r) })
-	k.idles[c] = r
+	r := &idleConn{since: time.Now()}
+	r.timer = time.AfterFunc(k.IdleTimeout(), func() { k.expire(c, r) })
+	k.conns[c] = r
 }
 
-// forget ends the connection's rest; the lock is held.
-func (k *idleKeeper) forget(c net.Conn) {
-	if r := k.idles[c]; r != nil {
+// remove ends the connection's rest; the lock is held.
+func (k *idleCloser) remove(c net.Conn) {
+	if r := k.conns[c]; r != nil {
 		r.timer.Stop()
-		delete(k.idles, c)
+		delete(k.conns, c)
 	}
 }
 
-// sawByte records that a byte has come on the connection, which may be the first of a request: the server itself tells of a
+// recordRead records that a byte has come on the connection, which may be the first of a request: the server itself tells of a
 // request only once it has read the whole head.
-func (k *idleKeeper) sawByte(c net.Conn) {
+func (k *idleCloser) recordRead(c net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if r := k.idles[c]; r != nil && !r.head {
-		r.head, r.since = true, time.Now()
-		r.timer.Reset(k.AllowedHead())
+	if r := k.conns[c]; r != nil && !r.readingHead {
+		r.readingHead, r.since = true, time.Now()
+		r.timer.Reset(k.HeadTimeout())
 	}
 }
 
-// left is how much longer the connection may stay as it is.
-func (k *idleKeeper) left(r *idle) time.Duration {
-	allowed := k.Allowed
-	if r.head {
-		allowed = k.AllowedHead
+// remaining is how much longer the connection may stay as it is.
+func (k *idleCloser) remaining(r *idleConn) time.Duration {
+	allowed := k.IdleTimeout
+	if r.readingHead {
+		allowed = k.HeadTimeout
 	}
 	return allowed() - time.Since(r.since)
 }
 
-// end closes a connection whose time is over by the configuration in force now, unless a request has come meanwhile.
-func (k *idleKeeper) end(c net.Conn, mine *idle) {
+// expire closes a connection whose time is over by the configuration in force now, unless a request has come meanwhile.
+func (k *idleCloser) expire(c net.Conn, mine *idleConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.idles[c] != mine {
+	if k.conns[c] != mine {
 		return
 	}
-	if left := k.left(mine); left > 0 {
+	if left := k.remaining(mine); left > 0 {
 		mine.timer.Reset(left)
 		return
 	}
-	delete(k.idles, c)
+	delete(k.conns, c)
 	_ = c.Close() // the caller has gone or stays silent: no whole request is lost with it
 }
 
-// closeResting closes the connections on which no request has begun to come, and reports how many are in the middle of one's head.
-func (k *idleKeeper) closeResting() (heads int) {
+// closeIdle closes the connections on which no request has begun to come, and reports how many are in the middle of one's head.
+func (k *idleCloser) closeIdle() (heads int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for c, r := range k.idles {
-		if r.head {
+	for c, r := range k.conns {
+		if r.readingHead {
 			heads++
 			continue
 		}
 		r.timer.Stop()
-		delete(k.idles, c)
+		delete(k.conns, c)
 		_ = c.Close() // nothing was read on it
 	}
 	return heads
 }
 
-// idleAllowed is how long a caller's connection may rest: what the configuration promises, and a little more, since the
+// callerIdleTimeout is how long a caller's connection may rest: what the configuration promises, and a little more, since the
 // caller may just be sending its next request.
-func (g *Gateway) idleAllowed() time.Duration {
+func (g *Gateway) callerIdleTimeout() time.Duration {
 	if c := g.state.Config(); c != nil && c.Limits.IdleTimeout > 0 {
-		return c.Limits.IdleTimeout + idleSlack
+		return c.Limits.IdleTimeout + connTimeoutSlack
 	}
-	return defaultIdle + idleSlack
+	return defaultIdleTimeout + connTimeoutSlack
 }
 
-// headAllowed is how long the head of a request may take: what the configuration allows, and a little more.
-func (g *Gateway) headAllowed() time.Duration {
+// callerHeadTimeout is how long the head of a request may take: what the configuration allows, and a little more.
+func (g *Gateway) callerHeadTimeout() time.Duration {
 	if c := g.state.Config(); c != nil && c.Limits.HeaderTimeout > 0 {
-		return min(c.Limits.HeaderTimeout+idleSlack, mostHeaderTimeout)
+		return min(c.Limits.HeaderTimeout+connTimeoutSlack, maxHeaderTimeout)
 	}
-	return mostHeaderTimeout
+	return maxHeaderTimeout
 }
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -42,9 +42,9 @@
 	t.Helper()
 	stop := load(leavingEvery, []*world{w}, send)
 	defer stop()
-	require.Eventually(t, func() bool { return l.reached.len() > 0 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return l.reached.len() > 0 }, testTimeout, time.Millisecond)
 	l.leaves.Store(true)
-	require.Eventually(t, func() bool { return l.told.Load() != 0 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return l.told.Load() != 0 }, testTimeout, time.Millisecond)
 	meanwhile()
 	time.Sleep(leavingBound + leavingFor)
 	late := 0
@@ -61,19 +61,19 @@
 	whole := func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "leaves") }
 	call := func(t *testing.T, path string) func(*world) {
 		t.Helper()
-		return func(w *world) { w.call(t, "POST", path, "body") }
+		return func(w *world) { w.send(t, "POST", path, "body") }
 	}
 	t.Run("by its answers", func(t *testing.T) {
 		t.Parallel()
 		l := leavingRunner{answer: whole}
-		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertLeft(t, &l, w, call(t, "/once/x"), func() {})
 	})
 	t.Run("by a refusal", func(t *testing.T) {
 		t.Parallel()
 		l := leavingRunner{answer: site.Refuse}
-		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertLeft(t, &l, w, call(t, "/repeat/x"), func() {})
 	})
@@ -81,7 +81,7 @@
 		t.Parallel()
 		l := leavingRunner{answer: func(w http.ResponseWriter, req *http.Request) { site.Events(w, req, 2, 0) }}
 		sound := &site.Runner{ID: "sound", Handle: func(w http.ResponseWriter, req *http.Request) { site.Events(w, req, 2, 0) }}
-		w := begin(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, sound)
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, sound)
 		defer w.stop()
 		assertLeft(t, &l, w, call(t, "/flow/x"), func() {})
 	})
@@ -89,10 +89,10 @@
 		t.Parallel()
 		l := leavingRunner{answer: whole}
 		leaving := &site.Runner{ID: "leaves", Handle: l.handle}
-		w := begin(t, defaultConfig(), leaving, &site.Runner{ID: "sound"})
+		w := startWorld(t, defaultConfig(), leaving, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertLeft(t, &l, w, call(t, "/once/x"), func() {
-			again := record(leaving, "ready")
+			again := runnerRecord(leaving, "ready")
 			again["slots"] = 7
 			w.store.Put("servers", leaving.ID, again)
 		})
@@ -101,20 +101,20 @@
 		t.Parallel()
 		l := leavingRunner{answer: whole}
 		leaving := &site.Runner{ID: "leaves", Handle: l.handle}
-		w := begin(t, defaultConfig(), leaving)
+		w := startWorld(t, defaultConfig(), leaving)
 		defer w.stop()
-		listed := record(leaving, "ready")
+		listed := runnerRecord(leaving, "ready")
 		listed["born"] = earlier
 		w.store.Put("servers", leaving.ID, listed)
 		l.leaves.Store(true)
 		w.eventually(t, func() bool {
-			w.call(t, "POST", "/once/x", "body")
+			w.send(t, "POST", "/once/x", "body")
 			return w.gateway.state.Roster.Find("leaves").View(time.Now()).Leaving
 		})
 		l.leaves.Store(false)
-		restarted := record(leaving, "ready")
+		restarted := runnerRecord(leaving, "ready")
 		restarted["born"] = later
 		w.store.Put("servers", leaving.ID, restarted)
-		w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
+		w.eventually(t, func() bool { return w.send(t, "POST", "/once/x", "body").status == http.StatusOK })
 	})
 }
--- a/gateway/left_out.go
+++ b/gateway/left_out.go
@@ -65,23 +65,23 @@
 
 // refuse records why the request has no runner, where no other was left, and when its caller may come back.
 func (l *leftOut) refuse(x *exchange) (verdict string) {
-	x.comeBack, x.notBefore = 0, time.Time{}
+	x.admissionWait, x.retryNotBefore = 0, time.Time{}
 	switch {
 	case l.cold > 0:
-		x.comeBack = coldComeBack
-		return verdictCold
+		x.admissionWait = coldComeBack
+		return verdictRunnersCold
 	case l.limited > 0:
-		x.comeBack = l.nextUnderLimit()
-		return verdictLimited
+		x.admissionWait = l.nextUnderLimit()
+		return verdictRunnersLimited
 	case l.resting > 0:
-		x.notBefore = l.restEnds
-		return verdictResting
+		x.retryNotBefore = l.restEnds
+		return verdictRunnersResting
 	case l.evacuated > 0:
-		x.comeBack = evacuationComeBack
-		return verdictEvacuated
+		x.admissionWait = evacuationComeBack
+		return verdictZoneEvacuated
 	case l.elsewhere > 0:
-		x.comeBack = evacuationComeBack
-		return verdictElsewhere
+		x.admissionWait = evacuationComeBack
+		return verdictRegionNotAllowed
 	default:
 		return verdictNoRunner
 	}
--- a/gateway/limit_reporter.go
+++ b/gateway/limit_reporter.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// limitReportEvery is how often limits are reported of which there is something to report.
-	limitReportEvery = 500 * time.Millisecond
-	// limitLookEvery is how often permits are given where no agent allots them.
-	limitLookEvery = 100 * time.Millisecond
+	// limitReportInterval is how often limits are reported of which there is something to report.
+	limitReportInterval = 500 * time.Millisecond
+	// permitInterval is how often permits are given where no agent allots them.
+	permitInterval = 100 * time.Millisecond
 )
 
 // limitReporter reports the limits of runners to the agents that share them out: for an engine the one beside it, for any other runner one that is
@@ -26,9 +26,9 @@
 type limitReporter struct {
 	gateway *Gateway
 	pool    *peer.Pool
-	agents  *agents
+	agents  *agentFollower
 
-	reported time.Time
+	lastReport time.Time
 }
 
 // Name is the controller's name.
@@ -41,21 +41,21 @@
 		changed := l.gateway.limited.changed.Wait()
 		now := time.Now()
 		runners := l.gateway.limited.current(&l.gateway.state.Roster, now)
-		l.space(runners, now)
-		if woken || now.Sub(l.reported) >= limitReportEvery {
-			l.reported = now
+		l.pacePermits(runners, now)
+		if woken || now.Sub(l.lastReport) >= limitReportInterval {
+			l.lastReport = now
 			l.report(ctx, l.gateway.limited.unreported(runners, now), now)
 		}
-		woken = l.await(ctx, len(runners) > 0, changed)
+		woken = l.waitForNext(ctx, len(runners) > 0, changed)
 	}
 	return nil
 }
 
-// await waits until the limits are to be looked at again, and reports whether one has changed.
-func (l *limitReporter) await(ctx context.Context, some bool, changed <-chan struct{}) bool {
+// waitForNext waits until the limits are to be looked at again, and reports whether one has changed.
+func (l *limitReporter) waitForNext(ctx context.Context, some bool, changed <-chan struct{}) bool {
 	var next <-chan time.Time
 	if some {
-		timer := time.NewTimer(limitLookEvery)
+		timer := time.NewTimer(permitInterval)
 		defer timer.Stop()
 		next = timer.C
 	}
@@ -68,12 +68,12 @@
 	return false
 }
 
-// space gives permits for runners whose agent is silent.
-func (l *limitReporter) space(runners []*roster.Runner, now time.Time) {
+// pacePermits gives permits for runners whose agent is silent.
+func (l *limitReporter) pacePermits(runners []*roster.Runner, now time.Time) {
 	g := l.gateway
 	for _, r := range runners {
 		if r.PaceLimitPermits(now, g.budgets.Entries(), rand.Float64()) {
-			g.line.changed()
+			g.queue.changed()
 		}
 	}
 }
@@ -83,10 +83,10 @@
 	if len(runners) == 0 {
 		return
 	}
-	live := l.agents.live(l.gateway.Clock.Now())
+	live := l.agents.liveAgents(l.gateway.Clock.Now())
 	byAgent := map[netip.AddrPort][]*roster.Runner{}
 	for _, r := range runners {
-		if agent, ok := l.agents.allotterOf(r, live); ok {
+		if agent, ok := l.agents.allocatorOf(r, live); ok {
 			byAgent[agent] = append(byAgent[agent], r)
 		}
 	}
@@ -104,7 +104,7 @@
 	g := l.gateway
 	var report bulletin.LimitReport
 	for _, r := range runners {
-		o, known := g.stores.clock.toShared(r.Limit(), now)
+		o, known := g.cache.clock.toShared(r.Limit(), now)
 		if !known {
 			return
 		}
--- a/gateway/line.go
+++ b/gateway/line.go
@@ -112,7 +112,7 @@
 	case <-ctx.Done():
 	}
 	if l.leave(w) {
-		return nil, verdictLeftLine
+		return nil, verdictLeftQueue
 	}
 	d := <-w.decided // it was decided just now
 	return d.target, d.verdict
@@ -217,7 +217,7 @@
 		*o.views[choice.Index] = t.runner.View(now) // the next request finds less room there
 		return decision{target: t}, true
 	case w.request.MissesDeadline(now):
-		x.comeBack = drain
+		x.admissionWait = drain
 		return decision{verdict: verdictNoRoom}, true
 	case room >= 0 && claimed != nil:
 		claimed[o.runners[room]] = true
--- a/gateway/line_test.go
+++ b/gateway/line_test.go
@@ -26,36 +26,36 @@
 		t.Helper()
 		engine := &site.Engine{Model: site.Model, Version: 1}
 		engine.ID = "e"
-		w := enginesWorld(t, engine)
+		w := startWithEngines(t, engine)
 		w.report("e", fullEngine)
 		return w, engine
 	}
 	t.Run("it is sent once there is room", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
-		conn := w.prompt(t, "/prompt/x")
-		w.eventually(t, func() bool { return w.gateway.line.len() == 1 })
+		conn := w.sendPrompt(t, "/prompt/x")
+		w.eventually(t, func() bool { return w.gateway.queue.len() == 1 })
 		assert.Empty(t, engine.Runs())
 		w.report("e", deployment.Load{})
-		got := read(t, conn, "POST")
+		got := readAnswer(t, conn, "POST")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 	})
 	t.Run("one whose caller leaves is sent nowhere", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
-		conn := w.prompt(t, "/prompt/x")
-		w.eventually(t, func() bool { return w.gateway.line.len() == 1 })
+		conn := w.sendPrompt(t, "/prompt/x")
+		w.eventually(t, func() bool { return w.gateway.queue.len() == 1 })
 		require.NoError(t, conn.Close())
-		w.eventually(t, func() bool { return w.gateway.line.len() == 0 })
+		w.eventually(t, func() bool { return w.gateway.queue.len() == 0 })
 		w.report("e", deployment.Load{})
 		assert.Empty(t, engine.Runs())
 	})
 	t.Run("where no room comes it is refused as not run, with a time to come back", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
-		assertOwn(t, got, http.StatusServiceUnavailable)
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
+		assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		assert.Positive(t, after)
@@ -65,8 +65,8 @@
 
 // report has the engine's agent say how it is.
 func (w *world) report(id rillreach.InstanceID, load deployment.Load) {
-	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
-	w.gateway.line.changed()
+	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(testTimeout)})
+	w.gateway.queue.changed()
 }
 
 // TestBacklogRefusesAtOnce: what waits already keeps a prompt from an engine until its caller has gone, so that it isn't held.
@@ -75,24 +75,24 @@
 		g, x := beforeEngines(1)
 		g.state.Roster.Find("r0").SetReport(roster.Report{Load: deployment.Load{Running: 1, UsedTokens: 70000}, ReceivedAt: time.Now().Add(time.Hour)})
 		now := time.Now()
-		x.arrived, x.ends = now, now.Add(3*time.Second)
-		g.line.backlog.Record(now, 3000) // 1,000 tokens a second
+		x.arrived, x.deadline = now, now.Add(3*time.Second)
+		g.queue.backlog.Record(now, 3000) // 1,000 tokens a second
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		first := make(chan string, 1)
 		go func() {
-			_, verdict := g.line.admit(ctx, x)
+			_, verdict := g.queue.admit(ctx, x)
 			first <- verdict
 		}()
 		synctest.Wait()
-		require.Equal(t, 1, g.line.len(), "nothing waits before the first")
+		require.Equal(t, 1, g.queue.len(), "nothing waits before the first")
 		second := *x
-		_, verdict := g.line.admit(ctx, &second)
+		_, verdict := g.queue.admit(ctx, &second)
 		assert.Equal(t, verdictBacklog, verdict)
 		assert.Equal(t, now, time.Now(), "the refusal took no time")
-		assert.InDelta(t, 12.2, second.comeBack.Seconds(), 0.1)
+		assert.InDelta(t, 12.2, second.admissionWait.Seconds(), 0.1)
 		cancel()
-		assert.Equal(t, verdictLeftLine, <-first)
+		assert.Equal(t, verdictLeftQueue, <-first)
 	})
 }
 
@@ -109,7 +109,7 @@
 		ctx := t.Context()
 		admitted := make(chan string, 2)
 		wait := func(name string, x *exchange) {
-			if target, _ := g.line.admit(ctx, x); target != nil {
+			if target, _ := g.queue.admit(ctx, x); target != nil {
 				admitted <- name
 			}
 		}
@@ -118,13 +118,13 @@
 		small.arrived = small.arrived.Add(time.Millisecond)
 		go wait("small", &small)
 		synctest.Wait()
-		require.Equal(t, 2, g.line.len())
+		require.Equal(t, 2, g.queue.len())
 		report(50000) // room for the small one alone
-		g.line.look(time.Now())
+		g.queue.look(time.Now())
 		synctest.Wait()
 		assert.Empty(t, admitted)
 		report(1000)
-		g.line.look(time.Now())
+		g.queue.look(time.Now())
 		assert.Equal(t, "large", <-admitted)
 	})
 }
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -14,8 +14,8 @@
 type callerListener struct {
 	node.Listener
 
-	idles *idleKeeper
-	log   logr.Logger
+	idleConns *idleCloser
+	log       logr.Logger
 }
 
 // Accept waits for the next connection.
@@ -24,23 +24,23 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := forward.SetUserTimeout(c, callerTimeout); err != nil {
+	if err := forward.SetUserTimeout(c, callerUserTimeout); err != nil {
 		d.log.Error(err, "caller's connection has no user time-out")
 	}
-	return &callerConn{Conn: c, idles: d.idles}, nil
+	return &callerConn{Conn: c, idleConns: d.idleConns}, nil
 }
 
 // callerConn is a caller's connection that tells when something comes.
 type callerConn struct {
 	net.Conn
-	idles *idleKeeper
+	idleConns *idleCloser
 }
 
 // Read reads and ends the connection's rest.
 func (c *callerConn) Read(buf []byte) (int, error) {
 	n, err := c.Conn.Read(buf)
 	if n > 0 {
-		c.idles.sawByte(c)
+		c.idleConns.recordRead(c)
 	}
 	return n, err
 }
--- a/gateway/loads_soon_test.go
+++ b/gateway/loads_soon_test.go
@@ -38,24 +38,24 @@
 	}
 	soon := &site.Engine{Model: site.Model, Version: 1}
 	soon.ID = "soon"
-	w := enginesWorld(t, loads)
+	w := startWithEngines(t, loads)
 	defer w.stop()
-	conn := w.prompt(t, "/prompt/x")
+	conn := w.sendPrompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
 	w.addEngine(t, soon)
-	later := time.Now().Add(wait) // the age of these reports stays below zero
+	later := time.Now().Add(testTimeout) // the age of these reports stays below zero
 	w.gateway.state.Roster.Find("soon").SetReport(roster.Report{ReceivedAt: later, WeightLoadAt: time.Now()})
 	w.gateway.state.Roster.Find("loads").SetReport(roster.Report{ReceivedAt: later, Load: deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true}})
 	close(announced)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
-	begun := make([]byte, len(pieces(5)))
+	begun := make([]byte, len(eventsUpTo(5)))
 	_, err = io.ReadFull(resp.Body, begun)
 	require.NoError(t, err)
 	close(last)
 	rest, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	assert.Equal(t, pieces(6), string(begun)+string(rest))
+	assert.Equal(t, eventsUpTo(6), string(begun)+string(rest))
 	assert.Empty(t, soon.Runs())
 }
 
@@ -64,7 +64,7 @@
 	avoids := func(change func(*Gateway, *exchange, *roster.Report)) bool {
 		g, x := beforeEngines(1)
 		now := time.Now()
-		x.began = true
+		x.headSent = true
 		report := roster.Report{ReceivedAt: now}
 		change(g, x, &report)
 		g.state.Roster.Find("r0").SetReport(report)
@@ -97,6 +97,6 @@
 		assert.False(t, avoids(name(1)))
 	})
 	t.Run("a request that has not begun takes any", func(t *testing.T) {
-		assert.False(t, avoids(func(_ *Gateway, x *exchange, r *roster.Report) { x.began, r.WeightLoadAt = false, r.ReceivedAt }))
+		assert.False(t, avoids(func(_ *Gateway, x *exchange, r *roster.Report) { x.headSent, r.WeightLoadAt = false, r.ReceivedAt }))
 	})
 }
--- a/gateway/local_zone.go
+++ b/gateway/local_zone.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// localFrom is how many engines a zone needs for its entries to hear little of those in others, and localUntil with how many it no longer
+	// minLocalEngines is how many engines a zone needs for its entries to hear little of those in others, and localUntil with how many it no longer
 	// has enough. Among so many, one that is free or holds a prompt's parts is nearly always there, and what all entries hear of what all
 	// engines hold grows with the square of a deployment.
-	localFrom  = 24
-	localUntil = 16
+	minLocalEngines    = 24
+	minRetainedEngines = 16
 )
 
 // localServices are the services of which the entry's own zone has engines enough; the zero value has none.
 type localServices struct {
-	mu     sync.Mutex
-	enough map[rillreach.ServiceID]bool
+	mu    sync.Mutex
+	local map[rillreach.ServiceID]bool
 }
 
 // update counts the engines of each service in the zone.
@@ -29,13 +29,13 @@
 	defer l.mu.Unlock()
 	enough := map[rillreach.ServiceID]bool{}
 	for service, group := range groups {
-		least := localFrom
-		if l.enough[service] {
-			least = localUntil
+		least := minLocalEngines
+		if l.local[service] {
+			least = minRetainedEngines
 		}
-		enough[service] = countIn(group, zone) >= least
+		enough[service] = countAvailable(group, zone) >= least
 	}
-	l.enough = enough
+	l.local = enough
 }
 
 // updateLocalServices counts the engines of the entry's own zone, none of which can be used while it is evacuated.
@@ -43,11 +43,11 @@
 	if g.state.Evacuations().Has(g.Settings.Zone) {
 		groups = nil
 	}
-	g.local.update(groups, g.Settings.Zone)
+	g.localServices.update(groups, g.Settings.Zone)
 }
 
-// countIn is how many of the runners are in the zone and don't leave.
-func countIn(group []*roster.Runner, zone rillreach.ZoneID) int {
+// countAvailable is how many of the runners are in the zone and don't leave.
+func countAvailable(group []*roster.Runner, zone rillreach.ZoneID) int {
 	n := 0
 	for _, r := range group {
 		if info := r.Info(); info.Zone == zone && !info.Leaving {
@@ -57,11 +57,11 @@
 	return n
 }
 
-// has reports that the entry's zone has engines of the service enough.
-func (l *localServices) has(service rillreach.ServiceID) bool {
+// isLocal reports that the entry's zone isLocal engines of the service enough.
+func (l *localServices) isLocal(service rillreach.ServiceID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.enough[service]
+	return l.local[service]
 }
 
 // engineGroups are the listed runners of each service of engines.
@@ -79,17 +79,17 @@
 	return groups
 }
 
-// servesModels reports that the runners of a service are engines, which have agents.
-func (g *Gateway) servesModels(service rillreach.ServiceID) bool {
+// isEngineService reports that the runners of a service are engines, which have agents.
+func (g *Gateway) isEngineService(service rillreach.ServiceID) bool {
 	config := g.state.Config()
 	return config != nil && config.Services[service] != nil && config.Services[service].Engine != nil
 }
 
-// applySparseBulletin takes over a bulletin of an agent that was asked for little: what its runner held when more was heard of it is out of date.
-func (g *Gateway) applySparseBulletin(b *bulletin.Bulletin, now time.Time) {
+// applyLoadOnlyBulletin takes over a bulletin of an agent that was asked for little: what its runner held when more was heard of it is out of date.
+func (g *Gateway) applyLoadOnlyBulletin(b *bulletin.Bulletin, now time.Time) {
 	if r := g.state.Roster.Find(b.Runner); r != nil {
-		if place := r.Info().Address; g.stores.index.TotalTokens(place) > 0 {
-			g.stores.index.Forget(place)
+		if place := r.Info().Address; g.cache.index.TotalTokens(place) > 0 {
+			g.cache.index.Forget(place)
 		}
 	}
 	g.applyBulletin(b, now)
--- a/gateway/local_zone_test.go
+++ b/gateway/local_zone_test.go
@@ -13,49 +13,49 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// zones is in how many zones beforeEngines puts its engines.
-const zones = 3
+// engineZones is in how many engineZones beforeEngines puts its engines.
+const engineZones = 3
 
-// beforeLocalEngines is an entry whose zone has so many engines, as the two others have.
-func beforeLocalEngines(inZone int) (*Gateway, *exchange) {
-	g, x := beforeEngines(zones * inZone)
+// newLocalEngines is an entry whose zone has so many engines, as the two others have.
+func newLocalEngines(inZone int) (*Gateway, *exchange) {
+	g, x := beforeEngines(engineZones * inZone)
 	x.config.Services = map[rillreach.ServiceID]*deployment.Service{x.service.Name: x.service}
 	g.state.SetConfig(x.config)
-	g.local.update(g.engineGroups(), g.Settings.Zone)
+	g.localServices.update(g.engineGroups(), g.Settings.Zone)
 	return g, x
 }
 
 func TestLocalZone(t *testing.T) {
 	t.Run("a zone with engines enough has little told of those in others", func(t *testing.T) {
-		g, _ := beforeLocalEngines(localFrom)
+		g, _ := newLocalEngines(minLocalEngines)
 		sparse := 0
-		for _, w := range (&agents{gateway: g}).wanted(g.engineGroups()) {
-			if w.sparse {
+		for _, w := range (&agentFollower{gateway: g}).wantedAgents(g.engineGroups()) {
+			if w.loadOnly {
 				sparse++
 			}
 		}
-		assert.Equal(t, (zones-1)*localFrom, sparse)
+		assert.Equal(t, (engineZones-1)*minLocalEngines, sparse)
 	})
 	t.Run("a zone with fewer does not count as enough", func(t *testing.T) {
-		g, x := beforeLocalEngines(localFrom - 1)
-		assert.False(t, g.local.has(x.service.Name))
+		g, x := newLocalEngines(minLocalEngines - 1)
+		assert.False(t, g.localServices.isLocal(x.service.Name))
 	})
 	t.Run("one that loses a few goes on, and one that loses many does not", func(t *testing.T) {
-		g, x := beforeLocalEngines(localFrom)
+		g, x := newLocalEngines(minLocalEngines)
 		for _, c := range []struct {
 			left  int
 			local bool
-		}{{localUntil, true}, {localUntil - 1, false}, {localFrom - 1, false}} {
+		}{{minRetainedEngines, true}, {minRetainedEngines - 1, false}, {minLocalEngines - 1, false}} {
 			group := g.state.Roster.ByService(x.service.Name)
-			groups := map[rillreach.ServiceID][]*roster.Runner{x.service.Name: inZone(group, g.Settings.Zone)[:c.left]}
-			g.local.update(groups, g.Settings.Zone)
-			assert.Equal(t, c.local, g.local.has(x.service.Name), "%d left", c.left)
+			groups := map[rillreach.ServiceID][]*roster.Runner{x.service.Name: runnersInZone(group, g.Settings.Zone)[:c.left]}
+			g.localServices.update(groups, g.Settings.Zone)
+			assert.Equal(t, c.local, g.localServices.isLocal(x.service.Name), "%d left", c.left)
 		}
 	})
 }
 
-// inZone are the runners of a zone.
-func inZone(group []*roster.Runner, zone rillreach.ZoneID) []*roster.Runner {
+// runnersInZone are the runners of a zone.
+func runnersInZone(group []*roster.Runner, zone rillreach.ZoneID) []*roster.Runner {
 	var all []*roster.Runner
 	for _, r := range group {
 		if r.Info().Zone == zone {
@@ -67,11 +67,11 @@
 
 // TestLittleIsHeard: what a runner held when its agent told more is forgotten.
 func TestLittleIsHeard(t *testing.T) {
-	g, _ := beforeLocalEngines(1)
+	g, _ := newLocalEngines(1)
 	info := g.state.Roster.Find("r1").Info()
 	key := holdings.Key{Salt: "1/m", Part: "p"}
-	g.stores.index.Apply(info.Address, []holdings.Change{{Key: key, Tokens: 5}})
-	g.applySparseBulletin(&bulletin.Bulletin{Runner: info.ID, Load: bulletin.Load{Running: 3}}, time.Now())
-	assert.Empty(t, g.stores.index.Holders(key))
+	g.cache.index.Apply(info.Address, []holdings.Change{{Key: key, Tokens: 5}})
+	g.applyLoadOnlyBulletin(&bulletin.Bulletin{Runner: info.ID, Load: bulletin.Load{Running: 3}}, time.Now())
+	assert.Empty(t, g.cache.index.Holders(key))
 	assert.Equal(t, 3, g.state.Roster.Find(info.ID).View(time.Now()).Load.Running)
 }
--- a/gateway/move_test.go
+++ b/gateway/move_test.go
@@ -31,13 +31,13 @@
 	}
 	full := &site.Engine{Model: site.Model, Version: 1}
 	full.ID = "full"
-	w := enginesWorld(t, loads, full)
+	w := startWithEngines(t, loads, full)
 	defer w.stop()
 	report := func(id rillreach.InstanceID, load deployment.Load) {
-		w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
+		w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(testTimeout)})
 	}
 	report("full", deployment.Load{Running: 5, UsedTokens: 39000})
-	conn := w.prompt(t, "/prompt/x")
+	conn := w.sendPrompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
 	report("loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 	close(empties)
@@ -45,7 +45,7 @@
 	close(seen)
 	rest, err := io.ReadAll(body.rest)
 	require.NoError(t, err)
-	assert.Equal(t, pieces(6), body.read+string(rest))
+	assert.Equal(t, eventsUpTo(6), body.read+string(rest))
 	assert.Empty(t, full.Runs())
 }
 
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -43,8 +43,8 @@
 	o.runners = make([]*roster.Runner, 0, len(group.views))
 	o.candidates = make([]place.Candidate, 0, len(group.views))
 	asked := x.sends.asked()
-	conversation := hash.String(conversation(x))
-	meanRead := g.reads.mean()
+	conversation := hash.String(conversationID(x))
+	meanRead := g.prefillSizes.mean()
 	evacuations := g.state.Evacuations()
 	for i := range group.views {
 		v := &group.views[i]
@@ -90,7 +90,7 @@
 	q := place.Request{Target: x.route.TargetLatency}
 	if x.needsEngine() {
 		q.Tokens = x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens
-		q.Latency = g.firsts.of(x.service.Name)
+		q.Latency = g.ttft.of(x.service.Name)
 	}
 	return q
 }
@@ -115,7 +115,7 @@
 		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.AwaitingFirstEvent+v.Load.Waiting)*meanRead+v.UnreportedPrefillTokens)
 		c.UsedTokens = max(c.UsedTokens, v.Load.UsedTokens+v.UnreportedKVTokens)
 	}
-	c.Avoided = avoided(v) || x.began && g.loadsSoon(x, v)
+	c.Avoided = avoided(v) || x.headSent && g.loadsSoon(x, v)
 	c.HashDistance = distance(conversation, v.ID)
 	return c
 }
@@ -135,7 +135,7 @@
 	v := o.views[i]
 	state := g.versionAt(x, o, v)
 	if state.prompt == nil {
-		state.prompt = g.promptStateOf(x, weightsAt(x, v), o.views, now)
+		state.prompt = g.lookUpPrompt(x, weightsAt(x, v), o.views, now)
 	}
 	o.plans[i] = state.prompt.plan(v)
 	addPlan(&o.candidates[i], x.wire.Prompt, &o.plans[i])
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -26,13 +26,13 @@
 // sends=1"; before twelve runners of one service, twelve repeats end twelve, at one entry as at two.
 
 const (
-	// mostEnded is how many runners a request may end before it is held back.
-	mostEnded = 3
-	// spreads is within which time all entries know that, and mostLate how many sends of it may reach runners after that.
-	spreads  = 3 * time.Second
-	mostLate = 3
-	// fatal is the path under which a request ends the runner that begins it.
-	fatal = "fatal"
+	// maxCrashes is how many runners a request may end before it is held back.
+	maxCrashes = 3
+	// propagationTime is within which time all entries know that, and mostLate how many sends of it may reach runners after that.
+	propagationTime = 3 * time.Second
+	maxLateCrashes  = 3
+	// fatalPath is the path under which a request ends the runner that begins it.
+	fatalPath = "fatal"
 )
 
 // repeats is how often a fatal request comes where there are more runners than it may end.
@@ -42,100 +42,100 @@
 	for _, path := range []string{"/repeat/", "/once/", "/stream/", "/flow/"} {
 		t.Run("at one entry, on the route "+path, func(t *testing.T) {
 			var crashed crashLog
-			w := begin(t, defaultConfig(), crashed.runners(repeats)...)
+			w := startWorld(t, defaultConfig(), crashed.runners(repeats)...)
 			defer w.stop()
 			for range repeats {
-				w.call(t, "POST", path+fatal, "body")
-				assert.Equal(t, http.StatusOK, w.call(t, "POST", path+"x", "body").status, "others are served")
+				w.send(t, "POST", path+fatalPath, "body")
+				assert.Equal(t, http.StatusOK, w.send(t, "POST", path+"x", "body").status, "others are served")
 			}
-			assert.LessOrEqual(t, len(crashed.ended()), mostEnded)
+			assert.LessOrEqual(t, len(crashed.times()), maxCrashes)
 		})
 	}
 	t.Run("what is held back gets its last answer, which promises nothing", func(t *testing.T) {
 		var crashed crashLog
-		w := begin(t, defaultConfig(), crashed.runners(repeats)...)
+		w := startWorld(t, defaultConfig(), crashed.runners(repeats)...)
 		defer w.stop()
 		for range repeats {
-			w.call(t, "POST", "/once/"+fatal, "body")
+			w.send(t, "POST", "/once/"+fatalPath, "body")
 		}
-		got := w.call(t, "POST", "/once/"+fatal, "body")
-		assertOwn(t, got, http.StatusBadGateway)
+		got := w.send(t, "POST", "/once/"+fatalPath, "body")
+		assertGatewayAnswer(t, got, http.StatusBadGateway)
 		assert.Empty(t, got.header.Get("Retry-After"))
 	})
 	t.Run("at two entries in turn", func(t *testing.T) {
 		var crashed crashLog
-		s := beginShared(t, crashed.runners(5*repeats)...)
-		one, two := s.entry(t, "entry-1"), s.entry(t, "entry-2")
-		pace := time.NewTicker(spreads / 40)
+		s := startSharedSite(t, crashed.runners(5*repeats)...)
+		one, two := s.startEntry(t, "entry-1"), s.startEntry(t, "entry-2")
+		pace := time.NewTicker(propagationTime / 40)
 		defer pace.Stop()
-		for begun := time.Now(); time.Since(begun) < spreads+time.Second; <-pace.C {
-			one.call(t, "POST", "/once/"+fatal, "body")
+		for begun := time.Now(); time.Since(begun) < propagationTime+time.Second; <-pace.C {
+			one.send(t, "POST", "/once/"+fatalPath, "body")
 			one, two = two, one
 		}
-		assert.LessOrEqual(t, crashed.late(), mostLate, "%d ended in all", len(crashed.ended()))
+		assert.LessOrEqual(t, crashed.countLate(), maxLateCrashes, "%d ended in all", len(crashed.times()))
 	})
 	t.Run("a runner that closes its connections and goes on is no ground to hold a request back", func(t *testing.T) {
 		cut := &site.Runner{ID: "cut", Handle: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }}
-		w := begin(t, defaultConfig(), cut)
+		w := startWorld(t, defaultConfig(), cut)
 		defer w.stop()
 		for range repeats {
-			assert.Equal(t, http.StatusBadGateway, w.call(t, "POST", "/once/x", "body").status)
+			assert.Equal(t, http.StatusBadGateway, w.send(t, "POST", "/once/x", "body").status)
 		}
 		assert.Len(t, cut.Runs(), repeats)
 	})
 	t.Run("a runner that has announced its end is none, either", func(t *testing.T) {
 		var crashed crashLog
 		runners := crashed.runners(repeats)
-		w := begin(t, defaultConfig(), runners...)
+		w := startWorld(t, defaultConfig(), runners...)
 		defer w.stop()
 		for i := range runners[1:] {
-			w.store.Put("servers", runners[i].ID, record(runners[i], "draining"))
+			w.store.Put("servers", runners[i].ID, runnerRecord(runners[i], "draining"))
 			w.eventually(t, func() bool { return w.gateway.state.Roster.Find(rillreach.InstanceID(runners[i].ID)).Info().Leaving })
 		}
 		last := runners[repeats-1]
 		leaving := make(chan struct{})
 		last.Handle = func(http.ResponseWriter, *http.Request) {
-			w.store.Put("servers", last.ID, record(last, "draining"))
+			w.store.Put("servers", last.ID, runnerRecord(last, "draining"))
 			w.eventually(t, func() bool { return w.gateway.state.Roster.Find(rillreach.InstanceID(last.ID)).Info().Leaving })
 			close(leaving)
 			last.End()
 			panic(http.ErrAbortHandler)
 		}
-		w.call(t, "POST", "/once/x", "body")
+		w.send(t, "POST", "/once/x", "body")
 		<-leaving
 		assert.True(t, w.gateway.suspects.Empty())
 	})
 	t.Run("a request that a runner answers is no longer suspected", func(t *testing.T) {
 		var crashed crashLog
-		w := begin(t, defaultConfig(), append(crashed.runners(1), &site.Runner{ID: "sound"})...)
+		w := startWorld(t, defaultConfig(), append(crashed.runners(1), &site.Runner{ID: "sound"})...)
 		defer w.stop()
 		w.eventually(t, func() bool {
-			assert.Equal(t, http.StatusOK, w.call(t, "POST", "/repeat/"+fatal, "body").status)
-			return len(crashed.ended()) == 1
+			assert.Equal(t, http.StatusOK, w.send(t, "POST", "/repeat/"+fatalPath, "body").status)
+			return len(crashed.times()) == 1
 		})
 		suspects, _ := w.gateway.suspects.Counts(w.gateway.Clock.Now())
 		assert.Zero(t, suspects)
 	})
 	t.Run("other callers are served the same path and body", func(t *testing.T) {
 		var crashed crashLog
-		w := begin(t, twoAccounts(), crashed.runners(repeats)...)
+		w := startWorld(t, configWithTwoAccounts(), crashed.runners(repeats)...)
 		defer w.stop()
 		for range repeats {
-			w.call(t, "POST", "/once/"+fatal, "body")
+			w.send(t, "POST", "/once/"+fatalPath, "body")
 		}
-		require.Len(t, crashed.ended(), mostEnded)
-		w.callAs(t, otherKey, "POST", "/once/"+fatal, "body")
-		assert.Len(t, crashed.ended(), mostEnded+1)
+		require.Len(t, crashed.times(), maxCrashes)
+		w.sendWithKey(t, otherKey, "POST", "/once/"+fatalPath, "body")
+		assert.Len(t, crashed.times(), maxCrashes+1)
 	})
 }
 
 // TestCrashesAreTold: what one entry sees of a request, the others know, and those that start later.
 func TestCrashesAreTold(t *testing.T) {
 	var crashed crashLog
-	s := beginShared(t, crashed.runners(repeats)...)
-	one, two := s.entry(t, "entry-1"), s.entry(t, "entry-2")
-	for range mostEnded {
-		one.call(t, "POST", "/once/"+fatal, "body")
+	s := startSharedSite(t, crashed.runners(repeats)...)
+	one, two := s.startEntry(t, "entry-1"), s.startEntry(t, "entry-2")
+	for range maxCrashes {
+		one.send(t, "POST", "/once/"+fatalPath, "body")
 	}
 	assertRefused := func(t *testing.T, w *world) {
 		t.Helper()
@@ -143,14 +143,14 @@
 			_, quarantined := w.gateway.suspects.Counts(w.gateway.Clock.Now())
 			return quarantined == 1
 		})
-		assertOwn(t, w.call(t, "POST", "/once/"+fatal, "body"), http.StatusBadGateway)
-		assert.Len(t, crashed.ended(), mostEnded)
+		assertGatewayAnswer(t, w.send(t, "POST", "/once/"+fatalPath, "body"), http.StatusBadGateway)
+		assert.Len(t, crashed.times(), maxCrashes)
 	}
 	t.Run("another entry holds the request back", func(t *testing.T) { assertRefused(t, two) })
-	t.Run("one that starts later does", func(t *testing.T) { assertRefused(t, s.entry(t, "entry-3")) })
+	t.Run("one that starts later does", func(t *testing.T) { assertRefused(t, s.startEntry(t, "entry-3")) })
 	t.Run("one that starts later does, though the agent has started anew", func(t *testing.T) {
 		s.restartAgent(t)
-		assertRefused(t, s.entry(t, "entry-4"))
+		assertRefused(t, s.startEntry(t, "entry-4"))
 	})
 }
 
@@ -164,14 +164,14 @@
 				site.Answer(w, req, "late")
 			}
 			a, b := &site.Runner{ID: "a", Handle: hang}, &site.Runner{ID: "b", Handle: hang}
-			w := begin(t, defaultConfig(), a, b)
+			w := startWorld(t, defaultConfig(), a, b)
 			defer w.stop()
 			suspected := poison.Request{Caller: "account shop", Method: "GET", Host: host, Target: "/repeat/x"}
 			for i := range crashes {
 				w.gateway.suspects.Record(w.gateway.Clock.Now(), poison.Crash{Request: suspected.Fingerprint(), Runner: rillreach.InstanceID(fmt.Sprint("gone", i))})
 			}
 			time.AfterFunc(3*firstWordAfter(&deployment.Route{TargetLatency: 300 * time.Millisecond})/2, func() { close(release) })
-			assert.Equal(t, http.StatusOK, w.call(t, "GET", "/repeat/x", "").status)
+			assert.Equal(t, http.StatusOK, w.send(t, "GET", "/repeat/x", "").status)
 			assert.Equal(t, attempts, len(a.Runs())+len(b.Runs()))
 		})
 	}
@@ -181,26 +181,26 @@
 // thousands of times before. Three ends without an answer in between look like those of a request that ends its runners, and since nothing is
 // sent that is held back, no answer could lift the suspicion: callers got 502 for ten minutes, with sound runners back after one second.
 func TestPopularRequestOutlivesAnOutage(t *testing.T) {
-	started, fail := make(chan struct{}, mostEnded), make(chan struct{})
-	w := begin(t, defaultConfig(), failingTogether(started, fail)...)
+	started, fail := make(chan struct{}, maxCrashes), make(chan struct{})
+	w := startWorld(t, defaultConfig(), newRunnersFailingTogether(started, fail)...)
 	defer w.stop()
-	require.Equal(t, http.StatusOK, w.call(t, "POST", "/once/popular", "body", "X-Plain: first").status)
-	assertOutlivesOutage(t, w, started, fail)
+	require.Equal(t, http.StatusOK, w.send(t, "POST", "/once/popular", "body", "X-Plain: first").status)
+	assertAnsweredAfterOutage(t, w, started, fail)
 }
 
 // The same outage came over a request of which none had been answered yet: nothing tells it from one that ends each runner that begins it, and
 // it is refused for ten minutes.
 func TestNewRequestOutlivesAnOutage(t *testing.T) {
-	started, fail := make(chan struct{}, mostEnded), make(chan struct{})
-	w := begin(t, defaultConfig(), failingTogether(started, fail)...)
+	started, fail := make(chan struct{}, maxCrashes), make(chan struct{})
+	w := startWorld(t, defaultConfig(), newRunnersFailingTogether(started, fail)...)
 	defer w.stop()
-	assertOutlivesOutage(t, w, started, fail)
+	assertAnsweredAfterOutage(t, w, started, fail)
 }
 
-// failingTogether are runners that say when they begin a popular request, and end together.
-func failingTogether(started chan<- struct{}, fail <-chan struct{}) []*site.Runner {
+// newRunnersFailingTogether are runners that say when they begin a popular request, and end together.
+func newRunnersFailingTogether(started chan<- struct{}, fail <-chan struct{}) []*site.Runner {
 	var runners []*site.Runner
-	for i := range mostEnded {
+	for i := range maxCrashes {
 		r := &site.Runner{ID: fmt.Sprint("r", i)}
 		r.Handle = func(w http.ResponseWriter, req *http.Request) {
 			if !strings.Contains(req.RequestURI, "popular") {
@@ -221,12 +221,12 @@
 	return runners
 }
 
-// assertOutlivesOutage has all runners end under the request, and asserts that one that starts then answers it.
-func assertOutlivesOutage(t *testing.T, w *world, started <-chan struct{}, fail chan struct{}) {
+// assertAnsweredAfterOutage has all runners end under the request, and asserts that one that starts then answers it.
+func assertAnsweredAfterOutage(t *testing.T, w *world, started <-chan struct{}, fail chan struct{}) {
 	t.Helper()
 	var wg sync.WaitGroup
-	for range mostEnded {
-		wg.Go(func() { w.call(t, "POST", "/once/popular", "body") })
+	for range maxCrashes {
+		wg.Go(func() { w.send(t, "POST", "/once/popular", "body") })
 		<-started
 	}
 	close(fail)
@@ -236,7 +236,7 @@
 	sound := &site.Runner{ID: "sound"}
 	sound.Start()
 	t.Cleanup(sound.Stop)
-	w.store.Put("servers", sound.ID, record(sound, "ready"))
-	w.eventually(t, func() bool { return w.call(t, "POST", "/once/popular", "body").status == http.StatusOK })
-	assert.Equal(t, http.StatusOK, w.call(t, "POST", "/once/popular", "body").status, "an answer lifts the suspicion")
+	w.store.Put("servers", sound.ID, runnerRecord(sound, "ready"))
+	w.eventually(t, func() bool { return w.send(t, "POST", "/once/popular", "body").status == http.StatusOK })
+	assert.Equal(t, http.StatusOK, w.send(t, "POST", "/once/popular", "body").status, "an answer lifts the suspicion")
 }
--- a/gateway/poison_world_test.go
+++ b/gateway/poison_world_test.go
@@ -34,7 +34,7 @@
 	for i := range n {
 		r := &site.Runner{ID: fmt.Sprint("r", i)}
 		r.Handle = func(w http.ResponseWriter, req *http.Request) {
-			if !strings.Contains(req.RequestURI, fatal) {
+			if !strings.Contains(req.RequestURI, fatalPath) {
 				site.Answer(w, req, "sound")
 				return
 			}
@@ -53,18 +53,18 @@
 	l.at = append(l.at, time.Now())
 }
 
-// ended are the moments at which runners ended.
-func (l *crashLog) ended() []time.Time {
+// times are the moments at which runners times.
+func (l *crashLog) times() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]time.Time(nil), l.at...)
 }
 
-// late is how many runners ended later than the bound after the last that may.
-func (l *crashLog) late() int {
-	all, n := l.ended(), 0
+// countLate is how many runners ended later than the bound after the last that may.
+func (l *crashLog) countLate() int {
+	all, n := l.times(), 0
 	for _, at := range all {
-		if len(all) > mostEnded && at.Sub(all[mostEnded-1]) > spreads {
+		if len(all) > maxCrashes && at.Sub(all[maxCrashes-1]) > propagationTime {
 			n++
 		}
 	}
@@ -80,17 +80,17 @@
 	stop   func()
 }
 
-// beginShared starts a site without entries.
-func beginShared(t *testing.T, runners ...*site.Runner) *sharedSite {
+// startSharedSite starts a site without entries.
+func startSharedSite(t *testing.T, runners ...*site.Runner) *sharedSite {
 	t.Helper()
 	s := &sharedSite{store: site.NewStore(), engine: &site.Engine{Model: site.Model, Version: 1}}
 	config := defaultConfig()
-	config["services"] = append(config["services"].([]jsonMap), engineService())
+	config["services"] = append(config["services"].([]jsonMap), engineServiceConfig())
 	s.store.Put("config", "main", config)
 	for _, r := range runners {
 		r.Start()
 		t.Cleanup(r.Stop)
-		s.store.Put("servers", r.ID, record(r, "ready"))
+		s.store.Put("servers", r.ID, runnerRecord(r, "ready"))
 	}
 	s.server = httptest.NewServer(s.store)
 	t.Cleanup(s.server.Close)
@@ -105,17 +105,17 @@
 	return s
 }
 
-// engineService is the service of the site's engine.
-func engineService() jsonMap {
+// engineServiceConfig is the service of the site's engine.
+func engineServiceConfig() jsonMap {
 	return jsonMap{
 		"name": "e", "engine": jsonMap{"slots": 64, "kv_capacity_tokens": 40000, "kv_token_bytes": 18432, "link_mbps": 130000, "models": []jsonMap{{"name": site.Model}}},
 	}
 }
 
-// entry starts an entry, and waits until it serves and hears the agent.
-func (s *sharedSite) entry(t *testing.T, name string) *world {
+// startEntry starts an startEntry, and waits until it serves and hears the agent.
+func (s *sharedSite) startEntry(t *testing.T, name string) *world {
 	t.Helper()
-	w := beginWith(t, s.store, func(settings *deployment.Settings) {
+	w := startWithSettings(t, s.store, func(settings *deployment.Settings) {
 		settings.Name, settings.FirstPort, settings.LastPort = name, s.agent.Port(), s.agent.Port()
 	})
 	t.Cleanup(w.stop)
@@ -160,20 +160,20 @@
 // otherKey is that of a second client account.
 const otherKey = "key-of-other"
 
-// twoAccounts is the configuration with a second client account.
-func twoAccounts() jsonMap {
+// configWithTwoAccounts is the configuration with a second client account.
+func configWithTwoAccounts() jsonMap {
 	config := defaultConfig()
 	config["tenants"] = append(config["tenants"].([]jsonMap), jsonMap{"name": "other", "api_keys": []string{otherKey}})
 	return config
 }
 
-// callAs sends one request with a key.
-func (w *world) callAs(t *testing.T, key, method, target, body string) answer {
+// sendWithKey sends one request with a key.
+func (w *world) sendWithKey(t *testing.T, key, method, target, body string) answer {
 	t.Helper()
-	conn, err := net.Dial("tcp", w.callers)
+	conn, err := net.Dial("tcp", w.callerAddress)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", method, target, host, key, len(body), body)
 	require.NoError(t, err)
-	return read(t, conn, method)
+	return readAnswer(t, conn, method)
 }
--- a/gateway/records_test.go
+++ b/gateway/records_test.go
@@ -9,31 +9,31 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// foreign are records of another writer, some of which name the runner's address.
-func foreign(r *site.Runner) map[string]any {
-	without := record(r, "ready")
+// foreignRecords are records of another writer, some of which name the runner's address.
+func foreignRecords(r *site.Runner) map[string]any {
+	without := runnerRecord(r, "ready")
 	delete(without, "slots")
-	unknownService := record(r, "ready")
+	unknownService := runnerRecord(r, "ready")
 	unknownService["service"] = "another"
-	return map[string]any{"0": 7, "a0": without, "b0": record(r, "resting"), "c0": unknownService, "z": nil, "zz": "text", "": map[string]any{}}
+	return map[string]any{"0": 7, "a0": without, "b0": runnerRecord(r, "resting"), "c0": unknownService, "z": nil, "zz": "text", "": map[string]any{}}
 }
 
 func TestRecordsOfOtherWriters(t *testing.T) {
 	good, turns := &site.Runner{ID: "good"}, &site.Runner{ID: "turns"}
-	w := begin(t, defaultConfig(), good, turns)
+	w := startWorld(t, defaultConfig(), good, turns)
 	defer w.stop()
 	used := func() int { return len(w.gateway.state.Roster.ByService("plain")) }
 	assertServed := func(t *testing.T) {
 		t.Helper()
 		for range 6 {
-			assert.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status)
+			assert.Equal(t, http.StatusOK, w.send(t, "POST", "/once/x", "body").status)
 		}
 	}
 	t.Run("the others serve where the store holds records that name no runner", func(t *testing.T) {
-		for name, spec := range foreign(good) {
+		for name, spec := range foreignRecords(good) {
 			w.store.Put("servers", name, spec)
 		}
-		last := w.store.Put("servers", "turns", record(turns, "ready"))
+		last := w.store.Put("servers", "turns", runnerRecord(turns, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("turns").Info().Revision.Number == last })
 		assert.Equal(t, 2, used())
 		assertServed(t)
@@ -46,27 +46,27 @@
 		assert.Len(t, turns.Runs(), before)
 	})
 	t.Run("it gets requests again once its record is good", func(t *testing.T) {
-		w.store.Put("servers", "turns", record(turns, "ready"))
+		w.store.Put("servers", "turns", runnerRecord(turns, "ready"))
 		w.eventually(t, func() bool { return used() == 2 })
 		before := len(turns.Runs())
 		w.eventually(t, func() bool {
-			return w.call(t, "GET", "/repeat/x", "").status == http.StatusOK && len(turns.Runs()) > before
+			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(turns.Runs()) > before
 		})
 	})
 	t.Run("one that stands under a second key serves under its own", func(t *testing.T) {
-		w.store.Put("servers", "copy", record(good, "ready"))
+		w.store.Put("servers", "copy", runnerRecord(good, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("copy") != nil })
 		before := len(good.Runs())
 		assertServed(t)
 		w.eventually(t, func() bool {
-			return w.call(t, "GET", "/repeat/x", "").status == http.StatusOK && len(good.Runs()) > before
+			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(good.Runs()) > before
 		})
 		w.store.Remove("servers", "copy")
 		w.eventually(t, func() bool { return used() == 2 })
 	})
 	t.Run("a list that holds such records gives the others", func(t *testing.T) {
 		w.store.Forget()
-		last := w.store.Put("servers", "good", record(good, "ready"))
+		last := w.store.Put("servers", "good", runnerRecord(good, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("good").Info().Revision.Number == last })
 		assert.Equal(t, 2, used())
 		assertServed(t)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -14,17 +14,17 @@
 // TestAllowedRegions has a runner in each of two regions, and routes and accounts that allow one of them, the other or both.
 func TestAllowedRegions(t *testing.T) {
 	store := site.NewStore()
-	store.Put("config", "main", configOf(
+	store.Put("config", "main", configWithRoutes(
 		1,
-		routeOf("near", "non_idempotent", "plain", jsonMap{"allowed_regions": []string{"here"}}),
-		routeOf("far", "non_idempotent", "plain", jsonMap{"allowed_regions": []string{"there"}}),
-		routeOf("any", "non_idempotent", "plain", nil),
-		routeOf("none", "non_idempotent", "plain", jsonMap{"allowed_regions": []string{"elsewhere"}}),
+		routeConfig("near", "non_idempotent", "plain", jsonMap{"allowed_regions": []string{"here"}}),
+		routeConfig("far", "non_idempotent", "plain", jsonMap{"allowed_regions": []string{"there"}}),
+		routeConfig("any", "non_idempotent", "plain", nil),
+		routeConfig("none", "non_idempotent", "plain", jsonMap{"allowed_regions": []string{"elsewhere"}}),
 	))
 	for _, zone := range []string{"z1", "z2"} {
 		beginInZone(t, store, zone)
 	}
-	w := beginWith(t, store, func(s *deployment.Settings) {
+	w := startWithSettings(t, store, func(s *deployment.Settings) {
 		s.Regions = map[rillreach.ZoneID]rillreach.RegionID{"z1": "here", "z2": "there"}
 	})
 	defer w.stop()
@@ -35,15 +35,15 @@
 		t.Run("requests of the route "+route, func(t *testing.T) {
 			got := map[string]bool{}
 			for range 40 {
-				got[w.call(t, "POST", "/"+route+"/x", "body").body] = true
+				got[w.send(t, "POST", "/"+route+"/x", "body").body] = true
 			}
 			assert.Equal(t, want, got)
 		})
 	}
 	t.Run("others run in the entry's own zone while nothing is to be gained elsewhere", func(t *testing.T) {
-		assert.Equal(t, "z1", w.call(t, "POST", "/any/x", "body").body)
+		assert.Equal(t, "z1", w.send(t, "POST", "/any/x", "body").body)
 	})
 	t.Run("a request that may run nowhere is refused at once", func(t *testing.T) {
-		assertOwn(t, w.call(t, "POST", "/none/x", "body"), http.StatusServiceUnavailable)
+		assertGatewayAnswer(t, w.send(t, "POST", "/none/x", "body"), http.StatusServiceUnavailable)
 	})
 }
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -61,9 +61,9 @@
 	t.Helper()
 	stop := load(restEvery, entries, send)
 	defer stop()
-	require.Eventually(t, func() bool { return r.reached.len() > 0 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return r.reached.len() > 0 }, testTimeout, time.Millisecond)
 	r.asks.Store(true)
-	require.Eventually(t, func() bool { return r.asked.Load() != 0 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return r.asked.Load() != 0 }, testTimeout, time.Millisecond)
 	asked := time.Unix(0, r.asked.Load())
 	time.Sleep(time.Until(asked.Add(restFor + restBack)))
 	meanwhile, afterwards := 0, 0
@@ -83,12 +83,12 @@
 func TestRestOfRunnerIsKept(t *testing.T) {
 	call := func(t *testing.T, path string) func(*world) {
 		t.Helper()
-		return func(w *world) { w.call(t, "POST", path, "body") }
+		return func(w *world) { w.send(t, "POST", path, "body") }
 	}
 	t.Run("a plain runner beside a sound one", func(t *testing.T) {
 		t.Parallel()
 		r := newResting()
-		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertRested(t, r, []*world{w}, call(t, "/repeat/x"))
 	})
@@ -96,37 +96,37 @@
 		t.Parallel()
 		r := newResting()
 		r.refuse = refuseSealed
-		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertRested(t, r, []*world{w}, call(t, "/repeat/x"))
 	})
 	t.Run("a plain runner alone", func(t *testing.T) {
 		t.Parallel()
 		r := newResting()
-		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
 		defer w.stop()
 		assertRested(t, r, []*world{w}, call(t, "/once/x"))
 	})
 	t.Run("an engine", func(t *testing.T) {
 		t.Parallel()
 		r := newResting()
-		s := beginShared(t)
+		s := startSharedSite(t)
 		s.withPrompts()
 		s.engine.Handle = r.handle
 		var n atomic.Int64
-		assertRested(t, r, s.entries(t, 1), func(w *world) { read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET") })
+		assertRested(t, r, s.entries(t, 1), func(w *world) { readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET") })
 	})
 }
 
 // TestRefusalWhileAllRest: a request that nobody takes for seconds is refused at once, with the time until somebody does.
 func TestRefusalWhileAllRest(t *testing.T) {
 	r := newResting()
-	w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
+	w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
 	defer w.stop()
 	r.asks.Store(true)
 	for range 3 {
-		got := w.call(t, "POST", "/once/x", "body")
-		assertOwn(t, got, http.StatusServiceUnavailable)
+		got := w.send(t, "POST", "/once/x", "body")
+		assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		assert.Greater(t, after, (restFor - time.Second).Seconds(), "what was left of the rest when it was refused")
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -43,7 +43,7 @@
 	g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s", Address: enginePlace, Generation: earlier})
 	g.applyBulletin(told(earlier, 7, 800, true), time.Now())
 	g.state.Roster.Find("r").Eject(time.Now())
-	require.Equal(t, map[netip.AddrPort]int{enginePlace: 800}, g.stores.index.Holders(partKey))
+	require.Equal(t, map[netip.AddrPort]int{enginePlace: 800}, g.cache.index.Holders(partKey))
 	return g
 }
 
@@ -54,8 +54,8 @@
 	assert.Equal(t, rillreach.Generation(later), v.Generation)
 	assert.Zero(t, v.Load.Waiting)
 	assert.False(t, v.Ejected)
-	assert.Empty(t, g.stores.index.Holders(partKey))
-	assert.Zero(t, g.stores.index.TotalTokens(enginePlace))
+	assert.Empty(t, g.cache.index.Holders(partKey))
+	assert.Zero(t, g.cache.index.TotalTokens(enginePlace))
 }
 
 func TestRunnerStartsAgain(t *testing.T) {
@@ -74,7 +74,7 @@
 		one := g.state.Roster.Find("r")
 		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Generation: later, Load: bulletin.Load{Waiting: 3}}, time.Now())
 		assert.Same(t, one, g.state.Roster.Find("r"))
-		assert.Equal(t, map[netip.AddrPort]int{enginePlace: 500}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{enginePlace: 500}, g.cache.index.Holders(partKey))
 	})
 	t.Run("what its agent still says of the earlier run is late", func(t *testing.T) {
 		for name, whole := range map[string]bool{"everything": true, "a change": false} {
@@ -92,14 +92,14 @@
 		late := told(earlier, 9, 900, true)
 		late.CacheUpdates[0].Address, late.CacheUpdates[0].Store = storePlace, true
 		g.applyBulletin(late, time.Now())
-		assert.Equal(t, map[netip.AddrPort]int{storePlace: 900}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{storePlace: 900}, g.cache.index.Holders(partKey))
 	})
 	t.Run("the list may come after the agent's word, and leaves what the later run holds", func(t *testing.T) {
 		g := hearing(t)
 		g.applyBulletin(told(later, 3, 500, true), time.Now())
 		g.state.Roster.Put(record)
 		g.runnerRestarted(record) // as though the list had been the first to tell, and were only now done with
-		assert.Equal(t, map[netip.AddrPort]int{enginePlace: 500}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{enginePlace: 500}, g.cache.index.Holders(partKey))
 	})
 	t.Run("an unknown start is no new one", func(t *testing.T) {
 		g := hearing(t)
@@ -107,7 +107,7 @@
 		v := g.state.Roster.Find("r").View(time.Now())
 		assert.Equal(t, 4, v.Load.Waiting)
 		assert.True(t, v.Ejected)
-		assert.Equal(t, 800, g.stores.index.TotalTokens(enginePlace))
+		assert.Equal(t, 800, g.cache.index.TotalTokens(enginePlace))
 	})
 }
 
@@ -115,7 +115,7 @@
 	now := time.Now()
 	delayAt := func(clock int64) (time.Duration, bool) {
 		var g Gateway
-		g.stores.clock.hear(clock, now)
+		g.cache.clock.observe(clock, now)
 		return g.restartDelay(later, now)
 	}
 	t.Run("it is told by the runners' clock", func(t *testing.T) {
@@ -135,18 +135,18 @@
 func TestStoreTellsOfNewStart(t *testing.T) {
 	e := &site.Engine{Model: site.Model, Version: 1, Born: earlier}
 	e.ID = "e1"
-	w := enginesWorld(t)
+	w := startWithEngines(t)
 	e.Start()
 	t.Cleanup(e.Stop)
 	w.store.Put("servers", e.ID, e.Record("ready"))
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("e1") != nil })
 	g := w.gateway
 	first := g.state.Roster.Find("e1")
-	g.stores.applyRunner(first.Info().Run(), &bulletin.CacheUpdate{Address: e.Address(), Snapshot: true, Changes: []holdings.Change{{Key: partKey, Tokens: 800}}})
-	require.Equal(t, 800, g.stores.index.TotalTokens(e.Address()))
+	g.cache.applyRunnerUpdate(first.Info().Run(), &bulletin.CacheUpdate{Address: e.Address(), Snapshot: true, Changes: []holdings.Change{{Key: partKey, Tokens: 800}}})
+	require.Equal(t, 800, g.cache.index.TotalTokens(e.Address()))
 	e.Restart(later)
 	w.store.Put("servers", e.ID, e.Record("ready"))
-	w.eventually(t, func() bool { return g.stores.index.TotalTokens(e.Address()) == 0 })
+	w.eventually(t, func() bool { return g.cache.index.TotalTokens(e.Address()) == 0 })
 	assert.NotSame(t, first, g.state.Roster.Find("e1"))
 	<-first.Ended()
 }
@@ -157,27 +157,27 @@
 		site.Events(w, r, 4, 0)
 		<-r.Context().Done()
 	}
-	a, b := &site.Runner{ID: "a", Handle: hangs}, &site.Runner{ID: "b", Handle: cutAfter(0)}
-	patient := routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "gap_aim_ms": 60000})
-	w := begin(t, configOf(1, patient), a)
+	a, b := &site.Runner{ID: "a", Handle: hangs}, &site.Runner{ID: "b", Handle: cutAfterEvents(0)}
+	patient := routeConfig("stream", "streaming", "plain", jsonMap{"resumable": true, "gap_aim_ms": 60000})
+	w := startWorld(t, configWithRoutes(1, patient), a)
 	defer w.stop()
 	startedAt := func(start int) jsonMap {
-		entry := record(a, "ready")
+		entry := runnerRecord(a, "ready")
 		entry["born"] = start
 		return entry
 	}
 	w.store.Put("servers", "a", startedAt(earlier))
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("a").Info().Generation == earlier })
 	conn := w.dial(t)
-	w.ask(t, conn, "/stream/x")
+	w.sendGet(t, conn, "/stream/x")
 	w.eventually(t, func() bool { return len(a.Runs()) == 1 })
 	b.Start()
 	t.Cleanup(b.Stop)
-	w.store.Put("servers", "b", record(b, "ready"))
+	w.store.Put("servers", "b", runnerRecord(b, "ready"))
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("b") != nil })
 	w.store.Put("servers", "a", startedAt(later))
-	got := read(t, conn, "GET")
+	got := readAnswer(t, conn, "GET")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(9), got.body)
+	assert.Equal(t, eventsUpTo(9), got.body)
 	assert.Len(t, b.Runs(), 1)
 }
--- a/gateway/restored_store_test.go
+++ b/gateway/restored_store_test.go
@@ -16,20 +16,20 @@
 const (
 	// applyWithin is how soon after its acknowledgement a change is in force.
 	applyWithin = 2 * time.Second
-	// restoredFor is how long it is looked whether a copy takes something back.
-	restoredFor = 500 * time.Millisecond
+	// observeRestoredFor is how long it is looked whether a copy takes something back.
+	observeRestoredFor = 500 * time.Millisecond
 )
 
 // restoredConfig is a version of the configuration with a route of its own.
 func restoredConfig(version int) jsonMap {
-	return configOf(version, routeOf("repeat", "idempotent", "plain", nil), routeOf("added-"+string(rune('a'+version)), "idempotent", "plain", nil))
+	return configWithRoutes(version, routeConfig("repeat", "idempotent", "plain", nil), routeConfig("added-"+string(rune('a'+version)), "idempotent", "plain", nil))
 }
 
-// restoredWorld is an entry that knows version 3 of the configuration and of the weights, and a copy that has version 1 of both; written is how many
+// startBeforeRestore is an entry that knows version 3 of the configuration and of the weights, and a copy that has version 1 of both; written is how many
 // other changes the store has had between.
-func restoredWorld(t *testing.T, written int) (*world, site.Copy) {
+func startBeforeRestore(t *testing.T, written int) (*world, site.Copy) {
 	t.Helper()
-	w := begin(t, restoredConfig(1), &site.Runner{ID: "r"})
+	w := startWorld(t, restoredConfig(1), &site.Runner{ID: "r"})
 	t.Cleanup(w.stop)
 	w.store.Put("versions", site.Model, site.WeightsOf(1))
 	w.awaitVersions(t, 1, 1)
@@ -74,13 +74,13 @@
 		w.awaitVersions(t, 4, 4)
 	}
 	t.Run("its revisions stay below those of before", func(t *testing.T) {
-		w, older := restoredWorld(t, 20)
+		w, older := startBeforeRestore(t, 20)
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return w.configVersion() < 3 || w.weightsVersion() < 3 }, restoredFor, 10*time.Millisecond, "the copy took a version back")
+		assert.Never(t, func() bool { return w.configVersion() < 3 || w.weightsVersion() < 3 }, observeRestoredFor, 10*time.Millisecond, "the copy took a version back")
 		assertChanges(t, w)
 	})
 	t.Run("its revisions pass those of before, before anybody asks", func(t *testing.T) {
-		w, older := restoredWorld(t, 20)
+		w, older := startBeforeRestore(t, 20)
 		w.store.Fail(http.StatusServiceUnavailable)
 		w.store.Restore(older)
 		write(w)
@@ -91,7 +91,7 @@
 		w.awaitVersions(t, 4, 4)
 	})
 	t.Run("it was away before", func(t *testing.T) {
-		w, older := restoredWorld(t, 20)
+		w, older := startBeforeRestore(t, 20)
 		w.store.Fail(http.StatusServiceUnavailable)
 		time.Sleep(300 * time.Millisecond)
 		w.store.Restore(older)
@@ -99,16 +99,16 @@
 		assertChanges(t, w)
 	})
 	t.Run("twice in a row", func(t *testing.T) {
-		w, older := restoredWorld(t, 20)
+		w, older := startBeforeRestore(t, 20)
 		w.store.Restore(older)
-		time.Sleep(restoredFor)
+		time.Sleep(observeRestoredFor)
 		w.store.Restore(older)
 		assertChanges(t, w)
 	})
 	t.Run("the era is missing in some answers", func(t *testing.T) {
-		w, older := restoredWorld(t, 20)
+		w, older := startBeforeRestore(t, 20)
 		w.store.Restore(older)
-		time.Sleep(restoredFor)
+		time.Sleep(observeRestoredFor)
 		w.store.HideEra(true)
 		assertChanges(t, w)
 	})
@@ -118,49 +118,49 @@
 func TestRestoredStoreTakesBack(t *testing.T) {
 	t.Run("a leaving", func(t *testing.T) {
 		r := &site.Runner{ID: "r"}
-		w := begin(t, defaultConfig(), r, &site.Runner{ID: "other"})
+		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
 		older := w.store.Copy()
-		w.store.Put("servers", "r", record(r, "draining"))
+		w.store.Put("servers", "r", runnerRecord(r, "draining"))
 		leaving := func() bool { return w.gateway.state.Roster.Find("r").View(time.Now()).Leaving }
 		w.eventually(t, leaving)
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return !leaving() }, restoredFor, 10*time.Millisecond)
+		assert.Never(t, func() bool { return !leaving() }, observeRestoredFor, 10*time.Millisecond)
 	})
 	t.Run("a removal", func(t *testing.T) {
-		w := begin(t, defaultConfig(), &site.Runner{ID: "r"}, &site.Runner{ID: "other"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"}, &site.Runner{ID: "other"})
 		defer w.stop()
 		older := w.store.Copy()
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return w.gateway.state.Roster.Find("r") != nil }, restoredFor, 10*time.Millisecond)
+		assert.Never(t, func() bool { return w.gateway.state.Roster.Find("r") != nil }, observeRestoredFor, 10*time.Millisecond)
 	})
 	t.Run("a removal, of a runner that writes its record again", func(t *testing.T) {
 		r := &site.Runner{ID: "r"}
-		w := begin(t, defaultConfig(), r, &site.Runner{ID: "other"})
+		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
 		older := w.store.Copy()
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
 		w.store.Restore(older)
-		time.Sleep(restoredFor)
-		w.store.Put("servers", "r", record(r, "ready"))
+		time.Sleep(observeRestoredFor)
+		w.store.Put("servers", "r", runnerRecord(r, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") != nil })
 	})
 	t.Run("a runner that the copy doesn't have", func(t *testing.T) {
 		late := &site.Runner{ID: "late"}
-		w := begin(t, defaultConfig(), &site.Runner{ID: "r"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"})
 		defer w.stop()
 		older := w.store.Copy()
 		late.Start()
 		t.Cleanup(late.Stop)
-		w.store.Put("servers", "late", record(late, "ready"))
+		w.store.Put("servers", "late", runnerRecord(late, "ready"))
 		listed := func() bool { return w.gateway.state.Roster.Find("late") != nil }
 		w.eventually(t, listed)
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return !listed() }, restoredFor, 10*time.Millisecond)
-		w.store.Put("servers", "late", record(late, "ready"))
+		assert.Never(t, func() bool { return !listed() }, observeRestoredFor, 10*time.Millisecond)
+		w.store.Put("servers", "late", runnerRecord(late, "ready"))
 		time.Sleep(applyWithin)
 		assert.True(t, listed(), "it has written its record again in time")
 	})
@@ -168,7 +168,7 @@
 		t.Run(name, func(t *testing.T) {
 			store := site.NewStore()
 			store.Put("config", "main", defaultConfig())
-			w := beginWith(t, store, func(s *deployment.Settings) { s.Bounds.ZoneEvacuation = applyWithin })
+			w := startWithSettings(t, store, func(s *deployment.Settings) { s.Bounds.ZoneEvacuation = applyWithin })
 			defer w.stop()
 			w.awaitReady(t)
 			evacuated := func() bool { return w.gateway.state.Evacuations().Has(rillreach.ZoneID("z1")) }
@@ -186,7 +186,7 @@
 			older := w.store.Copy()
 			change(begun)
 			w.store.Restore(older)
-			require.Never(t, func() bool { return evacuated() != begun }, restoredFor, 10*time.Millisecond)
+			require.Never(t, func() bool { return evacuated() != begun }, observeRestoredFor, 10*time.Millisecond)
 			if begun {
 				change(true)
 			}
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -65,7 +65,7 @@
 		return admission.EngineState{Capacity: c.Capacity, Used: v.KVTokens * entries, PendingPrefill: ahead}
 	}
 	return admission.EngineState{
-		Capacity: c.Capacity, Used: max(v.Load.UsedTokens, 0), Queued: v.Load.Waiting * g.sizes.mean(), SentSinceReport: v.UnreportedKVTokens, Senders: senders,
+		Capacity: c.Capacity, Used: max(v.Load.UsedTokens, 0), Queued: v.Load.Waiting * g.requestSizes.mean(), SentSinceReport: v.UnreportedKVTokens, Senders: senders,
 		PendingPrefill: time.Duration(c.QueuedPrefillTokens) * o.question.Latency.PerToken,
 	}
 }
--- a/gateway/route_times.go
+++ b/gateway/route_times.go
@@ -50,7 +50,7 @@
 // takes says how long requests on the route take until their whole answer. What must not run twice is lost where the end overtakes it, so
 // that its likely time is the sure one.
 func (g *Gateway) takes(route *deployment.Route) drain.Request {
-	usual := g.usual.of(route.Name)
+	usual := g.answerTimes.of(route.Name)
 	takes := drain.Request{TypicalDuration: usual.UpperBound(likelyDeviations), ConservativeDuration: usual.UpperBound(surelyDeviations)}
 	if route.AtMostOnce() {
 		takes.TypicalDuration = takes.ConservativeDuration
--- a/gateway/runner_limit.go
+++ b/gateway/runner_limit.go
@@ -29,11 +29,11 @@
 	g.Log.Info("limit of a runner changed", "decision", "throttle", teller, id, "runner", r.Info().ID, "bounded", limit.Bounded, "perSecond", limit.PerSecond)
 	g.limited.noteChanged(r, now)
 	g.limited.changed.Wake()
-	g.line.changed()
+	g.queue.changed()
 }
 
 // applyQuotas takes over what an agent says of runners that name a limit, and what it allots to this entry for those that are its to share out.
-func (a *agents) applyQuotas(agent netip.AddrPort, b *bulletin.Bulletin, now time.Time) {
+func (a *agentFollower) applyQuotas(agent netip.AddrPort, b *bulletin.Bulletin, now time.Time) {
 	g := a.gateway
 	for i := range b.Quotas {
 		q := &b.Quotas[i]
@@ -42,25 +42,25 @@
 		if r == nil {
 			continue
 		}
-		if r.ObserveLimit(now, g.stores.clock.toLocal(limit.Observation(), now)) {
+		if r.ObserveLimit(now, g.cache.clock.toLocal(limit.Observation(), now)) {
 			g.limitChanged(r, limit.Limit, now, "agent", b.Runner)
 		}
 		if r.Limit().Limit != limit.Limit {
 			g.limited.noteUnreported(r, now) // the agent doesn't know of a later answer
 		}
-		if !a.allots(agent, r) {
+		if !a.isAllocatorOf(agent, r) {
 			continue // it shared the limit out before
 		}
 		r.AddLimitPermits(now, limit.Limit, q.Permits, g.permitsEnd(b, now))
 		if q.Permits > 0 {
-			g.line.changed()
+			g.queue.changed()
 		}
 	}
 }
 
 // toLocal gives an observation by the runners' clock the times of this process's.
-func (c *runnersClock) toLocal(o backpressure.Observation, now time.Time) backpressure.Observation {
-	clock, known := c.read(now)
+func (c *runnerClock) toLocal(o backpressure.Observation, now time.Time) backpressure.Observation {
+	clock, known := c.estimate(now)
 	if !known {
 		clock = o.Received // all that is known is that it was not later
 	}
@@ -69,8 +69,8 @@
 }
 
 // toShared gives an observation of this process the times of the runners' clock, and reports whether that is known.
-func (c *runnersClock) toShared(o backpressure.Observation, now time.Time) (backpressure.Observation, bool) {
-	clock, known := c.read(now)
+func (c *runnerClock) toShared(o backpressure.Observation, now time.Time) (backpressure.Observation, bool) {
+	clock, known := c.estimate(now)
 	o.Sent, o.Received = clock.Add(o.Sent.Sub(now)), clock.Add(o.Received.Sub(now))
 	return o.Widen(clockSlack), known
 }
--- a/gateway/second_attempt_test.go
+++ b/gateway/second_attempt_test.go
@@ -23,14 +23,14 @@
 	defer w.stop()
 	goOn := make(chan struct{})
 	loads.Handle = pausesAfterFive(w, goOn)
-	conn := w.prompt(t, "/prompt/x")
+	conn := w.sendPrompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(other.Runs()) == 1 })
-	assert.Eventually(t, func() bool { return w.gateway.state.Roster.Find("other").View(time.Now()).RunningRequests == 0 }, wait/4, 5*time.Millisecond,
+	assert.Eventually(t, func() bool { return w.gateway.state.Roster.Find("other").View(time.Now()).RunningRequests == 0 }, testTimeout/4, 5*time.Millisecond,
 		"a request that the runner refused counts as running there until the first runner's answer ends")
 	close(goOn)
-	got := read(t, conn, "POST")
+	got := readAnswer(t, conn, "POST")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, eventsUpTo(streamed), got.body)
 }
 
 // A runner that fails a request has given no answer that is worth more than one that another runner is already making.
@@ -50,7 +50,7 @@
 			site.Answer(w, r, "second")
 		})
 		defer w.stop()
-		got := w.call(t, "GET", "/repeat/x", "")
+		got := w.send(t, "GET", "/repeat/x", "")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 		assert.Equal(t, "second", got.body)
@@ -63,7 +63,7 @@
 			site.Refuse(w, r)
 		})
 		defer w.stop()
-		got := w.call(t, "GET", "/repeat/x", "")
+		got := w.send(t, "GET", "/repeat/x", "")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusInternalServerError, got.status)
 		assert.Equal(t, "sealed", got.header.Get("X-Rillreach-Response-Seal"))
@@ -107,7 +107,7 @@
 				named(rw, 7, streamed)
 			}
 		}
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err, "the stream's runner was given up for one whose events can't be joined")
 		var whole strings.Builder
 		named(&whole, 1, streamed)
@@ -132,9 +132,9 @@
 			w.WriteHeader(http.StatusNotFound)
 		})
 		defer w.stop()
-		got := w.call(t, "POST", "/stream/x", "prompt")
+		got := w.send(t, "POST", "/stream/x", "prompt")
 		require.NoError(t, got.err, "the stream's runner was given up for an answer that is no stream")
-		assert.Equal(t, pieces(streamed), got.body)
+		assert.Equal(t, eventsUpTo(streamed), got.body)
 	})
 }
 
@@ -156,14 +156,14 @@
 func threeRunners(t *testing.T, first, others http.HandlerFunc) *world {
 	t.Helper()
 	a, b, c := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: others}, &site.Runner{ID: "c", Handle: others}
-	w := begin(t, configOf(1, routeOf("repeat", "idempotent", "plain", jsonMap{"max_attempts": 3})), a)
+	w := startWorld(t, configWithRoutes(1, routeConfig("repeat", "idempotent", "plain", jsonMap{"max_attempts": 3})), a)
 	for _, r := range []*site.Runner{b, c} {
 		r.Start()
 		t.Cleanup(r.Stop)
 	}
 	a.Handle = func(rw http.ResponseWriter, r *http.Request) {
-		w.store.Put("servers", "b", record(b, "ready"))
-		w.store.Put("servers", "c", record(c, "ready"))
+		w.store.Put("servers", "b", runnerRecord(b, "ready"))
+		w.store.Put("servers", "c", runnerRecord(c, "ready"))
 		first(rw, r)
 	}
 	return w
@@ -183,7 +183,7 @@
 		<-r.Context().Done()
 	}, refusesOnce)
 	defer w.stop()
-	got := w.call(t, "GET", "/repeat/x", "")
+	got := w.send(t, "GET", "/repeat/x", "")
 	require.NoError(t, got.err)
 	assert.Equal(t, "third", got.body, "nobody was asked after the refusal")
 	assert.EqualValues(t, 2, others.Load())
@@ -206,14 +206,14 @@
 		panic(http.ErrAbortHandler)
 	}, hangsOnce)
 	defer w.stop()
-	got := w.call(t, "GET", "/repeat/x", "")
+	got := w.send(t, "GET", "/repeat/x", "")
 	require.NoError(t, got.err)
 	assert.Equal(t, "third", got.body, "nobody was asked beside the second")
 }
 
 // A runner's bytes that are no events don't fill the entry's memory.
 func TestSecondAttemptReadsNoEndlessEvent(t *testing.T) {
-	const most = 64 * maxEvent
+	const most = 64 * maxEventSize
 	written := make(chan int, 1)
 	w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -225,7 +225,7 @@
 	}, func(w http.ResponseWriter, r *http.Request) {
 		site.Seal(w, r)
 		sum := 0
-		for chunk := strings.Repeat("x", relayBuffer); sum < most && r.Context().Err() == nil; sum += len(chunk) {
+		for chunk := strings.Repeat("x", relayBufferSize); sum < most && r.Context().Err() == nil; sum += len(chunk) {
 			if _, err := io.WriteString(w, chunk); err != nil {
 				break
 			}
@@ -233,9 +233,9 @@
 		written <- sum
 	})
 	defer w.stop()
-	got := w.call(t, "POST", "/stream/x", "prompt")
+	got := w.send(t, "POST", "/stream/x", "prompt")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, eventsUpTo(streamed), got.body)
 	assert.Less(t, <-written, most, "all was read that the runner sent")
 }
 
@@ -246,7 +246,7 @@
 	big := strings.Repeat("x", 64<<10)
 	var second atomic.Int64
 	// The answer's 26 MB take longer than the usual time-out where the machine is busy.
-	patient := configOf(1, routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
+	patient := configWithRoutes(1, routeConfig("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
 	w := silentWorldAt(t, patient, func(w http.ResponseWriter, r *http.Request) {
 		site.Seal(w, r)
 		for id := 1; id <= events; id++ {
@@ -261,13 +261,13 @@
 	})
 	defer w.stop()
 	conn := w.dial(t)
-	w.ask(t, conn, "/stream/x")
+	w.sendGet(t, conn, "/stream/x")
 	select {
 	case <-blocked:
 		t.Fatal("the caller's connection holds more than this test allows for")
 	case <-time.After(4 * leastSilence):
 	}
-	got := read(t, conn, "GET")
+	got := readAnswer(t, conn, "GET")
 	require.NoError(t, got.err)
 	assert.Equal(t, events, strings.Count(got.body, "\n\n"))
 	assert.Zero(t, second.Load(), "another runner was asked, though the first one's events were there")
@@ -287,12 +287,12 @@
 		site.Events(w, r, streamed, 0)
 	})
 	conn := w.dial(t)
-	w.ask(t, conn, "/stream/x")
+	w.sendGet(t, conn, "/stream/x")
 	<-asked
 	w.stop()
-	w.eventually(t, w.gateway.leaving.Load)
+	w.eventually(t, w.gateway.shuttingDown.Load)
 	close(leaving)
-	got := read(t, conn, "GET")
+	got := readAnswer(t, conn, "GET")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamed), got.body)
+	assert.Equal(t, eventsUpTo(streamed), got.body)
 }
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -13,10 +13,10 @@
 // admissionOf is what the line has to know of the request.
 func (g *Gateway) admissionOf(x *exchange) admission.Request {
 	r := admission.Request{
-		Arrived: x.arrived, TargetTime: x.arrived.Add(x.route.TargetLatency), Deadline: x.ends, ExpectedTTFT: g.usualFirst(x),
-		Tokens: x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens, AnswerStarted: x.began,
+		Arrived: x.arrived, TargetTime: x.arrived.Add(x.route.TargetLatency), Deadline: x.deadline, ExpectedTTFT: g.usualFirst(x),
+		Tokens: x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens, AnswerStarted: x.headSent,
 	}
-	if quiet := x.route.CallerIdleTimeout(); quiet > 0 && !x.began {
+	if quiet := x.route.CallerIdleTimeout(); quiet > 0 && !x.headSent {
 		if left := x.arrived.Add(quiet); left.Before(r.Deadline) {
 			r.Deadline = left
 		}
@@ -26,13 +26,13 @@
 
 // usualFirst is how long most requests of the route take from the send to the first token, for a prompt of this size.
 func (g *Gateway) usualFirst(x *exchange) time.Duration {
-	rest := g.firstWaits.of(x.route.Name)
+	rest := g.firstTokenDelays.of(x.route.Name)
 	return max(leastFirst, g.ownReading(x)+rest.UpperBound(likelyDeviations))
 }
 
 // ownReading is how long engines read what no other request has in common with this one.
 func (g *Gateway) ownReading(x *exchange) time.Duration {
-	return time.Duration(x.wire.Prompt.UnsharedTokens()) * g.firsts.of(x.service.Name).PerToken
+	return time.Duration(x.wire.Prompt.UnsharedTokens()) * g.ttft.of(x.service.Name).PerToken
 }
 
 // shed ends the wait of a request that won't be served, so that its caller isn't held for nothing; it reports whether it did. That is one
@@ -50,7 +50,7 @@
 	if !lost && !l.standing.ShouldShed(now, w.request, wait) {
 		return decision{}, false
 	}
-	w.exchange.comeBack = max(wait, l.standing.Age(now))
+	w.exchange.admissionWait = max(wait, l.standing.Age(now))
 	return decision{verdict: verdictBacklog}, true
 }
 
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -55,7 +55,7 @@
 
 // lives reports that a runner's agent speaks, and says that the run that the request went to answers.
 func lives(r *roster.Runner) bool {
-	if isOver(r) {
+	if hasLaterRun(r) {
 		return false
 	}
 	v := r.View(time.Now())
--- a/gateway/slow_start.go
+++ b/gateway/slow_start.go
@@ -25,7 +25,7 @@
 // permitsEnd is until when the permits of a bulletin may be used.
 func (g *Gateway) permitsEnd(b *bulletin.Bulletin, now time.Time) time.Time {
 	until := now.Add(permit.Validity)
-	if clock, known := g.stores.clock.read(now); known && b.Clock != 0 {
+	if clock, known := g.cache.clock.estimate(now); known && b.Clock != 0 {
 		until = until.Add(-max(0, clock.Sub(time.UnixMilli(b.Clock))))
 	}
 	return until
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -95,26 +95,26 @@
 	defer r.Stop()
 	store := site.NewStore()
 	store.Put("config", "main", withSlowStart(defaultConfig(), "plain"))
-	listed := record(r, "ready")
+	listed := runnerRecord(r, "ready")
 	listed["cold_remaining_ms"] = coldFor.Milliseconds()
 	store.Put("servers", r.ID, listed)
-	w := beginWith(t, store, setColdBounds)
+	w := startWithSettings(t, store, setColdBounds)
 	defer w.stop()
 	w.awaitReady(t)
 	began := time.Now()
 	for range coldLoad {
-		w.call(t, "POST", "/once/x", "body")
+		w.send(t, "POST", "/once/x", "body")
 	}
 	w.eventually(t, func() bool {
-		w.call(t, "POST", "/once/x", "body")
+		w.send(t, "POST", "/once/x", "body")
 		return reached.len() > 0
 	})
 	assertColdBound(t, &reached, began)
-	assert.Contains(t, w.call(t, "POST", "/once/x", "body").body, verdictCold)
-	store.Put("servers", r.ID, record(r, "ready"))
-	w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
+	assert.Contains(t, w.send(t, "POST", "/once/x", "body").body, verdictRunnersCold)
+	store.Put("servers", r.ID, runnerRecord(r, "ready"))
+	w.eventually(t, func() bool { return w.send(t, "POST", "/once/x", "body").status == http.StatusOK })
 	for range coldLoad {
-		require.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status, "a warm runner takes all")
+		require.Equal(t, http.StatusOK, w.send(t, "POST", "/once/x", "body").status, "a warm runner takes all")
 	}
 }
 
@@ -124,17 +124,17 @@
 // TestColdEngine has prompts come to two entries at once while the only engine is cold, as all engines of a fleet are after a loss of power: they
 // wait for permits of its agent, which the entries share, and are served late rather than refused.
 func TestColdEngine(t *testing.T) {
-	s := beginShared(t)
+	s := startSharedSite(t)
 	var reached arrivals
 	s.engine.Handle = func(w http.ResponseWriter, req *http.Request) {
 		reached.add()
 		site.Answer(w, req, "sound")
 	}
 	config := defaultConfig()
-	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptTarget.Milliseconds(), "gap_aim_ms": 1000}))
-	config["services"] = append(config["services"].([]jsonMap), engineService())
+	config["routes"] = append(config["routes"].([]jsonMap), routeConfig("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptTarget.Milliseconds(), "gap_aim_ms": 1000}))
+	config["services"] = append(config["services"].([]jsonMap), engineServiceConfig())
 	s.store.Put("config", "main", withSlowStart(config, "e"))
-	one, two := s.entry(t, "entry-1"), s.entry(t, "entry-2")
+	one, two := s.startEntry(t, "entry-1"), s.startEntry(t, "entry-2")
 	listed := site.EngineRecordOf(s.engine.Address(), "ready", 1)
 	listed["cold_remaining_ms"] = coldFor.Milliseconds()
 	s.store.Put("servers", s.engine.ID, listed)
@@ -148,7 +148,7 @@
 		w := []*world{one, two}[i%2]
 		wg.Go(func() {
 			time.Sleep(coldPause * time.Duration(max(0, i-coldAtOnce)))
-			if read(t, w.prompt(t, fmt.Sprint("/prompt/", i)), "GET").status == http.StatusOK {
+			if readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", i)), "GET").status == http.StatusOK {
 				served.add()
 			}
 		})
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -39,22 +39,22 @@
 	}
 }
 
-// beginStop starts an entry with a runner and the grace; stopping is the time of the stop's signal.
-func beginStop(t *testing.T, handle http.HandlerFunc) (w *world, runner *site.Runner, stopping func() time.Time) {
+// startForShutdown starts an entry with a runner and the grace; stopping is the time of the stop's signal.
+func startForShutdown(t *testing.T, handle http.HandlerFunc) (w *world, runner *site.Runner, stopping func() time.Time) {
 	t.Helper()
 	runner = &site.Runner{ID: "r1", Handle: handle}
-	w = begin(t, defaultConfig(), runner)
+	w = startWorld(t, defaultConfig(), runner)
 	w.gateway.Settings.Bounds.GracePeriod = shortGrace
 	t.Cleanup(w.stop)
 	return w, runner, func() time.Time {
 		w.stop()
-		w.eventually(t, w.gateway.leaving.Load)
+		w.eventually(t, w.gateway.shuttingDown.Load)
 		return time.Now()
 	}
 }
 
-// ask sends a request on the connection, and returns once the entry has it.
-func (w *world) ask(t *testing.T, conn net.Conn, path string, header ...string) {
+// sendGet sends a request on the connection, and returns once the entry has it.
+func (w *world) sendGet(t *testing.T, conn net.Conn, path string, header ...string) {
 	t.Helper()
 	lines := append([]string{"GET " + path + " HTTP/1.1", "Host: " + host, "X-Rillreach-Attempt-Id: a1", "Authorization: Bearer " + key}, header...)
 	_, err := io.WriteString(conn, strings.Join(lines, "\r\n")+"\r\n\r\n")
@@ -63,14 +63,14 @@
 
 func (w *world) dial(t *testing.T) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", w.callers)
+	conn, err := net.Dial("tcp", w.callerAddress)
 	require.NoError(t, err, "the entry lives, and takes no connection")
 	t.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
-// assertEnded holds an answer against the promise that a stop cuts nothing: it is whole, or it says that the request has not run.
-func assertEnded(t *testing.T, got answer, runs int) {
+// assertNotCut holds an answer against the promise that a stop cuts nothing: it is whole, or it says that the request has not run.
+func assertNotCut(t *testing.T, got answer, runs int) {
 	t.Helper()
 	require.NoError(t, got.err, "the answer was cut")
 	if got.status == http.StatusServiceUnavailable {
@@ -85,41 +85,41 @@
 func TestStop(t *testing.T) {
 	t.Run("a stream that is taken late and cannot end in time is not cut", func(t *testing.T) {
 		t.Parallel()
-		w, runner, stop := beginStop(t, slowEvents(2*time.Second))
+		w, runner, stop := startForShutdown(t, slowEvents(2*time.Second))
 		signalled := stop()
 		time.Sleep(time.Until(signalled.Add(3 * time.Second)))
-		got := w.call(t, "GET", "/stream/x", "")
-		assertEnded(t, got, len(runner.Runs()))
+		got := w.send(t, "GET", "/stream/x", "")
+		assertNotCut(t, got, len(runner.Runs()))
 	})
 	t.Run("connections are taken for as long as the process lives", func(t *testing.T) {
 		t.Parallel()
-		w, runner, stop := beginStop(t, slowEvents(3700*time.Millisecond))
+		w, runner, stop := startForShutdown(t, slowEvents(3700*time.Millisecond))
 		old := w.dial(t)
-		w.ask(t, old, "/stream/old")
+		w.sendGet(t, old, "/stream/old")
 		w.eventually(t, func() bool { return len(runner.Runs()) == 1 })
 		signalled := stop()
 		time.Sleep(time.Until(signalled.Add(3350 * time.Millisecond)))
-		got := w.call(t, "GET", "/repeat/x", "")
+		got := w.send(t, "GET", "/repeat/x", "")
 		require.NoError(t, got.err)
 		assert.True(t, got.closes)
-		whole := read(t, old, "GET")
+		whole := readAnswer(t, old, "GET")
 		require.NoError(t, whole.err, "a stream from before the stop goes on to its end")
 		assert.Contains(t, whole.body, "data: end")
 	})
 	t.Run("what has no answer yet at the end gets one", func(t *testing.T) {
 		t.Parallel()
-		w, runner, stop := beginStop(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+		w, runner, stop := startForShutdown(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		conn := w.dial(t)
-		w.ask(t, conn, "/once/x")
+		w.sendGet(t, conn, "/once/x")
 		w.eventually(t, func() bool { return len(runner.Runs()) == 1 })
 		stop()
-		assertOwn(t, read(t, conn, "GET"), http.StatusBadGateway)
+		assertGatewayAnswer(t, readAnswer(t, conn, "GET"), http.StatusBadGateway)
 	})
 	t.Run("an open connection is served on, and told to close", func(t *testing.T) {
 		t.Parallel()
-		w, _, stop := beginStop(t, nil)
+		w, _, stop := startForShutdown(t, nil)
 		conn := w.dial(t)
-		w.ask(t, conn, "/repeat/x")
+		w.sendGet(t, conn, "/repeat/x")
 		first := bufio.NewReader(conn)
 		resp, err := http.ReadResponse(first, nil)
 		require.NoError(t, err)
@@ -127,7 +127,7 @@
 		require.NoError(t, err)
 		assert.False(t, resp.Close)
 		stop()
-		w.ask(t, conn, "/repeat/y")
+		w.sendGet(t, conn, "/repeat/y")
 		resp, err = http.ReadResponse(first, nil)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
@@ -135,31 +135,31 @@
 	})
 }
 
-// beginLate starts an entry whose streams usually take a time, and has it stop for so long that callers could know of it.
-func beginLate(t *testing.T, usual time.Duration, runners ...*site.Runner) *world {
+// startPastNoticePeriod starts an entry whose streams usually take a time, and has it stop for so long that callers could know of it.
+func startPastNoticePeriod(t *testing.T, usual time.Duration, runners ...*site.Runner) *world {
 	t.Helper()
-	config := configOf(
+	config := configWithRoutes(
 		1,
-		routeOf("stream", "streaming", "plain", jsonMap{"timeout_ms": 12000, "resumable": true}),
-		routeOf("flow", "streaming", "plain", jsonMap{"timeout_ms": 12000}),
+		routeConfig("stream", "streaming", "plain", jsonMap{"timeout_ms": 12000, "resumable": true}),
+		routeConfig("flow", "streaming", "plain", jsonMap{"timeout_ms": 12000}),
 	)
-	w := begin(t, config, runners...)
+	w := startWorld(t, config, runners...)
 	t.Cleanup(w.stop)
 	for range 40 {
-		w.gateway.usual.add("stream", usual)
-		w.gateway.usual.add("flow", usual)
+		w.gateway.answerTimes.add("stream", usual)
+		w.gateway.answerTimes.add("flow", usual)
 	}
 	w.stop()
-	w.eventually(t, w.gateway.leaving.Load)
-	time.Sleep(time.Until(w.gateway.plan.SignalTime.Add(w.gateway.plan.NoticePeriod)))
+	w.eventually(t, w.gateway.shuttingDown.Load)
+	time.Sleep(time.Until(w.gateway.shutdown.SignalTime.Add(w.gateway.shutdown.NoticePeriod)))
 	return w
 }
 
 func TestStreamsTakenLate(t *testing.T) {
 	t.Run("one that likely ends in time comes whole, under its runner's seal", func(t *testing.T) {
 		t.Parallel()
-		w := beginLate(t, 300*time.Millisecond, &site.Runner{ID: "a", Handle: slowEvents(300 * time.Millisecond)})
-		got := w.call(t, "GET", "/flow/x", "")
+		w := startPastNoticePeriod(t, 300*time.Millisecond, &site.Runner{ID: "a", Handle: slowEvents(300 * time.Millisecond)})
+		got := w.send(t, "GET", "/flow/x", "")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 		assert.Contains(t, got.body, "data: end")
@@ -171,28 +171,28 @@
 		var runs atomic.Int64
 		breaksOnce := func(w http.ResponseWriter, r *http.Request) {
 			if runs.Add(1) == 1 {
-				cutAfter(4)(w, r)
+				cutAfterEvents(4)(w, r)
 				return
 			}
 			site.Events(w, r, 9, 0)
 		}
-		w := beginLate(t, 300*time.Millisecond, &site.Runner{ID: "a", Handle: breaksOnce}, &site.Runner{ID: "b", Handle: breaksOnce})
-		got := w.call(t, "GET", "/stream/x", "")
+		w := startPastNoticePeriod(t, 300*time.Millisecond, &site.Runner{ID: "a", Handle: breaksOnce}, &site.Runner{ID: "b", Handle: breaksOnce})
+		got := w.send(t, "GET", "/stream/x", "")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(9), got.body)
+		assert.Equal(t, eventsUpTo(9), got.body)
 	})
 	t.Run("one that breaks and may run once gets an answer that promises nothing", func(t *testing.T) {
 		t.Parallel()
-		a, b := &site.Runner{ID: "a", Handle: cutAfter(4)}, &site.Runner{ID: "b", Handle: cutAfter(4)}
-		w := beginLate(t, 300*time.Millisecond, a, b)
-		assertOwn(t, w.call(t, "GET", "/flow/x", ""), http.StatusBadGateway)
+		a, b := &site.Runner{ID: "a", Handle: cutAfterEvents(4)}, &site.Runner{ID: "b", Handle: cutAfterEvents(4)}
+		w := startPastNoticePeriod(t, 300*time.Millisecond, a, b)
+		assertGatewayAnswer(t, w.send(t, "GET", "/flow/x", ""), http.StatusBadGateway)
 		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 	})
 	t.Run("one that likely takes longer than its caller stays without a word is refused", func(t *testing.T) {
 		t.Parallel()
 		a := &site.Runner{ID: "a"}
-		w := beginLate(t, 3*time.Second, a) // callers leave after 2.4 s
-		assertOwn(t, w.call(t, "GET", "/flow/x", ""), http.StatusServiceUnavailable)
+		w := startPastNoticePeriod(t, 3*time.Second, a) // callers leave after 2.4 s
+		assertGatewayAnswer(t, w.send(t, "GET", "/flow/x", ""), http.StatusServiceUnavailable)
 		assert.Empty(t, a.Runs())
 	})
 }
@@ -215,22 +215,22 @@
 		time.Sleep(time.Until(end.Load().Add(offset)))
 		site.Events(w, r, 1, 0)
 	}}
-	config := configOf(1, routeOf("flow", "streaming", "plain", jsonMap{"timeout_ms": 60000}))
+	config := configWithRoutes(1, routeConfig("flow", "streaming", "plain", jsonMap{"timeout_ms": 60000}))
 	config["services"] = []jsonMap{{"name": "plain", "max_connections": 6 * streams}} // of which this entry may have a sixth
-	w := begin(t, config, runner)
+	w := startWorld(t, config, runner)
 	t.Cleanup(w.stop)
 	w.gateway.Settings.Bounds.GracePeriod = shortGrace
 	conns := make([]net.Conn, streams)
 	for i := range conns {
 		conns[i] = w.dial(t)
-		w.ask(t, conns[i], "/flow/x")
+		w.sendGet(t, conns[i], "/flow/x")
 	}
-	w.eventually(t, func() bool { return w.gateway.running.Count() == streams })
+	w.eventually(t, func() bool { return w.gateway.inflight.Count() == streams })
 	w.stop()
-	w.eventually(t, w.gateway.leaving.Load)
-	end.Store(&w.gateway.plan.Deadline)
+	w.eventually(t, w.gateway.shuttingDown.Load)
+	end.Store(&w.gateway.shutdown.Deadline)
 	for _, conn := range conns {
-		got := read(t, conn, "GET")
+		got := readAnswer(t, conn, "GET")
 		require.NoError(t, got.err, "status %d", got.status)
 		assert.Contains(t, []int{http.StatusOK, http.StatusBadGateway, http.StatusServiceUnavailable}, got.status)
 	}
@@ -241,9 +241,9 @@
 	for _, leaving := range []bool{false, true} {
 		t.Run(fmt.Sprint("leaving: ", leaving), func(t *testing.T) {
 			g := &Gateway{}
-			g.leaving.Store(leaving)
+			g.shuttingDown.Store(leaving)
 			recorder := httptest.NewRecorder()
-			g.answer(newExchange(recorder, httptest.NewRequest(http.MethodGet, "/", http.NoBody)), http.StatusServiceUnavailable, "entry-stops", 0)
+			g.respond(newExchange(recorder, httptest.NewRequest(http.MethodGet, "/", http.NoBody)), http.StatusServiceUnavailable, "entry-stops", 0)
 			assert.Equal(t, leaving, recorder.Flushed)
 		})
 	}
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -17,8 +17,8 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// pieces is the stream of events from the first to the last.
-func pieces(last int) string {
+// eventsUpTo is the stream of events from the first to the last.
+func eventsUpTo(last int) string {
 	var b strings.Builder
 	for id := 1; id <= last; id++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", id, id)
@@ -26,18 +26,18 @@
 	return b.String()
 }
 
-func cutAfter(n int) http.HandlerFunc {
+func cutAfterEvents(n int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, 9, n) }
 }
 
 func TestStreams(t *testing.T) {
 	t.Run("events pass as they come, and the whole is whole", func(t *testing.T) {
-		w := begin(t, defaultConfig(), &site.Runner{ID: "r", Handle: cutAfter(0)})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r", Handle: cutAfterEvents(0)})
 		defer w.stop()
 		for _, path := range []string{"/stream/x", "/flow/x"} {
-			got := w.call(t, "POST", path, "prompt")
+			got := w.send(t, "POST", path, "prompt")
 			require.NoError(t, got.err)
-			assert.Equal(t, pieces(9), got.body)
+			assert.Equal(t, eventsUpTo(9), got.body)
 		}
 	})
 	t.Run("a stream that breaks inside an event goes on elsewhere, nothing lost and nothing doubled", func(t *testing.T) {
@@ -52,19 +52,19 @@
 			}
 		}
 		a, b := &site.Runner{ID: "a", Handle: breaks}, &site.Runner{ID: "b", Handle: breaks}
-		w := begin(t, defaultConfig(), a, b)
+		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
-		got := w.call(t, "POST", "/stream/x", "prompt")
+		got := w.send(t, "POST", "/stream/x", "prompt")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(9), got.body)
+		assert.Equal(t, eventsUpTo(9), got.body)
 		assert.Len(t, a.Runs(), 1)
 		assert.Len(t, b.Runs(), 1)
 	})
 	t.Run("a stream that may not go on elsewhere reaches the caller cut", func(t *testing.T) {
-		a, b := &site.Runner{ID: "a", Handle: cutAfter(4)}, &site.Runner{ID: "b", Handle: cutAfter(4)}
-		w := begin(t, defaultConfig(), a, b)
+		a, b := &site.Runner{ID: "a", Handle: cutAfterEvents(4)}, &site.Runner{ID: "b", Handle: cutAfterEvents(4)}
+		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
-		got := w.call(t, "POST", "/flow/x", "prompt")
+		got := w.send(t, "POST", "/flow/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
 		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 	})
@@ -77,35 +77,35 @@
 			site.Events(w, r, 9, from+2)
 		}
 		a, b := &site.Runner{ID: "a", Handle: breaks}, &site.Runner{ID: "b", Handle: breaks}
-		w := begin(t, defaultConfig(), a, b)
+		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
-		got := w.call(t, "POST", "/stream/x", "prompt")
+		got := w.send(t, "POST", "/stream/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
-		assert.Equal(t, pieces(4), got.body)
+		assert.Equal(t, eventsUpTo(4), got.body)
 	})
 }
 
 func TestEventReader(t *testing.T) {
 	read := func(text string) (string, string) {
-		r := eventReader{from: strings.NewReader(text), whole: true}
+		r := eventReader{from: strings.NewReader(text), wholeEvents: true}
 		var all strings.Builder
 		for {
 			part, err := r.next()
 			all.Write(part)
 			if err != nil {
 				require.ErrorIs(t, err, io.EOF)
-				return all.String(), r.last
+				return all.String(), r.lastID
 			}
 		}
 	}
 	t.Run("the last id is that of the last event", func(t *testing.T) {
-		body, last := read(pieces(3))
-		assert.Equal(t, pieces(3), body)
+		body, last := read(eventsUpTo(3))
+		assert.Equal(t, eventsUpTo(3), body)
 		assert.Equal(t, "3", last)
 	})
 	t.Run("the rest of a whole stream goes out, too", func(t *testing.T) {
-		body, _ := read(pieces(2) + "data: no end")
-		assert.Equal(t, pieces(2)+"data: no end", body)
+		body, _ := read(eventsUpTo(2) + "data: no end")
+		assert.Equal(t, eventsUpTo(2)+"data: no end", body)
 	})
 }
 
@@ -123,12 +123,12 @@
 		}
 	}
 	a, b := &site.Runner{ID: "a", Handle: falls}, &site.Runner{ID: "b", Handle: falls}
-	w := begin(t, defaultConfig(), a, b)
+	w := startWorld(t, defaultConfig(), a, b)
 	defer w.stop()
 	defer close(release)
-	got := w.call(t, "POST", "/stream/x", "prompt")
+	got := w.send(t, "POST", "/stream/x", "prompt")
 	require.NoError(t, got.err, "the runner is not known to live, and so another goes on")
-	assert.Equal(t, pieces(9), got.body)
+	assert.Equal(t, eventsUpTo(9), got.body)
 }
 
 // TestStreamOfBusyRunner: a runner that is about to load weights waits for its streams to end, which leave it for others; it
@@ -141,17 +141,17 @@
 		}
 		site.Events(w, r, 9, 0)
 	}
-	busy := roster.Report{Load: deployment.Load{LoadingWeights: true}, ReceivedAt: time.Now().Add(wait)}
+	busy := roster.Report{Load: deployment.Load{LoadingWeights: true}, ReceivedAt: time.Now().Add(testTimeout)}
 	t.Run("a stream stays where no other runner may take it", func(t *testing.T) {
 		alone, leaves := &site.Runner{ID: "alone", Handle: empties}, &site.Runner{ID: "leaves"}
-		w := begin(t, defaultConfig(), alone, leaves)
+		w := startWorld(t, defaultConfig(), alone, leaves)
 		defer w.stop()
-		w.store.Put("servers", "leaves", record(leaves, "draining"))
+		w.store.Put("servers", "leaves", runnerRecord(leaves, "draining"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("leaves").Info().Leaving })
 		w.gateway.state.Roster.Find("alone").SetReport(busy)
-		got := w.call(t, "POST", "/stream/x", "prompt")
+		got := w.send(t, "POST", "/stream/x", "prompt")
 		require.NoError(t, got.err, "the stream left a sound runner, and nobody took it")
-		assert.Equal(t, pieces(9), got.body)
+		assert.Equal(t, eventsUpTo(9), got.body)
 	})
 	t.Run("a stream goes on at another that may", func(t *testing.T) {
 		emptied := make(chan struct{})
@@ -162,21 +162,21 @@
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		}}
-		b := &site.Runner{ID: "b", Handle: cutAfter(0)}
-		w := begin(t, defaultConfig(), a)
+		b := &site.Runner{ID: "b", Handle: cutAfterEvents(0)}
+		w := startWorld(t, defaultConfig(), a)
 		defer w.stop()
 		conn := w.dial(t)
-		w.ask(t, conn, "/stream/x")
+		w.sendGet(t, conn, "/stream/x")
 		w.eventually(t, func() bool { return len(a.Runs()) == 1 })
 		b.Start()
 		t.Cleanup(b.Stop)
-		w.store.Put("servers", "b", record(b, "ready"))
+		w.store.Put("servers", "b", runnerRecord(b, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("b") != nil })
 		w.gateway.state.Roster.Find("a").SetReport(busy)
 		close(emptied)
-		got := read(t, conn, "GET")
+		got := readAnswer(t, conn, "GET")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(9), got.body)
+		assert.Equal(t, eventsUpTo(9), got.body)
 	})
 }
 
@@ -198,17 +198,17 @@
 	}
 	assertWhole := func(t *testing.T, w *world) {
 		t.Helper()
-		got := w.call(t, "POST", "/stream/x", "prompt")
+		got := w.send(t, "POST", "/stream/x", "prompt")
 		require.NoError(t, got.err, "the answer was ended, and nobody went on with it")
-		assert.Equal(t, pieces(9), got.body)
+		assert.Equal(t, eventsUpTo(9), got.body)
 	}
 	t.Run("where no other runner may take it, it is waited for", func(t *testing.T) {
-		w := begin(t, defaultConfig(), &site.Runner{ID: "a", Handle: pauses})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "a", Handle: pauses})
 		defer w.stop()
 		assertWhole(t, w)
 	})
 	t.Run("where no budget is left for another, too", func(t *testing.T) {
-		w := begin(t, defaultConfig(), &site.Runner{ID: "a", Handle: pauses}, &site.Runner{ID: "b", Handle: pauses})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "a", Handle: pauses}, &site.Runner{ID: "b", Handle: pauses})
 		defer w.stop()
 		for w.gateway.budgets.TrySpend(time.Now(), "plain") {
 			continue
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -10,19 +10,19 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// identity is the fingerprint of a request, worked out once for all its attempts.
-type identity struct {
+// lazyFingerprint is the fingerprint of a request, worked out once for all its attempts.
+type lazyFingerprint struct {
 	once        sync.Once
 	fingerprint poison.Fingerprint
 }
 
 // fingerprint is that of the request, once its body has been read.
 func (x *exchange) fingerprint() poison.Fingerprint {
-	x.identity.once.Do(func() {
+	x.lazyFingerprint.once.Do(func() {
 		r := poison.Request{Caller: x.caller(), Method: x.call.Method, Host: x.call.Host, Target: x.call.Target, Body: x.call.Body}
-		x.identity.fingerprint = r.Fingerprint()
+		x.lazyFingerprint.fingerprint = r.Fingerprint()
 	})
-	return x.identity.fingerprint
+	return x.lazyFingerprint.fingerprint
 }
 
 // caller tells the request's caller apart from others: the client account, or the key that the runner is given where there is none.
@@ -33,17 +33,17 @@
 	return "account " + string(x.account.Name)
 }
 
-// crashes is how many runners have ended under the request.
-func (g *Gateway) crashes(x *exchange) int {
+// crashCount is how many runners have ended under the request.
+func (g *Gateway) crashCount(x *exchange) int {
 	if g.suspects.Empty() {
 		return 0
 	}
 	return g.suspects.Crashes(g.Clock.Now(), x.fingerprint())
 }
 
-// mayBegin decides whether a request that has come is sent to a runner at all: a repeat would end one runner after the other, with all that
+// admitsSuspect decides whether a request that has come is sent to a runner at all: a repeat would end one runner after the other, with all that
 // others have there.
-func (g *Gateway) mayBegin(x *exchange) bool {
+func (g *Gateway) admitsSuspect(x *exchange) bool {
 	if g.suspects.Empty() {
 		return true
 	}
@@ -60,27 +60,27 @@
 	return !g.suspects.Empty() && g.suspects.Quarantined(g.Clock.Now(), x.fingerprint())
 }
 
-// mayEndMore reports that the attempt that runs may be the last that the request is allowed, so that none is made beside it.
-func (g *Gateway) mayEndMore(x *exchange) bool { return g.crashes(x) >= poison.MaxCrashes-1 }
+// mayReachCrashLimit reports that the attempt that runs may be the last that the request is allowed, so that none is made beside it.
+func (g *Gateway) mayReachCrashLimit(x *exchange) bool { return g.crashCount(x) >= poison.MaxCrashes-1 }
 
-// noteCrash holds against the request that its runner ended with it under way, and has the other entries told.
-func (a *attempt) noteCrash() {
+// recordCrash holds against the request that its runner ended with it under way, and has the other entries told.
+func (a *attempt) recordCrash() {
 	g, x, t := a.gateway, a.exchange, a.target
 	crash := poison.Crash{
 		Request: x.fingerprint(), Runner: t.view.ID, Generation: t.view.Generation, Received: a.received, Trial: x.trial,
 		Answered: g.suspects.WasAnswered(x.fingerprint()),
 	}
 	now := g.Clock.Now()
-	crashes := append(g.outages.Observe(now, x.service.Name, g.listed(x.service.Name, t.runner), crash), crash)
+	crashes := append(g.outages.Observe(now, x.service.Name, g.listedRuns(x.service.Name, t.runner), crash), crash)
 	g.suspects.Record(now, crashes...)
-	g.observed.Record(now, crashes...)
-	g.crashed.Wake()
+	g.observedCrashes.Record(now, crashes...)
+	g.crashesChanged.Wake()
 	g.Log.Info("runner ended under a request", "decision", "suspect", "request", x.wire.ID, "fingerprint", crash.Request.String(), "runner", crash.Runner,
 		"generation", crash.Generation, "crashes", g.suspects.Crashes(now, crash.Request))
 }
 
-// listed is how many runs of a service are listed, with one that has just ended.
-func (g *Gateway) listed(service rillreach.ServiceID, ended *roster.Runner) int {
+// listedRuns is how many runs of a service are listedRuns, with one that has just ended.
+func (g *Gateway) listedRuns(service rillreach.ServiceID, ended *roster.Runner) int {
 	group := g.state.Roster.ByService(service)
 	if slices.Contains(group, ended) {
 		return len(group)
@@ -94,8 +94,8 @@
 	g.reportCleared(x, now, g.suspects.RecordAnswer(now, x.fingerprint()))
 }
 
-// noteReceived lifts the suspicion of a request that was answered before and now gets further than those that ended with their runners.
-func (g *Gateway) noteReceived(x *exchange, bytes int64) {
+// recordProgress lifts the suspicion of a request that was answered before and now gets further than those that ended with their runners.
+func (g *Gateway) recordProgress(x *exchange, bytes int64) {
 	if g.suspects.Empty() {
 		return
 	}
@@ -108,8 +108,8 @@
 	if len(cleared) == 0 {
 		return
 	}
-	g.observed.Record(now, cleared...)
-	g.crashed.Wake()
+	g.observedCrashes.Record(now, cleared...)
+	g.crashesChanged.Wake()
 	g.Log.Info("request answered that runners had ended under", "decision", "clear", "request", x.wire.ID, "fingerprint", x.fingerprint().String(), "crashes", len(cleared))
 }
 
--- a/gateway/weights_test.go
+++ b/gateway/weights_test.go
@@ -15,29 +15,29 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// shortBound is how long replaced weights may be used in these tests; requests are sent in the first part of it.
-const shortBound = 2500 * time.Millisecond
+// shortWeightsBound is how long replaced weights may be used in these tests; requests are sent in the first part of it.
+const shortWeightsBound = 2500 * time.Millisecond
 
-// queued is an engine at which requests wait until replaced weights may be used no longer, and begin then.
-type queued struct {
+// queuedEngine is an engine at which requests wait until replaced weights may be used no longer, and begin then.
+type queuedEngine struct {
 	site.Engine
 
-	// named is when the newer weights were named, in nanoseconds.
-	named     atomic.Int64
+	// namedAt is when the newer weights were namedAt, in nanoseconds.
+	namedAt   atomic.Int64
 	waiting   atomic.Int64
 	begun     atomic.Int64
 	cancelled atomic.Int64
 }
 
-func newQueued(id string) *queued {
-	q := &queued{}
+func newQueuedEngine(id string) *queuedEngine {
+	q := &queuedEngine{}
 	q.ID, q.Model, q.Version = id, site.Model, 1
 	q.Handle = q.wait
 	return q
 }
 
 // wait holds a request until the bound on old weights is over, unless its connection is closed before.
-func (q *queued) wait(w http.ResponseWriter, r *http.Request) {
+func (q *queuedEngine) wait(w http.ResponseWriter, r *http.Request) {
 	q.waiting.Add(1)
 	for {
 		select {
@@ -46,7 +46,7 @@
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
-		if named := q.named.Load(); named != 0 && time.Since(time.Unix(0, named)) > shortBound {
+		if named := q.namedAt.Load(); named != 0 && time.Since(time.Unix(0, named)) > shortWeightsBound {
 			q.begun.Add(1)
 			site.Events(w, r, 9, 0)
 			return
@@ -54,23 +54,23 @@
 	}
 }
 
-// enginesStore is a store with routes to engines.
-func enginesStore() *site.Store {
+// newEngineStore is a store with routes to engines.
+func newEngineStore() *site.Store {
 	store := site.NewStore()
 	store.Put("config", "main", site.ConfigOf(
 		1, []string{key},
-		site.Route{Name: "prompt", Host: host, Kind: "streaming", Attempts: 2, Resumable: true, Engines: true, Timeout: wait},
-		site.Route{Name: "flow", Host: host, Kind: "streaming", Attempts: 1, Engines: true, Timeout: wait},
+		site.Route{Name: "prompt", Host: host, Kind: "streaming", Attempts: 2, Resumable: true, Engines: true, Timeout: testTimeout},
+		site.Route{Name: "flow", Host: host, Kind: "streaming", Attempts: 1, Engines: true, Timeout: testTimeout},
 	))
 	return store
 }
 
-// enginesWorld is an entry before engines, with weights of version 1 named.
-func enginesWorld(t *testing.T, engines ...*site.Engine) *world {
+// startWithEngines is an entry before engines, with weights of version 1 named.
+func startWithEngines(t *testing.T, engines ...*site.Engine) *world {
 	t.Helper()
-	store := enginesStore()
+	store := newEngineStore()
 	store.Put("versions", site.Model, site.WeightsOf(1))
-	w := beginAt(t, store, shortBound)
+	w := startWithWeightsBound(t, store, shortWeightsBound)
 	w.awaitReady(t)
 	for _, e := range engines {
 		w.addEngine(t, e)
@@ -86,66 +86,66 @@
 	w.store.Put("servers", e.ID, site.EngineRecordOf(e.Address(), "ready", e.Weights()))
 	id := rillreach.InstanceID(e.ID)
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find(id) != nil })
-	w.gateway.state.Roster.Find(id).SetReport(roster.Report{ReceivedAt: time.Now().Add(wait)}) // its agent says that it lives
+	w.gateway.state.Roster.Find(id).SetReport(roster.Report{ReceivedAt: time.Now().Add(testTimeout)}) // its agent says that it lives
 }
 
 // nameWeights names version 2, and waits until the entry knows of it.
-func (w *world) nameWeights(t *testing.T, q *queued) {
+func (w *world) nameWeights(t *testing.T, q *queuedEngine) {
 	t.Helper()
-	q.named.Store(time.Now().UnixNano())
+	q.namedAt.Store(time.Now().UnixNano())
 	w.store.Put("versions", site.Model, site.WeightsOf(2))
 	w.eventually(t, func() bool { return !w.gateway.state.ReplacedAt(site.Model, 1).IsZero() })
 }
 
-// prompt sends one request with a prompt, whose answer is still to be read.
-func (w *world) prompt(t *testing.T, path string) net.Conn {
+// sendPrompt sends one request with a sendPrompt, whose answer is still to be read.
+func (w *world) sendPrompt(t *testing.T, path string) net.Conn {
 	t.Helper()
 	conn := w.dial(t)
-	w.ask(t, conn, path, "X-Rillreach-Model: "+site.Model, "X-Rillreach-Token-Usage: 1460,80",
+	w.sendGet(t, conn, path, "X-Rillreach-Model: "+site.Model, "X-Rillreach-Token-Usage: 1460,80",
 		"X-Rillreach-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250")
 	return conn
 }
 
-func assertCancelled(t *testing.T, q *queued) {
+func assertCancelled(t *testing.T, q *queuedEngine) {
 	t.Helper()
 	assert.Zero(t, q.begun.Load(), "a request began on weights that were replaced longer ago than the bound")
-	require.Eventually(t, func() bool { return q.cancelled.Load() == 1 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return q.cancelled.Load() == 1 }, testTimeout, time.Millisecond)
 }
 
 // TestNoRequestBeginsOnReplacedWeights: a request that is sent in time may wait at its runner until the bound on old weights is over.
 func TestNoRequestBeginsOnReplacedWeights(t *testing.T) {
 	t.Run("one that may not go on elsewhere gets its answer before", func(t *testing.T) {
-		q := newQueued("old")
-		w := enginesWorld(t, &q.Engine)
+		q := newQueuedEngine("old")
+		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
 		w.nameWeights(t, q)
-		assertOwn(t, read(t, w.prompt(t, "/flow/x"), http.MethodGet), http.StatusBadGateway)
+		assertGatewayAnswer(t, readAnswer(t, w.sendPrompt(t, "/flow/x"), http.MethodGet), http.StatusBadGateway)
 		assertCancelled(t, q)
 	})
 	t.Run("one that may goes on where the newest weights are", func(t *testing.T) {
-		q := newQueued("old")
-		w := enginesWorld(t, &q.Engine)
+		q := newQueuedEngine("old")
+		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
 		w.nameWeights(t, q)
-		conn := w.prompt(t, "/prompt/x")
+		conn := w.sendPrompt(t, "/prompt/x")
 		w.eventually(t, func() bool { return q.waiting.Load() == 1 })
 		newest := &site.Engine{Model: site.Model, Version: 2}
-		newest.ID, newest.Handle = "new", cutAfter(0)
+		newest.ID, newest.Handle = "new", cutAfterEvents(0)
 		w.addEngine(t, newest)
-		got := read(t, conn, http.MethodGet)
+		got := readAnswer(t, conn, http.MethodGet)
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(9), got.body)
+		assert.Equal(t, eventsUpTo(9), got.body)
 		assert.Len(t, newest.Runs(), 1)
 		assertCancelled(t, q)
 	})
 	t.Run("also where the newer weights are named while it waits", func(t *testing.T) {
-		q := newQueued("old")
-		w := enginesWorld(t, &q.Engine)
+		q := newQueuedEngine("old")
+		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
-		conn := w.prompt(t, "/flow/x")
+		conn := w.sendPrompt(t, "/flow/x")
 		w.eventually(t, func() bool { return q.waiting.Load() == 1 })
 		w.nameWeights(t, q)
-		assertOwn(t, read(t, conn, http.MethodGet), http.StatusBadGateway)
+		assertGatewayAnswer(t, readAnswer(t, conn, http.MethodGet), http.StatusBadGateway)
 		assertCancelled(t, q)
 	})
 }
@@ -153,15 +153,15 @@
 // TestWeightsNamedBeforeTheStart: an entry that has just started finds weights named, and cannot know for how long; where no agent
 // speaks, nobody tells it, and nobody has runners load them either.
 func TestWeightsNamedBeforeTheStart(t *testing.T) {
-	store := enginesStore()
+	store := newEngineStore()
 	store.Put("versions", site.Model, site.WeightsOf(2))
 	old := &site.Engine{Model: site.Model, Version: 1}
-	old.ID, old.Handle = "old", cutAfter(0)
-	w := beginAt(t, store, time.Minute)
+	old.ID, old.Handle = "old", cutAfterEvents(0)
+	w := startWithWeightsBound(t, store, time.Minute)
 	defer w.stop()
 	w.awaitReady(t)
 	w.addEngine(t, old)
 	w.eventually(t, func() bool {
-		return read(t, w.prompt(t, "/prompt/x"), http.MethodGet).status == http.StatusServiceUnavailable
+		return readAnswer(t, w.sendPrompt(t, "/prompt/x"), http.MethodGet).status == http.StatusServiceUnavailable
 	})
 }
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -27,8 +27,8 @@
 	now := time.Now()
 	w.target.runner.RecordFirstToken(now, w.sent, w.target.reading)
 	if w.exchange.needsEngine() {
-		w.gateway.firsts.observe(w.exchange, w.target, now.Sub(w.sent))
-		w.gateway.firstWaits.add(w.exchange.route.Name, now.Sub(w.sent)-w.gateway.ownReading(w.exchange))
+		w.gateway.ttft.observe(w.exchange, w.target, now.Sub(w.sent))
+		w.gateway.firstTokenDelays.add(w.exchange.route.Name, now.Sub(w.sent)-w.gateway.ownReading(w.exchange))
 	}
 	w.gateway.noteWait(w.exchange, w.target, now.Sub(w.sent), now)
 }
@@ -40,14 +40,14 @@
 		w.target.runner.AbandonWait(w.sent, w.target.reading)
 	}
 	w.target.runner.EndRequest(w.target.held)
-	w.gateway.line.changed()
+	w.gateway.queue.changed()
 }
 
 // noteWait records how long the request waited at its runner for its first token. One that begins on weights replaced longer ago than
 // the bound allows has a line of its own, since each time in it decides what went wrong: whether it was sent too late, or waited
 // for too long.
 func (g *Gateway) noteWait(x *exchange, t *target, waited time.Duration, now time.Time) {
-	x.waited = waited
+	x.firstTokenWait = waited
 	if x.wire.Prompt == nil || x.service.Engine == nil {
 		return
 	}
