--- a/gateway/world_test.go
+++ b/gateway/world_test.go
@@ -26,24 +26,24 @@
 )
 
 const (
-	host = "shop.example"
-	key  = "key-of-shop"
-	wait = 10 * time.Second
+	host        = "shop.example"
+	key         = "key-of-shop"
+	testTimeout = 10 * time.Second
 )
 
 // world is a site with one entry.
 type world struct {
-	store   *site.Store
-	gateway *Gateway
-	callers string
-	ready   string
-	stop    context.CancelFunc
-	ended   chan error
+	store            *site.Store
+	gateway          *Gateway
+	callerAddress    string
+	readinessAddress string
+	stop             context.CancelFunc
+	ended            chan error
 }
 
 type jsonMap = map[string]any
 
-func routeOf(name, kind, service string, more jsonMap) jsonMap {
+func routeConfig(name, kind, service string, more jsonMap) jsonMap {
 	r := jsonMap{
 		"name": name, "host": host, "path_prefix": "/" + name + "/", "kind": kind, "timeout_ms": 5000, "target_latency_ms": 300,
 		"service": service, "max_attempts": 2, "gap_aim_ms": 300,
@@ -54,7 +54,7 @@
 	return r
 }
 
-func configOf(version int, routes ...jsonMap) jsonMap {
+func configWithRoutes(version int, routes ...jsonMap) jsonMap {
 	return jsonMap{
 		"version": version, "routes": routes,
 		"services": []jsonMap{{"name": "plain", "max_connections": 100}},
@@ -64,25 +64,25 @@
 }
 
 func defaultConfig() jsonMap {
-	return configOf(
+	return configWithRoutes(
 		1,
-		routeOf("repeat", "idempotent", "plain", nil),
-		routeOf("once", "non_idempotent", "plain", nil),
-		routeOf("short", "idempotent", "plain", jsonMap{"timeout_ms": 300, "max_attempts": 1}),
-		routeOf("stream", "streaming", "plain", jsonMap{"resumable": true}),
-		routeOf("flow", "streaming", "plain", nil),
+		routeConfig("repeat", "idempotent", "plain", nil),
+		routeConfig("once", "non_idempotent", "plain", nil),
+		routeConfig("short", "idempotent", "plain", jsonMap{"timeout_ms": 300, "max_attempts": 1}),
+		routeConfig("stream", "streaming", "plain", jsonMap{"resumable": true}),
+		routeConfig("flow", "streaming", "plain", nil),
 	)
 }
 
-func record(r *site.Runner, state string) jsonMap {
+func runnerRecord(r *site.Runner, state string) jsonMap {
 	return jsonMap{
 		"service": "plain", "address": r.Address().String(), "zone": "z1", "slots": 6, "state": state,
 		"version": "1.7.3", "cold_remaining_ms": 0, "sequence": 1,
 	}
 }
 
-// begin starts an entry before the runners.
-func begin(t *testing.T, config jsonMap, runners ...*site.Runner) *world {
+// startWorld starts an entry before the runners.
+func startWorld(t *testing.T, config jsonMap, runners ...*site.Runner) *world {
 	t.Helper()
 	store := site.NewStore()
 	if config != nil {
@@ -91,9 +91,9 @@
 	for _, r := range runners {
 		r.Start()
 		t.Cleanup(r.Stop)
-		store.Put("servers", r.ID, record(r, "ready"))
+		store.Put("servers", r.ID, runnerRecord(r, "ready"))
 	}
-	w := beginAt(t, store, weightsBound)
+	w := startWithWeightsBound(t, store, weightsBound)
 	if config != nil {
 		w.awaitReady(t)
 	}
@@ -103,14 +103,14 @@
 // weightsBound is how long replaced weights may be used, where a test does not say otherwise.
 const weightsBound = 10 * time.Second
 
-// beginAt starts an entry that follows the store, and lets requests begin on replaced weights for as long as the bound.
-func beginAt(t *testing.T, store *site.Store, bound time.Duration) *world {
+// startWithWeightsBound starts an entry that follows the store, and lets requests begin on replaced weights for as long as the bound.
+func startWithWeightsBound(t *testing.T, store *site.Store, bound time.Duration) *world {
 	t.Helper()
-	return beginWith(t, store, func(s *deployment.Settings) { s.Bounds.WeightsRollout = bound })
+	return startWithSettings(t, store, func(s *deployment.Settings) { s.Bounds.WeightsRollout = bound })
 }
 
-// beginWith starts an entry that follows the store, with settings that are changed.
-func beginWith(t *testing.T, store *site.Store, change func(*deployment.Settings)) *world {
+// startWithSettings starts an entry that follows the store, with settings that are changed.
+func startWithSettings(t *testing.T, store *site.Store, change func(*deployment.Settings)) *world {
 	t.Helper()
 	w := &world{store: store, ended: make(chan error, 1)}
 	server := httptest.NewServer(w.store)
@@ -126,18 +126,18 @@
 		},
 		Configs: platform.Configs(client), Runners: platform.Runners(client), Weights: platform.Weights(client),
 		Evacuations: platform.Evacuations(client),
-		Callers:     callers, Readiness: readiness, Log: logOf(t), Metrics: metrics,
+		Callers:     callers, Readiness: readiness, Log: testLogger(t), Metrics: metrics,
 	}
 	change(w.gateway.Settings)
-	w.callers, w.ready = callers.Addr().String(), readiness.Addr().String()
+	w.callerAddress, w.readinessAddress = callers.Addr().String(), readiness.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	w.stop = cancel
 	go func() { w.ended <- w.gateway.Run(ctx) }()
 	return w
 }
 
-// logOf logs to the test for as long as it runs: an entry that stops goes on for some seconds after that.
-func logOf(t *testing.T) logr.Logger {
+// testLogger logs to the test for as long as it runs: an entry that stops goes on for some seconds after that.
+func testLogger(t *testing.T) logr.Logger {
 	t.Helper()
 	var mu sync.Mutex
 	over := false
@@ -165,7 +165,7 @@
 
 func (w *world) eventually(t *testing.T, holds func() bool) {
 	t.Helper()
-	require.Eventually(t, holds, wait, 5*time.Millisecond)
+	require.Eventually(t, holds, testTimeout, 5*time.Millisecond)
 }
 
 func (w *world) awaitReady(t *testing.T) {
@@ -175,7 +175,7 @@
 
 func (w *world) readiness(t *testing.T) int {
 	t.Helper()
-	resp, err := http.Get("http://" + w.ready + "/ready")
+	resp, err := http.Get("http://" + w.readinessAddress + "/ready")
 	if err != nil {
 		return 0
 	}
@@ -192,10 +192,10 @@
 	err    error
 }
 
-// call sends one request on a connection of its own.
-func (w *world) call(t *testing.T, method, target string, body string, header ...string) answer {
+// send sends one request on a connection of its own.
+func (w *world) send(t *testing.T, method, target string, body string, header ...string) answer {
 	t.Helper()
-	conn, err := net.Dial("tcp", w.callers)
+	conn, err := net.Dial("tcp", w.callerAddress)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nX-Rillreach-Attempt-Id: a1\r\nAuthorization: Bearer %s\r\n", method, target, host, key)
@@ -205,10 +205,10 @@
 	text += strings.Join(append(header, ""), "\r\n") + "\r\n" + body
 	_, err = io.WriteString(conn, text)
 	require.NoError(t, err)
-	return read(t, conn, method)
+	return readAnswer(t, conn, method)
 }
 
-func read(t *testing.T, conn net.Conn, method string) answer {
+func readAnswer(t *testing.T, conn net.Conn, method string) answer {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), &http.Request{Method: method})
 	if err != nil {
@@ -218,7 +218,7 @@
 	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), closes: resp.Close, err: err}
 }
 
-func assertOwn(t *testing.T, got answer, status int) {
+func assertGatewayAnswer(t *testing.T, got answer, status int) {
 	t.Helper()
 	require.NoError(t, got.err)
 	assert.Equal(t, status, got.status)
