--- a/gateway/agents.go
+++ b/gateway/agents.go
@@ -19,14 +19,14 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// followInterval is how often it is looked at whether each runner's agent is followed.
+// followInterval is how often the set of followed agents is compared with the listed runners.
 const followInterval = 200 * time.Millisecond
 
-// agentTimeout is how long an agent may be silent and still be reported to: twice the longest pause between the bulletins of one that was
-// asked for little.
+// agentTimeout is how long an agent may be silent and still get reports: twice the longest interval between load-only
+// bulletins.
 const agentTimeout = 2 * time.Second
 
-// agentFollower follows the agentFollower of all listed runners of engines.
+// agentFollower subscribes to the agents of all listed runners of engine services.
 type agentFollower struct {
 	gateway *Gateway
 	pool    *peer.Pool
@@ -36,23 +36,23 @@
 	following map[netip.AddrPort]*followedAgent
 }
 
-// wantedAgent is an agent that is to be followed.
+// wantedAgent describes a subscription that should exist.
 type wantedAgent struct {
-	// runner is the address of the runner beside it.
+	// runner is the address of the agent's runner.
 	runner netip.AddrPort
-	// loadOnly says that it's asked for little.
+	// loadOnly means that the agent is asked for load reports only.
 	loadOnly bool
 }
 
-// followedAgent is an agent that is followedAgent.
+// followedAgent is an agent that the entry is subscribed to.
 type followedAgent struct {
 	wanted wantedAgent
 	stop   context.CancelFunc
-	// lastBulletinAt is when its last bulletin came, in nanoseconds by the entry's clock.
+	// lastBulletinAt is when its last bulletin arrived, in nanoseconds on the entry's clock.
 	lastBulletinAt atomic.Int64
 }
 
-// Name is the controller's name.
+// Name returns the name of the controller.
 func (a *agentFollower) Name() string { return "follow-agents" }
 
 // Run follows the agents until the context ends.
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// reconcile begins to follow the agents of new runners, and ends with those of runners that are gone or that are to be asked otherwise.
+// reconcile subscribes to the agents of new runners, and cancels the subscriptions for runners that are gone or whose
+// subscription has to change.
 func (a *agentFollower) reconcile(ctx context.Context) {
 	groups := a.gateway.engineGroups()
 	a.gateway.updateLocalServices(groups)
@@ -85,30 +86,30 @@
 	}
 }
 
-// follow begins to follow an agent.
+// follow subscribes to an agent.
 func (a *agentFollower) follow(ctx context.Context, address netip.AddrPort, w wantedAgent) *followedAgent {
-	one, stop := context.WithCancel(ctx)
+	followCtx, stop := context.WithCancel(ctx)
 	g := a.gateway
 	f := &followedAgent{wanted: w, stop: stop}
-	take := g.applyBulletin
+	apply := g.applyBulletin
 	if w.loadOnly {
-		take = g.applyLoadOnlyBulletin
+		apply = g.applyLoadOnlyBulletin
 	}
 	s := &subscribe.Subscription{
 		Pool: a.pool, Agent: address, Log: g.Log,
 		Take: func(b *bulletin.Bulletin, now time.Time) {
 			f.lastBulletinAt.Store(g.Clock.Now().UnixNano())
-			take(b, now)
+			apply(b, now)
 			g.applyPermits(w.runner, b, now)
 			a.applyQuotas(address, b, now)
 		},
 		Ask: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.loadOnly},
 	}
-	a.wg.Go(func() { s.Run(one) })
+	a.wg.Go(func() { s.Run(followCtx) })
 	return f
 }
 
-// liveAgents are the agents that have spoken lately.
+// liveAgents returns the agents that have sent a bulletin recently.
 func (a *agentFollower) liveAgents(now time.Time) []netip.AddrPort {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -121,7 +122,8 @@
 	return live
 }
 
-// allocatorOf is the agent among those that shares out a runner's limit, if there is one: an engine's own, for any other runner the first by a hash.
+// allocatorOf returns the agent among the live ones that allocates a runner's limit to the entries, if there is one.
+// For an engine that is its own agent, for any other runner the first by rendezvous hash.
 func (a *agentFollower) allocatorOf(r *roster.Runner, live []netip.AddrPort) (netip.AddrPort, bool) {
 	info := r.Info()
 	if a.gateway.isEngineService(info.Service) {
@@ -130,22 +132,22 @@
 	}
 	key := hash.String(string(info.ID))
 	var chosen netip.AddrPort
-	var most uint64
+	var bestRank uint64
 	for _, agent := range live {
-		if rank := hash.Mix(key, hash.String(agent.String())); !chosen.IsValid() || rank > most {
-			chosen, most = agent, rank
+		if rank := hash.Mix(key, hash.String(agent.String())); !chosen.IsValid() || rank > bestRank {
+			chosen, bestRank = agent, rank
 		}
 	}
 	return chosen, chosen.IsValid()
 }
 
-// isAllocatorOf reports that an agent is the one that shares out a runner's limit.
+// isAllocatorOf reports whether the agent is the one that allocates a runner's limit.
 func (a *agentFollower) isAllocatorOf(agent netip.AddrPort, r *roster.Runner) bool {
-	allotter, ok := a.allocatorOf(r, a.liveAgents(a.gateway.Clock.Now()))
-	return ok && allotter == agent
+	allocator, ok := a.allocatorOf(r, a.liveAgents(a.gateway.Clock.Now()))
+	return ok && allocator == agent
 }
 
-// wantedAgents are the agents beside runners of engines, by their addresses.
+// wantedAgents returns the subscriptions for the runners of engine services, by the addresses of the agents.
 func (a *agentFollower) wantedAgents(groups map[rillreach.ServiceID][]*roster.Runner) map[netip.AddrPort]wantedAgent {
 	wanted := map[netip.AddrPort]wantedAgent{}
 	for service, group := range groups {
@@ -159,7 +161,7 @@
 	return wanted
 }
 
-// agentAddress is the address of the agent beside an engine.
+// agentAddress returns the address of the agent beside an engine.
 func (g *Gateway) agentAddress(engine netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(engine.Addr(), g.Settings.FirstPort)
 }
--- a/gateway/bulletins.go
+++ b/gateway/bulletins.go
@@ -10,11 +10,11 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// clockDecay is by how much per second the estimate of the runners' clock falls back, so that one message that came early by mistake does
-// not spoil it for long.
+// clockDecay is by how much per second the estimated offset of the runners' clock decreases, so that one wrong message
+// with a clock that is ahead does not distort the estimate for long.
 const clockDecay = 0.001
 
-// applyBulletin takes a bulletin over.
+// applyBulletin applies a bulletin to the entry's state.
 func (g *Gateway) applyBulletin(b *bulletin.Bulletin, now time.Time) {
 	runner := g.state.ObserveRun(b.Run())
 	g.applyLoad(runner, b, now)
@@ -32,16 +32,16 @@
 	g.budgets.SetEntries(b.Followers)
 	g.cache.clock.observe(b.Clock, now)
 	for i := range b.CacheUpdates {
-		if h := &b.CacheUpdates[i]; h.Store {
-			g.cache.applyStoreUpdate(b.Runner, b.Clock, h, now)
+		if update := &b.CacheUpdates[i]; update.Store {
+			g.cache.applyStoreUpdate(b.Runner, b.Clock, update, now)
 		} else {
-			g.cache.applyRunnerUpdate(b.Run(), h)
+			g.cache.applyRunnerUpdate(b.Run(), update)
 		}
 	}
 }
 
-// applyLoad takes over how the runner is, which is nil where it is not listed or the bulletin is late. A report that can't be true is
-// not used: the runner counts as one without a report.
+// applyLoad applies a runner's load report. The runner is nil if it is not listed or the bulletin is from an earlier
+// run. An invalid report is ignored, so that the runner counts as one without a report.
 func (g *Gateway) applyLoad(r *roster.Runner, b *bulletin.Bulletin, now time.Time) {
 	if r == nil {
 		return
@@ -51,17 +51,18 @@
 		AwaitingFirstEvent: b.Load.AwaitingFirstEvent, Unresponsive: b.Load.Unresponsive, LoadingWeights: b.Load.LoadingWeights, Leaving: b.Load.Leaving, Weights: b.Load.Weights,
 	}
 	if err := load.Check(); err != nil {
-		g.Log.Error(err, "report not used", "decision", "ignore", "runner", b.Runner, "running", load.Running, "waiting", load.Waiting, "used", load.UsedTokens)
+		g.Log.Error(err, "invalid load report ignored", "decision", "ignore", "runner", b.Runner, "running", load.Running, "waiting", load.Waiting, "used", load.UsedTokens)
 		g.Metrics.InvalidReport()
 		return
 	}
 	if r.SetReport(roster.Report{ReceivedAt: now, Load: load, WeightLoadAt: weightLoadTime(b, now)}) {
-		g.state.MarkCold(r, now) // it may have started anew in its silence
+		g.state.MarkCold(r, now) // it may have restarted while it was silent
 	}
 	g.queue.changed()
 }
 
-// weightLoadTime is when the runner's next load of weights is scheduled, by this process's clock; zero where the bulletin does not tell.
+// weightLoadTime returns when the runner's next weight load is scheduled on this process's clock, or zero if the
+// bulletin has no such time.
 func weightLoadTime(b *bulletin.Bulletin, now time.Time) time.Time {
 	if b.Clock == 0 || b.Load.WeightLoadAt == 0 {
 		return time.Time{}
@@ -69,19 +70,20 @@
 	return now.Add(time.Duration(b.Load.WeightLoadAt-b.Clock) * time.Millisecond)
 }
 
-// applyWeightsFirstSeen takes over when versions of weights were named: an entry that has just started knows only that they are.
+// applyWeightsFirstSeen applies the agents' records of when versions of weights were named. An entry that has just
+// started does not know these times itself.
 func (g *Gateway) applyWeightsFirstSeen(b *bulletin.Bulletin, now time.Time) {
 	if b.Clock == 0 {
 		return
 	}
 	for _, n := range b.WeightsFirstSeen {
-		ago := time.Duration(b.Clock-n.At) * time.Millisecond
-		g.state.ApplyNamedVersion(localstate.NamedVersion{Model: n.Model, Version: n.Version, At: now.Add(-ago)})
+		age := time.Duration(b.Clock-n.At) * time.Millisecond
+		g.state.ApplyNamedVersion(localstate.NamedVersion{Model: n.Model, Version: n.Version, At: now.Add(-age)})
 	}
 }
 
-// runnerClock estimates the runners' clock from the bulletins, which come late by some milliseconds: the greatest of the
-// differences is the truest.
+// runnerClock estimates the runners' clock from bulletins. These arrive some milliseconds late, so the greatest
+// difference to the local clock is the best estimate.
 type runnerClock struct {
 	mu        sync.Mutex
 	known     bool
@@ -106,7 +108,7 @@
 	c.offset = max(c.offset, time.Duration(clock)*time.Millisecond-now.Sub(c.start))
 }
 
-// estimate is the runners' clock at a moment of ours; it reports whether that is known.
+// estimate returns the runners' clock at a time of the local clock, and whether it is known.
 func (c *runnerClock) estimate(now time.Time) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/crash_reporter.go
+++ b/gateway/crash_reporter.go
@@ -16,18 +16,20 @@
 )
 
 const (
-	// crashReportAgents is how many agents are told of a crash: entries follow all agents, so that one would do, and three may be frozen or cut off.
+	// crashReportAgents is how many agents get a report of a crash. Entries follow all agents, so one would be enough,
+	// but up to three may be hung or unreachable.
 	crashReportAgents = 4
-	// crashReportInterval is how often it is looked at whether other agents are to be told than before.
+	// crashReportInterval is how often the choice of agents is updated.
 	crashReportInterval = 500 * time.Millisecond
-	// reportTimeout bounds one report, so that an agent that doesn't answer holds up no other for long.
+	// reportTimeout bounds one report, so that an agent that does not answer does not delay the reports to others.
 	reportTimeout = 500 * time.Millisecond
-	// maxCrashesPerReport is how many crashes one report tells of.
+	// maxCrashesPerReport is the maximum number of crashes in one report.
 	maxCrashesPerReport = 256
 )
 
-// crashReporter tells a few agents of the crashes that this entry has seen; they tell all entries. All entries choose the same agents, as
-// long as they hear the same ones. An agent that is connected to anew is told all that the entry knows, since it may have started again.
+// crashReporter reports the crashes that this entry has observed to a few agents, which pass them on to all entries.
+// All entries that follow the same agents choose the same ones. On a new connection an agent gets all crashes that the
+// entry knows of, since it may have restarted.
 type crashReporter struct {
 	gateway *Gateway
 	pool    *peer.Pool
@@ -36,18 +38,20 @@
 	reported map[netip.AddrPort]*reportState
 }
 
-// reportState is how far an agent has been told.
+// reportState tracks what has been reported to one agent.
 type reportState struct {
 	address netip.AddrPort
-	// conn is the connection on which it was told.
+	// conn is the connection on which the reports were sent.
 	conn *peer.Conn
-	// allVersion is how far it has been told of allVersion crashes that the entry knew then, and observedVersion of those that the entry has seen.
+	// allVersion is the version of Gateway.suspects up to which crashes were reported, and observedVersion that of
+	// Gateway.observedCrashes.
 	allVersion, observedVersion uint64
-	// allTarget is where the telling of all ends.
+	// allTarget is the version of Gateway.suspects when the connection was opened. Later crashes are reported from
+	// observedCrashes alone.
 	allTarget uint64
 }
 
-// Name is the controller's name.
+// Name returns the name of the controller.
 func (c *crashReporter) Name() string { return "report-crashes" }
 
 // Run reports until the context ends.
@@ -56,18 +60,18 @@
 	ticker := time.NewTicker(crashReportInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		crashed := c.gateway.crashesChanged.Wait()
+		changed := c.gateway.crashesChanged.Wait()
 		c.report(ctx)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-		case <-crashed:
+		case <-changed:
 		}
 	}
 	return nil
 }
 
-// report tells the chosen agents what they haven't been told.
+// report sends the chosen agents the crashes that were not reported to them before.
 func (c *crashReporter) report(ctx context.Context) {
 	if c.gateway.suspects.Empty() {
 		return
@@ -78,54 +82,55 @@
 	chosen := selectAgents(c.agents.liveAgents(c.gateway.Clock.Now()))
 	maps.DeleteFunc(c.reported, func(address netip.AddrPort, _ *reportState) bool { return !slices.Contains(chosen, address) })
 	for _, address := range chosen {
-		t := c.reported[address]
-		if t == nil {
-			t = &reportState{address: address}
-			c.reported[address] = t
+		state := c.reported[address]
+		if state == nil {
+			state = &reportState{address: address}
+			c.reported[address] = state
 		}
-		wg.Go(func() { c.reportTo(ctx, t) })
+		wg.Go(func() { c.reportTo(ctx, state) })
 	}
 	wg.Wait()
 }
 
-// selectAgents are the first by a hash.
+// selectAgents returns the first agents in order of a hash.
 func selectAgents(live []netip.AddrPort) []netip.AddrPort {
 	slices.SortFunc(live, func(a, b netip.AddrPort) int { return cmp.Compare(hash.String(a.String()), hash.String(b.String())) })
 	return live[:min(len(live), crashReportAgents)]
 }
 
-// reportTo reports to one agent what it hasn't been told.
-func (c *crashReporter) reportTo(ctx context.Context, t *reportState) {
+// reportTo sends an agent the crashes that were not reported to it before.
+func (c *crashReporter) reportTo(ctx context.Context, state *reportState) {
 	g := c.gateway
-	conn, err := c.pool.Get(ctx, t.address)
+	conn, err := c.pool.Get(ctx, state.address)
 	if err != nil {
-		g.Log.Info("crashes not reported", "decision", "retry", "agent", t.address, "cause", err.Error())
+		g.Log.Info("cannot report crashes", "decision", "retry", "agent", state.address, "cause", err.Error())
 		return
 	}
-	if t.conn != conn {
-		*t = reportState{address: t.address, conn: conn}
-		t.observedVersion = g.observedCrashes.Version() // asked first: what is seen meanwhile is told twice rather than not at all
-		t.allTarget = g.suspects.Version()
+	if state.conn != conn {
+		*state = reportState{address: state.address, conn: conn}
+		// This version is read first, so that a concurrent crash is reported twice rather than not at all.
+		state.observedVersion = g.observedCrashes.Version()
+		state.allTarget = g.suspects.Version()
 	}
-	for t.allVersion < t.allTarget {
-		if !c.send(ctx, t, &g.suspects, &t.allVersion) {
+	for state.allVersion < state.allTarget {
+		if !c.send(ctx, state, &g.suspects, &state.allVersion) {
 			return
 		}
 	}
-	for t.observedVersion < g.observedCrashes.Version() {
-		if !c.send(ctx, t, &g.observedCrashes, &t.observedVersion) {
+	for state.observedVersion < g.observedCrashes.Version() {
+		if !c.send(ctx, state, &g.observedCrashes, &state.observedVersion) {
 			return
 		}
 	}
 }
 
-// send tells an agent the next crashes of a tracker, and reports whether it has taken them.
-func (c *crashReporter) send(ctx context.Context, t *reportState, from *poison.Tracker, version *uint64) bool {
+// send sends an agent the next crashes of a tracker, and reports whether the agent has accepted them.
+func (c *crashReporter) send(ctx context.Context, state *reportState, from *poison.Tracker, version *uint64) bool {
 	g := c.gateway
 	crashes, next := from.Since(g.Clock.Now(), *version, maxCrashesPerReport)
 	if len(crashes) > 0 {
-		if _, err := peer.Ask[poison.Report, poison.Receipt](ctx, t.conn, peer.MethodCrashes, poison.Report{Crashes: crashes}); err != nil {
-			g.Log.Info("crashes not reported", "decision", "retry", "agent", t.address, "crashes", len(crashes), "cause", err.Error())
+		if _, err := peer.Ask[poison.Report, poison.Receipt](ctx, state.conn, peer.MethodCrashes, poison.Report{Crashes: crashes}); err != nil {
+			g.Log.Info("cannot report crashes", "decision", "retry", "agent", state.address, "crashes", len(crashes), "cause", err.Error())
 			return false
 		}
 	}
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,3 +1,3 @@
-// Package gateway is the entry on the users' platform: it takes callers' requests over HTTP, chooses a runner for each, and
-// passes the answer back, straight from caller to runner.
+// Package gateway implements the entry: it accepts callers' HTTP requests, chooses a runner for each, forwards the
+// request to it directly, and relays its answer to the caller.
 package gateway
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -11,7 +11,7 @@
 
 var errEventTooLarge = errors.New("event is too large")
 
-// maxEventSize bounds one event, in bytes.
+// maxEventSize is the maximum size of an event, in bytes.
 const maxEventSize = 256 << 10
 
 var (
@@ -19,20 +19,22 @@
 	idField  = []byte("id:")
 )
 
-// eventReader reads a stream of events; with whole set it gives only events that are complete, and the last one's id.
+// eventReader reads an event stream. If wholeEvents is set, it returns only complete events and the ID of the last
+// one.
 type eventReader struct {
 	from        io.Reader
 	wholeEvents bool
-	// resumeAfter is the id of the last event that the caller has from another run of the same request, empty where the stream begins after it.
+	// resumeAfter is the ID of the last event that the caller has from another run of the request. It is empty if the
+	// stream begins after that event.
 	resumeAfter string
-	// lastID is the id of the lastID event given.
+	// lastID is the ID of the last event that was returned.
 	lastID string
 
 	pending []byte
 	buf     [relayBufferSize]byte
 }
 
-// next returns what may be passed on; io.EOF with it says that the stream is whole.
+// next returns data that may be sent to the caller. It returns io.EOF with the last data of a complete stream.
 func (r *eventReader) next() ([]byte, error) {
 	n, err := r.from.Read(r.buf[:])
 	if !r.wholeEvents {
@@ -40,7 +42,7 @@
 	}
 	r.pending = append(r.pending, r.buf[:n]...)
 	end := bytes.LastIndex(r.pending, eventEnd)
-	if isCompleteAnswer(err) { // the stream is whole, and so its rest goes out
+	if isCompleteAnswer(err) { // the stream is complete, so the rest can be returned
 		part := r.dropSeen(r.pending)
 		r.pending = nil
 		r.recordLastID(part)
@@ -58,7 +60,7 @@
 	return part, err
 }
 
-// dropSeen leaves out the events that the caller has from another run.
+// dropSeen removes the events that the caller already has from another run.
 func (r *eventReader) dropSeen(part []byte) []byte {
 	for r.resumeAfter != "" && len(part) > 0 {
 		event, rest, _ := bytes.Cut(part, eventEnd)
@@ -71,14 +73,14 @@
 	return part
 }
 
-// recordLastID keeps the id of the last event in the part.
+// recordLastID records the ID of the last event in the part.
 func (r *eventReader) recordLastID(part []byte) {
 	if id := lastEventID(part); id != "" {
 		r.lastID = id
 	}
 }
 
-// lastEventID is the last id in the events, empty where there is none.
+// lastEventID returns the last ID in the events, or an empty string if there is none.
 func lastEventID(events []byte) string {
 	last := ""
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
@@ -89,18 +91,19 @@
 	return last
 }
 
-// isAfter reports that an event comes after another, by their ids, which rise.
+// isAfter reports whether an event comes after another. Event IDs are ascending numbers; if one of the IDs is not a
+// number, the event counts as later.
 func isAfter(id, other string) bool {
 	a, errA := strconv.ParseUint(id, 10, 64)
 	b, errB := strconv.ParseUint(other, 10, 64)
 	return errA != nil || errB != nil || a > b
 }
 
-// isNumericID reports that ids like this one tell which of two events comes first.
+// isNumericID reports whether an event ID is a number, so that IDs show which of two events comes first.
 func isNumericID(id string) bool {
 	_, err := strconv.ParseUint(id, 10, 64)
 	return err == nil
 }
 
-// isCompleteAnswer reports that an answer is whole.
+// isCompleteAnswer reports whether a read error means that the answer is complete.
 func isCompleteAnswer(err error) bool { return errors.Is(err, io.EOF) }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -11,43 +11,45 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// exchange is one request of a caller and what has become of it so far.
+// exchange is one request of a caller and the state of its handling.
 type exchange struct {
 	writer  http.ResponseWriter
 	request *http.Request
+	// wire is the request as decoded from the caller's headers, and call the request to the runner.
 	wire    platform.Request
 	call    forward.Call
 	config  *deployment.Config
 	route   *deployment.Route
 	account *deployment.Account
-	// regions are those in which the request may run and what it leaves may be kept, where limited says that not all are.
+	// regions are those in which the request may run and its KV cache may be kept, if regionsLimited is set.
 	regions        []rillreach.RegionID
 	regionsLimited bool
 	service        *deployment.Service
 	arrived        time.Time
 	// deadline is when the final answer is due.
 	deadline time.Time
-	// sends are where the request went, maybeRan says that one of these may have run it.
+	// sends records the runners that the request was sent to. maybeRan reports whether one of them may have run it.
 	sends    *sends
 	maybeRan bool
-	// noRunnerLeft says that no runner is left to be asked.
+	// noRunnerLeft reports whether there is no runner left to try.
 	noRunnerLeft bool
-	// failedSends is how many sends in a row no runner took, or could not be made.
+	// failedSends is the number of consecutive sends that were refused or could not be made.
 	failedSends int
-	// firstTokenWait is how long the last runner that began on the request took from the send to its first token.
+	// firstTokenWait is the time from send to first token at the last runner that started the request.
 	firstTokenWait time.Duration
-	// firstEventAt is when the firstEventAt event went to the caller.
+	// firstEventAt is when the first event was sent to the caller.
 	firstEventAt time.Time
-	// buffered says that nothing of the answer goes out before it is whole; keepPastEnd lets a stream go on past the time at which the entry
-	// gives those without an answer their last one, and reports whether that was not too late.
-	buffered             bool
+	// buffered means that the answer is held back until it is complete.
+	buffered bool
+	// continuePastShutdown lets a stream continue past the shutdown deadline. It returns false if the deadline has
+	// already passed.
 	continuePastShutdown func() bool
-	// lazyFingerprint tells whether the request is one under which runners have ended.
+	// lazyFingerprint identifies the request in the records of crashes.
 	lazyFingerprint *lazyFingerprint
-	// trial says that it is sent once though runners have ended under it.
+	// trial means that the request is quarantined and sent once as a trial.
 	trial bool
-	// reason is why the last attempt failed, comeBack how long the requests that wait take to be admitted, and notBefore when runners take requests
-	// again, where that was why.
+	// reason is why the last attempt failed. If the cause was a backlog, admissionWait is how long the queued requests
+	// take to be admitted; if the cause was resting runners, retryNotBefore is when they accept requests again.
 	reason         string
 	admissionWait  time.Duration
 	retryNotBefore time.Time
@@ -55,24 +57,26 @@
 	*progress
 }
 
-// newExchange is a request that has just come.
+// newExchange returns the exchange for a request that has just arrived.
 func newExchange(w http.ResponseWriter, r *http.Request) *exchange {
 	return &exchange{
 		writer: w, request: r, wire: platform.DecodeRequest(r.Header), arrived: time.Now(), sends: &sends{}, lazyFingerprint: &lazyFingerprint{}, progress: &progress{},
 	}
 }
 
-// progress is how much of its answer a caller has. Its own goroutine alone changes it, others may copy it.
+// progress is how much of its answer a caller has received. Only the request's own goroutine changes it; other
+// goroutines may copy it.
 type progress struct {
 	mu sync.Mutex
-	// headSent says that the head of an answer has gone to the caller, lastEvent is the last whole event that the caller has.
+	// headSent reports whether the head of an answer was sent to the caller. lastEvent is the ID of the last complete
+	// event that the caller has.
 	headSent  bool
 	lastEvent string
-	// lastWriteAt is when the last part of the answer went to the caller.
+	// lastWriteAt is when the last part of the answer was sent to the caller.
 	lastWriteAt time.Time
 }
 
-// fork is the request as a second attempt takes it; where both are sent is recorded in one place.
+// fork returns a copy of the exchange for a second attempt. Both copies share the record of sends.
 func (x *exchange) fork() *exchange {
 	return &exchange{
 		request: x.request, wire: x.wire, call: x.call, config: x.config, route: x.route, account: x.account, regions: x.regions, regionsLimited: x.regionsLimited, service: x.service,
@@ -86,14 +90,15 @@
 	return &progress{headSent: p.headSent, lastEvent: p.lastEvent, lastWriteAt: p.lastWriteAt}
 }
 
-// recordHead records that the head of an answer goes to the caller.
+// recordHead records that the head of an answer is being sent to the caller.
 func (p *progress) recordHead() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.headSent, p.lastWriteAt = true, time.Now()
 }
 
-// recordWrite records a part of the answer that went to the caller, with its last event where it has a whole one.
+// recordWrite records that a part of the answer was sent to the caller, and the ID of the last complete event in it, if
+// any.
 func (p *progress) recordWrite(event string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,18 +108,18 @@
 	}
 }
 
-// lastWrite is when the last part of the answer went to the caller, its head where no other has.
+// lastWrite returns when the last part of the answer, or its head, was sent to the caller.
 func (p *progress) lastWrite() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastWriteAt
 }
 
-// mayUseAnotherRunner reports whether the route allows the request one more runner.
+// mayUseAnotherRunner reports whether the route allows the request to be sent to one more runner.
 func (x *exchange) mayUseAnotherRunner() bool { return x.runnersLeft() > 0 }
 
-// runnersLeft is how many more runners the route allows the request. Once an answer has begun, a runner that has refused the rest of it doesn't count:
-// nothing has run there, and no refusal can be passed on to the caller.
+// runnersLeft returns how many more runners the route allows for the request. Once an answer has begun, runners that
+// refused to continue it do not count: nothing has run there, and the caller cannot be sent a refusal any more.
 func (x *exchange) runnersLeft() int {
 	if x.headSent {
 		return x.route.MaxRunners - len(x.sends.mayHaveRun())
@@ -122,7 +127,7 @@
 	return x.route.MaxRunners - len(x.sends.used())
 }
 
-// needsEngine reports that the request has a prompt for a model engine.
+// needsEngine reports whether the request has a prompt for a model engine.
 func (x *exchange) needsEngine() bool {
 	return x.wire.Prompt != nil && x.service.Engine != nil
 }
--- a/gateway/failure.go
+++ b/gateway/failure.go
@@ -10,31 +10,33 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// failureCause is what ended an attempt that brought no answer, as far as the entry can tell.
+// failureCause is why an attempt failed, as far as the entry can tell.
 type failureCause string
 
 // The causes of failed attempts.
 const (
-	// causeNotSent says that the request didn't reach the runner.
+	// causeNotSent means that the request did not reach the runner.
 	causeNotSent failureCause = "not-sent"
-	// causeRunnerEnded says that the runner's process ended with the request under way, causeRunnerLeft that it did so as it had announced.
+	// causeRunnerEnded means that the runner's process ended unexpectedly while it served the request, causeRunnerLeft
+	// that it ended after it had announced to leave.
 	causeRunnerEnded failureCause = "runner-ended"
 	causeRunnerLeft  failureCause = "runner-left"
-	// causeConnectionClosed says that the runner closed the connection, and isn't known to have ended.
+	// causeConnectionClosed means that the runner closed the connection but is not known to have ended.
 	causeConnectionClosed failureCause = "connection-closed"
-	// causeEndedByEntry is all that this side ends: a caller that leaves, a time-out, an attempt that another one replaces.
+	// causeEndedByEntry covers all attempts that the entry itself ends: the caller has left, a timeout has expired, or
+	// another attempt has replaced this one.
 	causeEndedByEntry failureCause = "ended-by-entry"
-	// causeUnreadableAnswer is an answer that can't be read.
+	// causeUnreadableAnswer means that the answer could not be parsed.
 	causeUnreadableAnswer failureCause = "unreadable-answer"
 )
 
-// Why the entry itself ends an attempt, beside the end of the request's own time.
+// The reasons for which the entry cancels an attempt, other than the request's deadline.
 var (
-	errSecondAttemptAnswers   = errors.New("a second attempt answers")
-	errSecondAttemptNotNeeded = errors.New("the first attempt goes on, or its answer is enough")
+	errSecondAttemptAnswers   = errors.New("replaced by a second attempt")
+	errSecondAttemptNotNeeded = errors.New("second attempt is not needed")
 )
 
-// cancelReason says why the entry ended the attempt, empty where it did not.
+// cancelReason returns why the entry cancelled the attempt, or an empty string if it did not.
 func (a *attempt) cancelReason() string {
 	if cause := context.Cause(a.waiting); cause != nil {
 		return cause.Error()
@@ -42,7 +44,8 @@
 	return ""
 }
 
-// classifyFailure finds out why the attempt failed. Only a runner that closes the connection is asked whether it still listens.
+// classifyFailure returns why the attempt failed. The runner's address is probed only if the runner closed the
+// connection.
 func (a *attempt) classifyFailure(err error) failureCause {
 	switch {
 	case errors.Is(err, forward.ErrNotSent):
@@ -61,21 +64,21 @@
 	}
 }
 
-// hasEnded reports that the runner's process is known to have ended: a later run took its place, or nobody listens at its address. The
-// requests that failed there together ask once.
+// hasEnded reports whether the runner's process is known to have ended: a later run is known, or its address refuses
+// connections. Concurrent callers share one check.
 func (g *Gateway) hasEnded(r *roster.Runner) bool {
 	if hasLaterRun(r) {
 		return true
 	}
 	info := r.Info()
 	refuses, _, _ := g.listenProbes.Do(info.Address.String(), func() (any, error) {
-		g.pool.Forget(info.Address) // before the question, whose connection is kept
+		g.pool.Forget(info.Address) // before the check, whose connection is kept in the pool
 		return g.pool.Refuses(context.Background(), info.Address), nil
 	})
 	return refuses == true
 }
 
-// hasLaterRun reports that a later run of the runner is known.
+// hasLaterRun reports whether a later run of the runner is known.
 func hasLaterRun(r *roster.Runner) bool {
 	select {
 	case <-r.Ended():
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,54 +31,57 @@
 )
 
 const (
-	// watchMargin is kept from the time after which an undisturbed instance has to know everything, for a watch that hung
-	// since before the end of the store's trouble: the client gives it up 0.7 s after its wait, and asks again.
+	// watchMargin is subtracted from the bounds on how soon changes are in force, so that a watch that hangs since a
+	// fault of the store is replaced in time: the client gives up 0.7 s after the watch's wait time and asks again.
 	watchMargin = 1200 * time.Millisecond
-	// minWatchWait and mostWatch bound how long one watch of the store waits.
+	// minWatchWait and maxWatchWait bound how long one watch of the store waits.
 	minWatchWait = time.Second
 	maxWatchWait = 3 * time.Second
-	// weightsWatchWait is the same for the names of weights, of which the agents tell, too.
+	// weightsWatchWait is how long a watch of the named weights waits. It may be long since agents report them, too.
 	weightsWatchWait = 20 * time.Second
-	// coalesceDivisor is the part of the bound on leaving runners that passes between watches of the runners, whose records
-	// change in quick succession; an entry that meets a new run at an address asks at once.
+	// coalesceDivisor gives the delay between watches of the runners, whose records change in quick succession, as a
+	// fraction of RunnerDrainNotice, at most maxCoalesceDelay. An entry that finds a new run at an address asks at
+	// once.
 	coalesceDivisor  = 3
 	maxCoalesceDelay = time.Second
-	// noticeTTLDivisor is the part of that bound for which the word of relays holds, at most mostTrust.
+	// noticeTTLDivisor gives the time for which a relay's notice is valid as a fraction of the same bound, at most
+	// maxNoticeTTL.
 	noticeTTLDivisor = 2
 	maxNoticeTTL     = 2 * time.Second
-	// defaultIdleTimeout serves until the configuration is known.
+	// defaultIdleTimeout applies until the configuration is known.
 	defaultIdleTimeout = 15 * time.Second
-	// maxHeaderTimeout and mostHeader (in bytes) bound a request's head before the configuration's own limits are asked:
-	// the server's are fixed when it starts, and must not be under what a configuration may allow.
+	// maxHeaderTimeout and maxHeaderBytes limit request heads in the HTTP server. The server's limits are fixed when it
+	// starts, so they must not be lower than any that a configuration may set.
 	maxHeaderTimeout = 30 * time.Second
 	maxHeaderBytes   = 256 << 10
-	// connTimeoutSlack is how much longer than promised a connection is kept.
+	// connTimeoutSlack is added to the configured idle and header timeouts.
 	connTimeoutSlack = time.Second
-	// callerUserTimeout is how long bytes to a caller may stay without acknowledgement.
+	// callerUserTimeout is how long data sent to a caller may remain unacknowledged (TCP user timeout).
 	callerUserTimeout = 5 * time.Second
 	sweepInterval     = time.Second
-	// maxTrialOffset is the time over which entries spread their trials of a request that runners have ended under.
+	// maxTrialOffset is the period over which entries spread their trials of a quarantined request.
 	maxTrialOffset = 2 * time.Second
-	// noTimeout switches a time-out of package http off; zero would stand for that of the head.
+	// noTimeout disables the idle timeout of package http; zero would mean ReadHeaderTimeout.
 	noTimeout = -1
 )
 
-// Gateway is one entry; exported fields are set before Run.
+// Gateway is an entry. Exported fields are set before Run.
 type Gateway struct {
-	// Settings are the platform's.
+	// Settings are the deployment settings of the platform.
 	Settings *deployment.Settings
-	// Configs, Runners and Weights are what the platform's store holds.
+	// Configs, Runners and Weights are the sources in the platform's object store.
 	Configs rillreach.Source[*deployment.Config]
 	Runners rillreach.Source[*deployment.Runner]
 	Weights rillreach.Source[deployment.DesiredWeights]
-	// Evacuations are the zones whose runners are to get nothing; they are followed where the settings bound how soon they are in force.
+	// Evacuations is the source of evacuated zones, whose runners must get no requests. It is followed if the settings
+	// bound how soon an evacuation is in force.
 	Evacuations rillreach.Source[rillreach.ZoneID]
-	// Callers and Readiness are the listeners for callers and for the balancer's question.
+	// Callers and Readiness are the listeners for callers and for the load balancer's readiness checks.
 	Callers   net.Listener
 	Readiness net.Listener
-	// Clock counts the time for which the machine was suspended; nil means the system's.
+	// Clock includes the time for which the machine was suspended. Nil means the system clock.
 	Clock rillreach.Clock
-	// Log takes decisions; Metrics count them.
+	// Log and Metrics record decisions.
 	Log     logr.Logger
 	Metrics *telemetry.Metrics
 
@@ -86,40 +89,46 @@
 	relays        notify.Tracker
 	localServices localServices
 	cache         cacheState
-	prefillSizes  sizeMean
-	requestSizes  sizeMean
-	ttft          firstTokens
-	queue         *line
-	pool          forward.Pool
-	listenProbes  singleflight.Group
-	// suspects are the crashes that this entry knows of, observed those that it has seen itself.
+	// prefillSizes averages the tokens that requests have runners prefill, and requestSizes the tokens of KV cache
+	// that they take there.
+	prefillSizes sizeMean
+	requestSizes sizeMean
+	ttft         firstTokens
+	queue        *line
+	pool         forward.Pool
+	// listenProbes lets concurrent checks whether a runner still accepts connections share one probe.
+	listenProbes singleflight.Group
+	// suspects tracks all crashes that this entry knows of, observedCrashes those that it has observed itself.
 	suspects        poison.Tracker
 	observedCrashes poison.Tracker
 	outages         poison.OutageDetector
-	// crashesChanged is told when the entry itself has seen a crash, or that one is no longer held against a request.
+	// crashesChanged signals that observedCrashes has a new crash or has cleared one.
 	crashesChanged broadcast.Signal
 	budgets        retry.ServiceBudgets
-	// limited are the runners that name a limit.
+	// limited tracks the runners that announce a limit on requests.
 	limited  limitedRunners
 	inflight node.Inflight
-	choices  atomic.Uint64
+	// choices counts choices of a runner, each of which starts at another candidate.
+	choices atomic.Uint64
 	// startedAt is when Run was called.
 	startedAt time.Time
-	// shuttingDown says that plan holds what was planned for the stop; over ends when requests without an answer get their last one.
+	// shuttingDown reports whether shutdown is set. drainCtx ends at the shutdown deadline, when requests that have no
+	// answer yet get an error response.
 	shuttingDown atomic.Bool
 	shutdown     drain.Shutdown
 	drainCtx     context.Context
-	// answerTimes are the times to the whole answer, firstWaits those from a send to the first token beyond the time to read the prompt's own part.
+	// answerTimes tracks the time to the complete answer by route. firstTokenDelays tracks the time from send to first
+	// token, minus the time to prefill the part of the prompt that other prompts do not share.
 	answerTimes      routeTimes
 	firstTokenDelays routeTimes
-	// refreshRunners is told when a runner turns out to be another run than the list says.
+	// refreshRunners wakes the follower of the runners when another run than the listed one answers at an address.
 	refreshRunners chan struct{}
 	server         *http.Server
 	idleConns      *idleCloser
 	listener       *callerListener
 }
 
-// Run serves until the context ends, then stops in order within the grace.
+// Run serves until the context ends, and then shuts down gracefully within the grace period.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.startedAt = time.Now()
 	g.state.Log, g.state.Metrics, g.state.RunnerRestarted = g.Log, g.Metrics, g.runnerRestarted
@@ -134,11 +143,11 @@
 	g.budgets = retry.ServiceBudgets{Ratio: g.Settings.Bounds.RetryRatio, Window: g.Settings.Bounds.RetryWindow, Slack: g.Settings.Bounds.RetrySlack}
 	g.server = g.newServer()
 	g.listener = &callerListener{Listener: node.Listener{Listener: g.Callers}, idleConns: g.idleConns, log: g.Log}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	over, finish := context.WithCancel(life)
-	defer finish()
-	g.drainCtx = over
+	runCtx, endRun := context.WithCancel(context.WithoutCancel(ctx))
+	defer endRun()
+	drainCtx, endDrain := context.WithCancel(runCtx)
+	defer endDrain()
+	g.drainCtx = drainCtx
 	self, err := fleet.Self(rillreach.RoleEntry, g.Settings)
 	if err != nil {
 		return err
@@ -147,13 +156,13 @@
 		return err
 	}
 	peers := &peer.Pool{Self: self, Mux: &peer.Mux{Log: g.Log}, Log: g.Log}
-	peers.Start(life)
+	peers.Start(runCtx)
 	stop := context.AfterFunc(ctx, func() {
-		g.shutDown(time.Now(), finish)
-		end()
+		g.shutDown(time.Now(), endDrain)
+		endRun()
 	})
 	defer stop()
-	followed := &agentFollower{gateway: g, pool: peers}
+	followers := &agentFollower{gateway: g, pool: peers}
 	controllers := []rillreach.Controller{
 		g.state.ConfigFollower(g.Configs, g.watchWait()),
 		g.state.RunnersFollower(g.Runners, g.watchWait(), g.coalesceDelay(), g.refreshRunners),
@@ -164,32 +173,33 @@
 		&poolSweeper{pool: &g.pool},
 		g.queue,
 		peers,
-		followed,
-		&crashReporter{gateway: g, pool: peers, agents: followed},
-		&limitReporter{gateway: g, pool: peers, agents: followed},
+		followers,
+		&crashReporter{gateway: g, pool: peers, agents: followers},
+		&limitReporter{gateway: g, pool: peers, agents: followers},
 	}
 	if g.Settings.Bounds.ZoneEvacuation > 0 {
 		controllers = append(controllers, g.state.EvacuationsFollower(g.Evacuations, g.evacuationsWatchWait()))
 	}
-	return controller.Run(life, g.Log, controllers...)
+	return controller.Run(runCtx, g.Log, controllers...)
 }
 
-// evacuationsWatchWait is how long one watch of the evacuated zones waits: one that hangs is noticed within their bound.
+// evacuationsWatchWait returns how long one watch of the evacuated zones waits. A watch that hangs is replaced within
+// the bound on evacuations.
 func (g *Gateway) evacuationsWatchWait() time.Duration {
 	return max(g.Settings.Bounds.ZoneEvacuation-watchMargin, minWatchWait)
 }
 
-// watchWait is how long one watch of what is bound in time waits.
+// watchWait returns how long one watch of the configuration or the runners waits.
 func (g *Gateway) watchWait() time.Duration {
 	return min(max(g.Settings.Bounds.Recovery-watchMargin, minWatchWait), maxWatchWait)
 }
 
-// noticeTTL is for how long the word of a relay holds: half of the bound on leaving runners is left for an entry's own watch.
+// noticeTTL returns how long a relay's notice is valid. It leaves half of RunnerDrainNotice for the entry's own watch.
 func (g *Gateway) noticeTTL() time.Duration {
 	return min(g.Settings.Bounds.RunnerDrainNotice/noticeTTLDivisor, maxNoticeTTL)
 }
 
-// coalesceDelay is the pause between watches of the runners.
+// coalesceDelay returns the delay between watches of the runners.
 func (g *Gateway) coalesceDelay() time.Duration {
 	return min(g.Settings.Bounds.RunnerDrainNotice/coalesceDivisor, maxCoalesceDelay)
 }
@@ -207,7 +217,7 @@
 	}
 }
 
-// handleReadiness answers the balancer: 200 while the entry knows enough to serve and is not about to end.
+// handleReadiness answers readiness checks: 200 if the entry's state has synced and it is not shutting down, else 503.
 func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if g.shuttingDown.Load() || !g.state.HasSynced() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -221,10 +231,10 @@
 	listener net.Listener
 }
 
-// Name is the controller's name.
+// Name returns the name of the controller.
 func (s *serverController) Name() string { return s.name }
 
-// Run accepts connections until the context ends.
+// Run serves connections until the context ends.
 func (s *serverController) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.server.Close() })
 	defer stop()
@@ -235,10 +245,10 @@
 	return nil
 }
 
-// poolSweeper closes connections to runners that have rested too long.
+// poolSweeper closes connections to runners that have been idle for too long.
 type poolSweeper struct{ pool *forward.Pool }
 
-// Name is the controller's name.
+// Name returns the name of the controller.
 func (s *poolSweeper) Name() string { return "sweep-connections" }
 
 // Run sweeps until the context ends.
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -8,7 +8,7 @@
 	"github.com/rillreach/rillreach/telemetry"
 )
 
-// gauges are what the entry knows, and how old that is.
+// gauges returns gauges for what the entry knows and how old that is.
 func (g *Gateway) gauges() []telemetry.Gauge {
 	return append(g.state.Gauges(), []telemetry.Gauge{
 		{Name: "rillreach.config.version", Description: "version of the configuration in force", Read: g.configVersion},
@@ -30,17 +30,17 @@
 	}...)
 }
 
-// configAge is how long ago the configuration was known to be the newest, by the store or a relay.
+// configAge returns the time since the store or a relay last confirmed that the configuration is the newest.
 func (g *Gateway) configAge(now time.Time) time.Duration {
 	return now.Sub(latest(g.state.ConfigConfirmedAt(), g.relays.ConfirmedAt(notify.KindConfig)))
 }
 
-// listAge is how long ago the list of runners was known to be complete, by the store or a relay.
+// listAge returns the time since the store or a relay last confirmed that the list of runners is complete.
 func (g *Gateway) listAge(now time.Time) time.Duration {
 	return now.Sub(latest(g.state.Roster.CompleteAt(), g.relays.ConfirmedAt(notify.KindRunners)))
 }
 
-// latest is the later of two moments.
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
@@ -55,12 +55,12 @@
 	return 0
 }
 
-// countRunnersWhere counts the runners of which something holds.
-func (g *Gateway) countRunnersWhere(holds func(roster.View) bool) float64 {
+// countRunnersWhere returns the number of listed runners whose view satisfies the predicate.
+func (g *Gateway) countRunnersWhere(match func(roster.View) bool) float64 {
 	n := 0
 	now := time.Now()
 	for _, r := range g.state.Roster.All() {
-		if holds(r.View(now)) {
+		if match(r.View(now)) {
 			n++
 		}
 	}
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -17,7 +17,7 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// handle takes one request of a caller.
+// handle serves one request of a caller.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
 	g.inflight.Add()
 	defer g.inflight.Done()
@@ -31,22 +31,22 @@
 		g.refuse(x, refusal)
 		return
 	}
-	timed, cancel := context.WithDeadline(r.Context(), x.deadline)
+	deadlineCtx, cancel := context.WithDeadline(r.Context(), x.deadline)
 	defer cancel()
-	ctx, end := context.WithCancelCause(timed)
-	defer end(nil)
-	x.continuePastShutdown = context.AfterFunc(g.drainCtx, func() { end(errShuttingDown) })
+	ctx, cancelCause := context.WithCancelCause(deadlineCtx)
+	defer cancelCause(nil)
+	x.continuePastShutdown = context.AfterFunc(g.drainCtx, func() { cancelCause(errShuttingDown) })
 	defer x.continuePastShutdown()
 	g.serve(ctx, x)
 }
 
-// admit finds out what the request is and whether it may run.
+// admit resolves the request's route, account and service, and returns a refusal if the request must not run.
 func (g *Gateway) admit(x *exchange) *refusal {
 	x.config = g.state.Config()
 	if x.config == nil || !g.state.HasSynced() {
 		return refusedNoConfiguration
 	}
-	if most := x.config.Limits.MaxHeader; most > 0 && headSize(x.request) > most {
+	if maxHeader := x.config.Limits.MaxHeader; maxHeader > 0 && headSize(x.request) > maxHeader {
 		return refusedHeadTooLarge
 	}
 	path, _, _ := strings.Cut(x.request.RequestURI, "?")
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// accept reads the rest of a request that may run; while the entry stops it decides whether there is time for it.
+// accept reads the body of an admitted request. It refuses the request if it is quarantined, or if the entry is
+// shutting down and has no time left for it.
 func (g *Gateway) accept(x *exchange) *refusal {
 	if refusal := x.read(); refusal != nil {
 		return refusal
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// headSize is about how many bytes the head of a request takes.
+// headSize returns the approximate size of a request's head in bytes.
 func headSize(r *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
@@ -109,27 +110,28 @@
 	return nil
 }
 
-// chooseService picks one of the route's services by their weights; requests of one conversation stay together.
+// chooseService picks one of the route's services by weight. Requests of one conversation get the same service.
 func (g *Gateway) chooseService(x *exchange) rillreach.ServiceID {
-	shares := x.route.WeightedServices
-	if len(shares) == 1 {
-		return shares[0].Service
+	services := x.route.WeightedServices
+	if len(services) == 1 {
+		return services[0].Service
 	}
-	sum := 0.0
-	for _, s := range shares {
-		sum += s.Weight
+	totalWeight := 0.0
+	for _, s := range services {
+		totalWeight += s.Weight
 	}
-	at := float64(xxhash.Sum64String(conversationID(x))) / math.MaxUint64 * sum
-	for _, s := range shares {
-		if at < s.Weight {
+	point := float64(xxhash.Sum64String(conversationID(x))) / math.MaxUint64 * totalWeight
+	for _, s := range services {
+		if point < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		point -= s.Weight
 	}
-	return shares[len(shares)-1].Service
+	return services[len(services)-1].Service
 }
 
-// conversationID names what the request has in common with those that come back: the last shared part of its prompt.
+// conversationID identifies the conversation of a request by the last shared part of its prompt, which later requests
+// of the conversation have too. A request without shared parts is its own conversation.
 func conversationID(x *exchange) string {
 	if x.wire.Prompt != nil {
 		if shared := x.wire.Prompt.SharedParts(); len(shared) > 0 {
@@ -139,7 +141,7 @@
 	return string(x.wire.ID)
 }
 
-// read takes the body in and makes the call that goes to the runner.
+// read reads the body and prepares the call to the runner.
 func (x *exchange) read() *refusal {
 	r := x.request
 	x.call = forward.Call{
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// readBody reads a body whose length may be known.
+// readBody reads a body of the given length. A length of zero or less means unknown.
 func readBody(from io.Reader, length int64) ([]byte, error) {
 	if length <= 0 || length > maxPreallocatedBody {
 		return io.ReadAll(from)
@@ -178,10 +180,10 @@
 	return body, err
 }
 
-// maxPreallocatedBody is the largest body for which memory is taken before it has come, in bytes.
+// maxPreallocatedBody is the largest body, in bytes, for which memory is allocated before the body has arrived.
 const maxPreallocatedBody = 256 << 10
 
-// serve tries runners until the request has its answer or none can give it.
+// serve makes attempts until the request is answered or must be given up.
 func (g *Gateway) serve(ctx context.Context, x *exchange) {
 	for {
 		done := g.attempt(ctx, x)
@@ -195,29 +197,30 @@
 	}
 }
 
-// Verdicts on a request whose attempts have failed, where they decide on its answer.
+// Verdicts on requests that are given up.
 const (
 	verdictStopping   = "stopping"
 	verdictCallerLeft = "caller-left"
 	verdictTimedOut   = "timed-out"
 	verdictNoRunner   = "no-runner"
-	// verdictRunnersCold says that all runners left are cold and have as much as they bear, verdictLimited that they have as much as the limits that they name
-	// allow, verdictResting that they rest, verdictEvacuated that they are in evacuated zones, and verdictElsewhere that they are in regions in which the request may not run.
+	// The next five say why none of the remaining runners may take the request: they are cold and have no permits left,
+	// have reached the limits that they announce, have asked for a rest, or are in an evacuated zone or in a region in
+	// which the request must not run.
 	verdictRunnersCold      = "runners-cold"
 	verdictRunnersLimited   = "runners-limited"
 	verdictRunnersResting   = "runners-resting"
 	verdictZoneEvacuated    = "zone-evacuated"
 	verdictRegionNotAllowed = "region-not-allowed"
-	// verdictNoRoom says that no engine had room in time, verdictBacklog that none will have, for what waits already, and
-	// verdictLeftLine that the request's time or its caller's patience ended before one had.
+	// verdictNoRoom means that no engine had room in time, verdictBacklog that none will because of the requests that
+	// are already queued, and verdictLeftQueue that the request's deadline passed or its caller gave up in the queue.
 	verdictNoRoom    = "no-room"
 	verdictBacklog   = "backlog"
 	verdictLeftQueue = "left-while-waiting"
-	// verdictCrashesRunners says that runners have ended under the request.
+	// verdictCrashesRunners means that the request is quarantined because runners have crashed while serving it.
 	verdictCrashesRunners = "crashes-runners"
 )
 
-// checkRetry decides whether another attempt may follow; it returns why not, or nothing.
+// checkRetry decides whether another attempt may follow. It returns the reason if not, or an empty string.
 func (g *Gateway) checkRetry(ctx context.Context, x *exchange) string {
 	now := time.Now()
 	switch {
@@ -238,7 +241,8 @@
 	}
 }
 
-// checkRetryLimits decides whether route and budget leave room for another attempt; it returns why not, or nothing.
+// checkRetryLimits checks another attempt against the limits of the route and the retry budget, which it spends. It
+// returns the reason if the attempt must not be made, or an empty string.
 func (g *Gateway) checkRetryLimits(x *exchange, now time.Time) string {
 	switch {
 	case x.sends.sent() == 0 && (now.Sub(x.arrived) > maxConnectTime || len(x.sends.asked()) >= maxConnectRunners):
@@ -257,15 +261,15 @@
 }
 
 const (
-	// minRemainingTime is the time under which another attempt cannot succeed.
+	// minRemainingTime is the shortest remaining time in which another attempt can succeed.
 	minRemainingTime = 10 * time.Millisecond
-	// maxConnectTime bounds the search for a runner that takes a connection.
+	// maxConnectTime bounds the search for a runner that accepts a connection.
 	maxConnectTime = 600 * time.Millisecond
-	// maxConnectRunners bounds how many runners are asked for a connection.
+	// maxConnectRunners bounds how many runners are tried in that search.
 	maxConnectRunners = 6
 )
 
-// directions are what goes to the runner beside the caller's own header.
+// directions returns what the runner is told in addition to the caller's own headers.
 func (g *Gateway) directions(x *exchange, t *target) *platform.Directions {
 	d := &platform.Directions{
 		Runner:    t.view.ID,
--- a/gateway/idle.go
+++ b/gateway/idle.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// idleCloser closes callers' connections that rest, or take for the head of a request, longer than the configuration in force
-// allows. The server's own time-outs are fixed when it starts, before any configuration is known. Exported fields are set before
-// use.
+// idleCloser closes callers' connections that are idle, or take to send the head of a request, for longer than the
+// current configuration allows. The timeouts of the HTTP server cannot do this: they are fixed when it starts, before
+// any configuration is known. Exported fields are set before use.
 type idleCloser struct {
-	// IdleTimeout is how long a connection may rest now, AllowedHead how long a head may take from its first byte on.
+	// IdleTimeout returns how long a connection may be idle, HeadTimeout how long a head may take from its first byte
+	// on.
 	IdleTimeout func() time.Duration
 	HeadTimeout func() time.Duration
 
@@ -19,91 +20,93 @@
 	conns map[net.Conn]*idleConn
 }
 
-// idleConn is the time of one connection without a request that has been read.
+// idleConn is a connection on which no complete request head has been read since it was opened or last answered.
 type idleConn struct {
 	since time.Time
 	timer *time.Timer
-	// readingHead says that a request has begun to come.
+	// readingHead reports whether the head of a request has begun to arrive, and since is when it did.
 	readingHead bool
 }
 
-// connState is told of each change of a caller's connection.
-func (k *idleCloser) connState(c net.Conn, state http.ConnState) {
+// connState is the server's hook for state changes of callers' connections.
+func (k *idleCloser) connState(conn net.Conn, state http.ConnState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.remove(c)
+	k.remove(conn)
 	if state != http.StateNew && state != http.StateIdle {
 		return
 	}
 	if k.conns == nil {
 		k.conns = map[net.Conn]*idleConn{}
 	}
-	r := &idleConn{since: time.Now()}
-	r.timer = time.AfterFunc(k.IdleTimeout(), func() { k.expire(c, r) })
-	k.conns[c] = r
+	tracked := &idleConn{since: time.Now()}
+	tracked.timer = time.AfterFunc(k.IdleTimeout(), func() { k.expire(conn, tracked) })
+	k.conns[conn] = tracked
 }
 
-// remove ends the connection's rest; the lock is held.
-func (k *idleCloser) remove(c net.Conn) {
-	if r := k.conns[c]; r != nil {
-		r.timer.Stop()
-		delete(k.conns, c)
+// remove stops tracking a connection. The lock must be held.
+func (k *idleCloser) remove(conn net.Conn) {
+	if tracked := k.conns[conn]; tracked != nil {
+		tracked.timer.Stop()
+		delete(k.conns, conn)
 	}
 }
 
-// recordRead records that a byte has come on the connection, which may be the first of a request: the server itself tells of a
-// request only once it has read the whole head.
-func (k *idleCloser) recordRead(c net.Conn) {
+// recordRead records that data has arrived on a connection, which may be the start of a request. The server itself
+// reports a request only once it has read the complete head.
+func (k *idleCloser) recordRead(conn net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if r := k.conns[c]; r != nil && !r.readingHead {
-		r.readingHead, r.since = true, time.Now()
-		r.timer.Reset(k.HeadTimeout())
+	if tracked := k.conns[conn]; tracked != nil && !tracked.readingHead {
+		tracked.readingHead, tracked.since = true, time.Now()
+		tracked.timer.Reset(k.HeadTimeout())
 	}
 }
 
-// remaining is how much longer the connection may stay as it is.
-func (k *idleCloser) remaining(r *idleConn) time.Duration {
-	allowed := k.IdleTimeout
-	if r.readingHead {
-		allowed = k.HeadTimeout
+// remaining returns how much longer the connection may stay in its present state.
+func (k *idleCloser) remaining(tracked *idleConn) time.Duration {
+	timeout := k.IdleTimeout
+	if tracked.readingHead {
+		timeout = k.HeadTimeout
 	}
-	return allowed() - time.Since(r.since)
+	return timeout() - time.Since(tracked.since)
 }
 
-// expire closes a connection whose time is over by the configuration in force now, unless a request has come meanwhile.
-func (k *idleCloser) expire(c net.Conn, mine *idleConn) {
+// expire closes a connection whose timeout by the current configuration has passed, unless a request has arrived
+// meanwhile.
+func (k *idleCloser) expire(conn net.Conn, tracked *idleConn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.conns[c] != mine {
+	if k.conns[conn] != tracked {
 		return
 	}
-	if left := k.remaining(mine); left > 0 {
-		mine.timer.Reset(left)
+	if remaining := k.remaining(tracked); remaining > 0 {
+		tracked.timer.Reset(remaining)
 		return
 	}
-	delete(k.conns, c)
-	_ = c.Close() // the caller has gone or stays silent: no whole request is lost with it
+	delete(k.conns, conn)
+	_ = conn.Close() // no complete request is lost
 }
 
-// closeIdle closes the connections on which no request has begun to come, and reports how many are in the middle of one's head.
-func (k *idleCloser) closeIdle() (heads int) {
+// closeIdle closes the connections on which no request has begun to arrive, and returns the number of those with an
+// incomplete head.
+func (k *idleCloser) closeIdle() (incomplete int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for c, r := range k.conns {
-		if r.readingHead {
-			heads++
+	for conn, tracked := range k.conns {
+		if tracked.readingHead {
+			incomplete++
 			continue
 		}
-		r.timer.Stop()
-		delete(k.conns, c)
-		_ = c.Close() // nothing was read on it
+		tracked.timer.Stop()
+		delete(k.conns, conn)
+		_ = conn.Close() // nothing has been read from it
 	}
-	return heads
+	return incomplete
 }
 
-// callerIdleTimeout is how long a caller's connection may rest: what the configuration promises, and a little more, since the
-// caller may just be sending its next request.
+// callerIdleTimeout returns how long a caller's connection may be idle. It is a little longer than configured, since
+// the caller may just be sending its next request.
 func (g *Gateway) callerIdleTimeout() time.Duration {
 	if c := g.state.Config(); c != nil && c.Limits.IdleTimeout > 0 {
 		return c.Limits.IdleTimeout + connTimeoutSlack
@@ -111,7 +114,7 @@
 	return defaultIdleTimeout + connTimeoutSlack
 }
 
-// callerHeadTimeout is how long the head of a request may take: what the configuration allows, and a little more.
+// callerHeadTimeout returns how long the head of a request may take, a little longer than configured.
 func (g *Gateway) callerHeadTimeout() time.Duration {
 	if c := g.state.Config(); c != nil && c.Limits.HeaderTimeout > 0 {
 		return min(c.Limits.HeaderTimeout+connTimeoutSlack, maxHeaderTimeout)
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	// fetchBudgetShare is the part of the target that a fetch may take, leastFetch and mostFetch bound it.
+	// fetchBudgetShare is the part of the target latency that fetches may take, bounded by minFetchBudget and
+	// maxFetchBudget.
 	fetchBudgetShare = 0.4
 	minFetchBudget   = 60 * time.Millisecond
 	maxFetchBudget   = 400 * time.Millisecond
-	// fetchTimeout bounds a fetch once it is decided: a late one still spares the runner the reading, and the stores' agents
-	// wait for longer than that before they free anything.
+	// fetchTimeout bounds a fetch once it is decided. A late fetch still saves the runner the prefill, and the agents
+	// of the stores wait for longer than this before they free anything.
 	fetchTimeout = 1200 * time.Millisecond
 )
 
-// promptState is what is known of the kept parts of one prompt, under the salt of one version of weights.
+// promptState is what is known of the cached parts of a prompt, under the salt of one version of the weights.
 type promptState struct {
 	salt        string
 	sharedParts []deployment.Part
-	// holders are how many tokens of each part each holder has, near those that may be asked for a part, by the zone of who asks.
+	// holders has for each part the number of tokens that each holder has of it. nearestByZone caches the fastest
+	// holders of each part by the zone of the fetching runner.
 	holders       []map[netip.AddrPort]int
 	nearestByZone map[rillreach.ZoneID][][]fetch.Holder
 	engine        fetch.Engine
 	budget        time.Duration
-	// fetchDeadline bounds the fetch on the runners' clock; zero means that nothing may be fetched from a store.
+	// fetchDeadline is when a fetch must have ended, on the runners' clock. Zero means that nothing may be fetched
+	// from or saved in a store.
 	fetchDeadline time.Time
-	// locations are the zones and rates of the holders.
+	// locations has the zones and link properties of the holders.
 	locations map[netip.AddrPort]location
 }
 
@@ -45,7 +48,7 @@
 	linkBusy      time.Duration
 }
 
-// lookUpPrompt looks up who holds the shared parts of the request's prompt.
+// lookUpPrompt looks up the holders of the shared parts of the request's prompt.
 func (g *Gateway) lookUpPrompt(x *exchange, weights deployment.WeightVersion, views []*roster.View, now time.Time) *promptState {
 	p := &promptState{
 		salt: salt(x, weights), sharedParts: x.wire.Prompt.SharedParts(), locations: map[netip.AddrPort]location{}, nearestByZone: map[rillreach.ZoneID][][]fetch.Holder{},
@@ -69,7 +72,7 @@
 	return p
 }
 
-// addStores adds the stores that may be asked, and bounds the fetch.
+// addStores adds the locations of the usable stores, and sets the fetch deadline.
 func (g *Gateway) addStores(x *exchange, p *promptState, now time.Time) {
 	clock, known := g.cache.clock.estimate(now)
 	if !known {
@@ -80,26 +83,27 @@
 		if !g.allows(x, s.Zone) {
 			continue
 		}
-		until, busy, ok := g.cache.usable(s.Address, p.salt, now)
-		if !ok || until.Before(clock.Add(minFetchBudget)) {
+		deadline, linkBusy, ok := g.cache.usable(s.Address, p.salt, now)
+		if !ok || deadline.Before(clock.Add(minFetchBudget)) {
 			continue
 		}
-		if until.Before(p.fetchDeadline) {
-			p.fetchDeadline = until
+		if deadline.Before(p.fetchDeadline) {
+			p.fetchDeadline = deadline
 		}
-		p.locations[s.Address] = location{zone: s.Zone, isStore: true, bitsPerSecond: s.LinkBitsPerSecond, startDelay: s.TransferStartDelay, linkBusy: busy}
+		p.locations[s.Address] = location{zone: s.Zone, isStore: true, bitsPerSecond: s.LinkBitsPerSecond, startDelay: s.TransferStartDelay, linkBusy: linkBusy}
 	}
 }
 
-// maxNearestHolders is how many holders of a part are looked at for one runner: the nearest, and another where the runner is that itself.
+// maxNearestHolders is how many holders of a part are considered for one runner: the nearest one, and a second in case
+// the runner itself is the nearest.
 const maxNearestHolders = 2
 
-// plan says how the runner would come to the shared parts.
+// plan returns how the runner would obtain the shared parts.
 func (p *promptState) plan(v *roster.View) fetch.Plan {
 	parts := make([]fetch.Part, len(p.holders))
-	near := p.nearestTo(v.Zone)
+	nearest := p.nearestTo(v.Zone)
 	for i, holders := range p.holders {
-		parts[i] = fetch.Part{Tokens: p.sharedParts[i].Tokens, LocalTokens: holders[v.Address], Holders: withoutAddress(near[i], v.Address)}
+		parts[i] = fetch.Part{Tokens: p.sharedParts[i].Tokens, LocalTokens: holders[v.Address], Holders: withoutAddress(nearest[i], v.Address)}
 	}
 	plan := fetch.NewPlan(p.engine, parts, p.budget)
 	if len(p.holders) == 0 {
@@ -110,36 +114,36 @@
 	return plan
 }
 
-// nearestTo are the holders of each part that are nearest to a zone.
+// nearestTo returns the fastest holders of each part for runners in a zone.
 func (p *promptState) nearestTo(zone rillreach.ZoneID) [][]fetch.Holder {
-	if near, known := p.nearestByZone[zone]; known {
-		return near
+	if nearest, known := p.nearestByZone[zone]; known {
+		return nearest
 	}
-	near := make([][]fetch.Holder, len(p.holders))
+	nearest := make([][]fetch.Holder, len(p.holders))
 	for i := range p.holders {
-		near[i] = fetch.FastestHolders(p.engine, p.sharedParts[i].Tokens, p.fetchableFrom(i, zone), maxNearestHolders)
+		nearest[i] = fetch.FastestHolders(p.engine, p.sharedParts[i].Tokens, p.fetchableFrom(i, zone), maxNearestHolders)
 	}
-	p.nearestByZone[zone] = near
-	return near
+	p.nearestByZone[zone] = nearest
+	return nearest
 }
 
-// fetchableFrom are the holders of a part that a runner in the zone may ask.
+// fetchableFrom returns the holders from which a runner in the zone may fetch a part.
 func (p *promptState) fetchableFrom(part int, zone rillreach.ZoneID) []fetch.Holder {
-	all := make([]fetch.Holder, 0, len(p.holders[part]))
-	for place, tokens := range p.holders[part] {
-		info, ok := p.locations[place]
+	fetchable := make([]fetch.Holder, 0, len(p.holders[part]))
+	for address, tokens := range p.holders[part] {
+		loc, ok := p.locations[address]
 		if !ok {
 			continue
 		}
-		all = append(all, fetch.Holder{
-			Address: place, IsStore: info.isStore, Tokens: tokens, BitsPerSecond: info.bitsPerSecond, StartDelay: info.startDelay, LinkBusy: info.linkBusy,
-			OtherZone: info.zone != zone,
+		fetchable = append(fetchable, fetch.Holder{
+			Address: address, IsStore: loc.isStore, Tokens: tokens, BitsPerSecond: loc.bitsPerSecond, StartDelay: loc.startDelay, LinkBusy: loc.linkBusy,
+			OtherZone: loc.zone != zone,
 		})
 	}
-	return all
+	return fetchable
 }
 
-// withoutAddress are the holders but for the one at the address.
+// withoutAddress returns the holders except the one at the address.
 func withoutAddress(holders []fetch.Holder, address netip.AddrPort) []fetch.Holder {
 	i := slices.IndexFunc(holders, func(h fetch.Holder) bool { return h.Address == address })
 	if i < 0 {
@@ -148,35 +152,35 @@
 	return slices.Concat(holders[:i], holders[i+1:])
 }
 
-// chooseSaveStores says where the shared parts go once the runner has them.
+// chooseSaveStores chooses the store in which the runner saves each shared part.
 func (g *Gateway) chooseSaveStores(x *exchange, p *promptState, v *roster.View, now time.Time) []netip.AddrPort {
 	if p.fetchDeadline.IsZero() {
 		return nil
 	}
-	to := make([]netip.AddrPort, len(x.wire.Prompt.Parts))
+	targets := make([]netip.AddrPort, len(x.wire.Prompt.Parts))
 	for i, part := range p.sharedParts {
 		key := holdings.Key{Salt: p.salt, Part: part.ID}
 		stores := g.candidateStores(x, p, v, key, p.holders[i], now)
-		to[i] = fetch.ChooseStore(p.engine, part.Tokens, i == 0, stores)
-		if to[i].IsValid() {
-			g.cache.recordSave(key, to[i], now)
+		targets[i] = fetch.ChooseStore(p.engine, part.Tokens, i == 0, stores)
+		if targets[i].IsValid() {
+			g.cache.recordSave(key, targets[i], now)
 		}
 	}
-	return to
+	return targets
 }
 
-// candidateStores are the stores that may take a part.
+// candidateStores returns the stores in which the request's parts may be saved.
 func (g *Gateway) candidateStores(x *exchange, p *promptState, v *roster.View, key holdings.Key, holders map[netip.AddrPort]int, now time.Time) []fetch.Store {
 	var stores []fetch.Store
 	for _, s := range x.config.CacheStores() {
-		info, ok := p.locations[s.Address]
-		if !ok || !info.isStore {
+		loc, ok := p.locations[s.Address]
+		if !ok || !loc.isStore {
 			continue
 		}
 		_, holds := holders[s.Address]
 		stores = append(stores, fetch.Store{
 			Address: s.Address, Capacity: s.CapacityTokens, UsedTokens: g.cache.index.TotalTokens(s.Address), BitsPerSecond: s.LinkBitsPerSecond,
-			StartDelay: s.TransferStartDelay, LinkBusy: info.linkBusy, OtherZone: s.Zone != v.Zone, Holds: holds || g.cache.isSaving(key, s.Address, now),
+			StartDelay: s.TransferStartDelay, LinkBusy: loc.linkBusy, OtherZone: s.Zone != v.Zone, Holds: holds || g.cache.isSaving(key, s.Address, now),
 		})
 	}
 	return stores
--- a/gateway/limit_reporter.go
+++ b/gateway/limit_reporter.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// limitReportInterval is how often limits are reported of which there is something to report.
+	// limitReportInterval is how often limits are reported if none has changed.
 	limitReportInterval = 500 * time.Millisecond
-	// permitInterval is how often permits are given where no agent allots them.
+	// permitInterval is how often the entry issues permits to itself for runners whose limit no agent allocates.
 	permitInterval = 100 * time.Millisecond
 )
 
-// limitReporter reports the limits of runners to the agents that share them out: for an engine the one beside it, for any other runner one that is
-// chosen by a hash, so that all entries choose the same. What is reported is what the entry's own answers said, and what an agent seems not to know.
-// Where the agent is silent, the entry spaces its requests by itself.
+// limitReporter reports the limits of runners to the agents that allocate them: for an engine the agent beside it, for
+// any other runner an agent that all entries choose by the same hash. It reports what the answers to this entry said
+// and what an agent seems not to know. If the agent is silent, the entry paces its requests by itself.
 type limitReporter struct {
 	gateway *Gateway
 	pool    *peer.Pool
@@ -31,30 +31,30 @@
 	lastReport time.Time
 }
 
-// Name is the controller's name.
+// Name returns the name of the controller.
 func (l *limitReporter) Name() string { return "report-limits" }
 
 // Run reports until the context ends.
 func (l *limitReporter) Run(ctx context.Context) error {
-	woken := true
+	limitChanged := true
 	for ctx.Err() == nil {
 		changed := l.gateway.limited.changed.Wait()
 		now := time.Now()
 		runners := l.gateway.limited.current(&l.gateway.state.Roster, now)
 		l.pacePermits(runners, now)
-		if woken || now.Sub(l.lastReport) >= limitReportInterval {
+		if limitChanged || now.Sub(l.lastReport) >= limitReportInterval {
 			l.lastReport = now
 			l.report(ctx, l.gateway.limited.unreported(runners, now), now)
 		}
-		woken = l.waitForNext(ctx, len(runners) > 0, changed)
+		limitChanged = l.waitForNext(ctx, len(runners) > 0, changed)
 	}
 	return nil
 }
 
-// waitForNext waits until the limits are to be looked at again, and reports whether one has changed.
-func (l *limitReporter) waitForNext(ctx context.Context, some bool, changed <-chan struct{}) bool {
+// waitForNext waits until the next round is due, and reports whether a limit has changed.
+func (l *limitReporter) waitForNext(ctx context.Context, anyLimited bool, changed <-chan struct{}) bool {
 	var next <-chan time.Time
-	if some {
+	if anyLimited {
 		timer := time.NewTimer(permitInterval)
 		defer timer.Stop()
 		next = timer.C
@@ -68,7 +68,7 @@
 	return false
 }
 
-// pacePermits gives permits for runners whose agent is silent.
+// pacePermits issues permits for runners whose agent is silent.
 func (l *limitReporter) pacePermits(runners []*roster.Runner, now time.Time) {
 	g := l.gateway
 	for _, r := range runners {
@@ -78,7 +78,7 @@
 	}
 }
 
-// report tells each agent of the limits that it shares out.
+// report sends each agent the limits that it allocates.
 func (l *limitReporter) report(ctx context.Context, runners []*roster.Runner, now time.Time) {
 	if len(runners) == 0 {
 		return
@@ -104,13 +104,13 @@
 	g := l.gateway
 	var report bulletin.LimitReport
 	for _, r := range runners {
-		o, known := g.cache.clock.toShared(r.Limit(), now)
+		observation, known := g.cache.clock.toShared(r.Limit(), now)
 		if !known {
 			return
 		}
 		run := r.Info().Run()
 		report.Limits = append(report.Limits, bulletin.RunnerLimit{
-			Runner: run.ID, Generation: run.Generation, Limit: o.Limit, SentAt: o.Sent.UnixMilli(), ReceivedAt: o.Received.UnixMilli(),
+			Runner: run.ID, Generation: run.Generation, Limit: observation.Limit, SentAt: observation.Sent.UnixMilli(), ReceivedAt: observation.Received.UnixMilli(),
 		})
 	}
 	conn, err := l.pool.Get(ctx, agent)
@@ -118,7 +118,7 @@
 		_, err = peer.Ask[bulletin.LimitReport, bulletin.LimitReceipt](ctx, conn, peer.MethodLimits, report)
 	}
 	if err != nil {
-		g.Log.Info("limits not reported", "decision", "retry", "agent", agent, "limits", len(report.Limits), "cause", err.Error())
+		g.Log.Info("cannot report limits", "decision", "retry", "agent", agent, "limits", len(report.Limits), "cause", err.Error())
 		return
 	}
 	g.limited.setReported(runners, now)
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -10,7 +10,7 @@
 	"github.com/rillreach/rillreach/node"
 )
 
-// callerListener takes callers' connections, whose rests it has watched.
+// callerListener accepts callers' connections and closes idle ones.
 type callerListener struct {
 	node.Listener
 
@@ -18,25 +18,25 @@
 	log       logr.Logger
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it.
 func (d *callerListener) Accept() (net.Conn, error) {
 	c, err := d.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	if err := forward.SetUserTimeout(c, callerUserTimeout); err != nil {
-		d.log.Error(err, "caller's connection has no user time-out")
+		d.log.Error(err, "cannot set user timeout of caller connection")
 	}
 	return &callerConn{Conn: c, idleConns: d.idleConns}, nil
 }
 
-// callerConn is a caller's connection that tells when something comes.
+// callerConn is a caller's connection that reports received data to an idleCloser.
 type callerConn struct {
 	net.Conn
 	idleConns *idleCloser
 }
 
-// Read reads and ends the connection's rest.
+// Read reads from the connection, and records that data has arrived.
 func (c *callerConn) Read(buf []byte) (int, error) {
 	n, err := c.Conn.Read(buf)
 	if n > 0 {
@@ -45,11 +45,12 @@
 	return n, err
 }
 
-// CloseWrite tells the caller that nothing more comes, as the server does before it closes a connection with unread bytes.
+// CloseWrite closes the write side of the connection. The HTTP server calls it before it closes a connection that has
+// unread data.
 func (c *callerConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
-		return errors.New("connection cannot be closed for writing alone")
+		return errors.New("connection does not support CloseWrite")
 	}
 	return half.CloseWrite()
 }
--- a/gateway/local_zone.go
+++ b/gateway/local_zone.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// minLocalEngines is how many engines a zone needs for its entries to hear little of those in others, and localUntil with how many it no longer
-	// has enough. Among so many, one that is free or holds a prompt's parts is nearly always there, and what all entries hear of what all
-	// engines hold grows with the square of a deployment.
+	// minLocalEngines is the number of engines of a service from which a zone's entries get only load reports from the
+	// engines in other zones, and minRetainedEngines the number below which they get full reports again. Among so many
+	// engines there is nearly always one that is free or holds a prompt's parts, and the traffic of full reports from
+	// all engines to all entries grows with the square of the deployment's size.
 	minLocalEngines    = 24
 	minRetainedEngines = 16
 )
 
-// localServices are the services of which the entry's own zone has engines enough; the zero value has none.
+// localServices tracks the services for which the entry's zone has enough engines. The zero value has none.
 type localServices struct {
 	mu    sync.Mutex
 	local map[rillreach.ServiceID]bool
 }
 
-// update counts the engines of each service in the zone.
+// update counts the available engines of each service in the zone.
 func (l *localServices) update(groups map[rillreach.ServiceID][]*roster.Runner, zone rillreach.ZoneID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	enough := map[rillreach.ServiceID]bool{}
+	isLocal := map[rillreach.ServiceID]bool{}
 	for service, group := range groups {
-		least := minLocalEngines
+		required := minLocalEngines
 		if l.local[service] {
-			least = minRetainedEngines
+			required = minRetainedEngines
 		}
-		enough[service] = countAvailable(group, zone) >= least
+		isLocal[service] = countAvailable(group, zone) >= required
 	}
-	l.local = enough
+	l.local = isLocal
 }
 
-// updateLocalServices counts the engines of the entry's own zone, none of which can be used while it is evacuated.
+// updateLocalServices updates localServices. In an evacuated zone no engine can be used, and so no service is local.
 func (g *Gateway) updateLocalServices(groups map[rillreach.ServiceID][]*roster.Runner) {
 	if g.state.Evacuations().Has(g.Settings.Zone) {
 		groups = nil
@@ -46,7 +47,7 @@
 	g.localServices.update(groups, g.Settings.Zone)
 }
 
-// countAvailable is how many of the runners are in the zone and don't leave.
+// countAvailable returns the number of runners that are in the zone and not leaving.
 func countAvailable(group []*roster.Runner, zone rillreach.ZoneID) int {
 	n := 0
 	for _, r := range group {
@@ -57,14 +58,14 @@
 	return n
 }
 
-// isLocal reports that the entry's zone isLocal engines of the service enough.
+// isLocal reports whether the entry's zone has enough engines of the service.
 func (l *localServices) isLocal(service rillreach.ServiceID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.local[service]
 }
 
-// engineGroups are the listed runners of each service of engines.
+// engineGroups returns the listed runners of each engine service.
 func (g *Gateway) engineGroups() map[rillreach.ServiceID][]*roster.Runner {
 	groups := map[rillreach.ServiceID][]*roster.Runner{}
 	config := g.state.Config()
@@ -79,17 +80,18 @@
 	return groups
 }
 
-// isEngineService reports that the runners of a service are engines, which have agents.
+// isEngineService reports whether the runners of a service are engines, which have agents.
 func (g *Gateway) isEngineService(service rillreach.ServiceID) bool {
 	config := g.state.Config()
 	return config != nil && config.Services[service] != nil && config.Services[service].Engine != nil
 }
 
-// applyLoadOnlyBulletin takes over a bulletin of an agent that was asked for little: what its runner held when more was heard of it is out of date.
+// applyLoadOnlyBulletin applies a bulletin of an agent that is asked for load reports only. What the runner held
+// according to earlier full reports is out of date.
 func (g *Gateway) applyLoadOnlyBulletin(b *bulletin.Bulletin, now time.Time) {
 	if r := g.state.Roster.Find(b.Runner); r != nil {
-		if place := r.Info().Address; g.cache.index.TotalTokens(place) > 0 {
-			g.cache.index.Forget(place)
+		if address := r.Info().Address; g.cache.index.TotalTokens(address) > 0 {
+			g.cache.index.Forget(address)
 		}
 	}
 	g.applyBulletin(b, now)
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -11,15 +11,15 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// refusal is an answer of the entry's own to a request that it doesn't send to a runner.
+// refusal is the entry's answer to a request that it does not send to a runner.
 type refusal struct {
 	status int
 	reason string
-	// retryAfter is when the caller should come back, zero where that makes no sense.
+	// retryAfter is when the caller should retry. Zero means that retrying does not help.
 	retryAfter time.Duration
 }
 
-// The refusals of requests that were never sent.
+// The refusals of requests that are not sent to a runner.
 var (
 	refusedNoConfiguration = &refusal{http.StatusServiceUnavailable, "no-configuration", time.Second}
 	refusedNoRoute         = &refusal{http.StatusNotFound, "no-route", 0}
@@ -32,7 +32,7 @@
 	refusedShutdown        = &refusal{http.StatusServiceUnavailable, "entry-stops", shortRetryAfter}
 )
 
-// refuse answers a request that was never sent.
+// refuse answers a request that was not sent to a runner.
 func (g *Gateway) refuse(x *exchange, r *refusal) {
 	routeName := ""
 	if x.route != nil {
@@ -48,16 +48,17 @@
 	g.respond(x, r.status, r.reason, r.retryAfter)
 }
 
-// giveUp ends a request whose attempts have failed: at once, and saying that it has not run only where that is certain.
+// giveUp ends a request whose attempts have failed. The response says that the request has not run only if that is
+// certain.
 func (g *Gateway) giveUp(ctx context.Context, x *exchange, verdict string) {
-	status, outcome, after := http.StatusServiceUnavailable, "not-run", retryAfterFor(x)
+	status, outcome, retryAfter := http.StatusServiceUnavailable, "not-run", retryAfterFor(x)
 	switch {
 	case x.maybeRan && verdict == verdictTimedOut:
-		status, outcome, after = http.StatusGatewayTimeout, "unknown", 0
+		status, outcome, retryAfter = http.StatusGatewayTimeout, "unknown", 0
 	case x.maybeRan:
-		status, outcome, after = http.StatusBadGateway, "unknown", 0
+		status, outcome, retryAfter = http.StatusBadGateway, "unknown", 0
 	case verdict == verdictCrashesRunners:
-		status, after = http.StatusBadGateway, 0 // its caller isn't to come back
+		status, retryAfter = http.StatusBadGateway, 0 // the caller should not retry
 	}
 	if x.request.Context().Err() != nil && verdict != verdictStopping {
 		verdict = verdictCallerLeft
@@ -67,16 +68,16 @@
 		"config", x.config.Version, "listAge", g.listAge(time.Now()).String(), "after", time.Since(x.arrived).String())
 	g.Metrics.Request(outcome, verdict)
 	if verdict == verdictTimedOut {
-		g.answerTimes.add(x.route.Name, time.Since(x.arrived)) // it takes that long at the least
+		g.answerTimes.add(x.route.Name, time.Since(x.arrived)) // a lower bound for the time that the request takes
 	}
 	if x.headSent || verdict == verdictCallerLeft {
-		panic(http.ErrAbortHandler) // the connection is cut, so that nothing on it can be taken for a whole answer
+		panic(http.ErrAbortHandler) // closes the connection, so that a partial answer is not taken for a complete one
 	}
-	g.respond(x, status, verdict, after)
+	g.respond(x, status, verdict, retryAfter)
 }
 
-// retryAfterFor is when a request that has not run should be sent again: once a runner has rested, or the requests that wait are admitted, or soon where
-// neither was the reason.
+// retryAfterFor returns when the caller of a request that has not run should retry: once the resting runners accept
+// requests again, once the queued requests have been admitted, or else soon.
 func retryAfterFor(x *exchange) time.Duration {
 	if !x.retryNotBefore.IsZero() {
 		return max(0, time.Until(x.retryNotBefore)) + time.Duration(rand.Float64()*float64(restJitter))
@@ -89,26 +90,27 @@
 
 const (
 	shortRetryAfter = 50 * time.Millisecond
-	// restJitter is the time over which callers come back once a rest has ended.
+	// restJitter is the period over which retries of callers are spread once a rest has ended.
 	restJitter = 300 * time.Millisecond
 )
 
-// respond writes an respond of the entry's own.
-func (g *Gateway) respond(x *exchange, status int, reason string, after time.Duration) {
+// respond sends the entry's own answer, as opposed to a runner's.
+func (g *Gateway) respond(x *exchange, status int, reason string, retryAfter time.Duration) {
 	h := x.writer.Header()
 	g.setConnectionClose(h)
 	platform.OwnAnswer(h, x.wire.ID)
-	if after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(reason)+1))
 	x.writer.WriteHeader(status)
 	_, err := x.writer.Write([]byte(reason + "\n"))
 	if err == nil && g.shuttingDown.Load() {
-		err = http.NewResponseController(x.writer).Flush() // the process may end before the server does so, once the request counts as running no more
+		// Once the request no longer counts as running, the process may exit before the server flushes the response.
+		err = http.NewResponseController(x.writer).Flush()
 	}
 	if err != nil {
-		g.Log.Info("answer not taken", "decision", "drop", "request", x.wire.ID, "cause", err.Error())
+		g.Log.Info("cannot write answer to caller", "decision", "drop", "request", x.wire.ID, "cause", err.Error())
 	}
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// maxBufferedAnswer is the largest answer, in bytes, that is held until it is whole.
+	// maxBufferedAnswer is the largest answer, in bytes, that is buffered until it is complete.
 	maxBufferedAnswer = 256 << 10
-	// relayBufferSize is what one read of a stream takes at the most, in bytes.
+	// relayBufferSize is the maximum size of one read from a stream, in bytes.
 	relayBufferSize = 8 << 10
-	// minFailureStatus is the least status that says that a runner failed.
+	// minFailureStatus is the lowest HTTP status that counts as a failure of the runner.
 	minFailureStatus = 500
 )
 
-// relay passes the runner's answer on; it reports whether the request is done with.
+// relay forwards the runner's answer to the caller, and reports whether the request is finished.
 func (a *attempt) relay() bool {
 	g, x, t := a.gateway, a.exchange, a.target
 	if a.head.Weights != 0 && x.wire.Prompt != nil {
 		t.runner.SetWeights(x.wire.Prompt.Model, a.head.Weights)
 	}
 	status := a.answer.Response.StatusCode
-	if status >= minFailureStatus && a.head.RetryAfter == 0 { // one that asks for rest says by itself for how long it is to be left alone
-		share := t.runner.RecordFailure(time.Now())
-		g.Log.Info("runner failed the request", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "status", status, "failures", share)
+	// A runner that asks for a rest says itself for how long to avoid it.
+	if status >= minFailureStatus && a.head.RetryAfter == 0 {
+		failureRate := t.runner.RecordFailure(time.Now())
+		g.Log.Info("runner failed the request", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "status", status, "failures", failureRate)
 	}
 	if x.headSent && !a.canContinue() {
 		x.reason = "resumed-elsewhere-refused"
@@ -45,18 +46,18 @@
 	return a.relayBuffered()
 }
 
-// canContinue reports that the answer can go on with one that has begun.
+// canContinue reports whether the answer can continue one that has begun.
 func (a *attempt) canContinue() bool { return a.answer.Response.StatusCode == http.StatusOK }
 
-// forwardsEvents reports that the answer's events are passed on as they come.
+// forwardsEvents reports whether the answer's events are forwarded as they arrive.
 func (a *attempt) forwardsEvents() bool {
 	return a.isEventStream() && a.answer.Response.StatusCode < minFailureStatus && !a.exchange.buffered
 }
 
-// isEventStream reports that the route's answers are streams of events.
+// isEventStream reports whether the route's answers are event streams.
 func (a *attempt) isEventStream() bool { return a.exchange.route.Kind == deployment.EventStream }
 
-// relayBuffered holds an answer until it is whole, so that a broken one can still be replaced.
+// relayBuffered buffers an answer until it is complete, so that one that breaks off can still be replaced.
 func (a *attempt) relayBuffered() bool {
 	g, x, t := a.gateway, a.exchange, a.target
 	body, err := io.ReadAll(io.LimitReader(a, maxBufferedAnswer+1))
@@ -75,26 +76,26 @@
 	}
 	if !a.head.Sealed && status == http.StatusServiceUnavailable {
 		x.maybeRan, x.reason = true, "runner-unavailable"
-		return false // it promises nothing, while the same status from us would
+		return false // a 503 of the entry says that nothing has run, which this one does not guarantee
 	}
 	h := g.beginAnswer(x, a.answer)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(status)
 	if _, err := x.writer.Write(body); err != nil {
-		g.Log.Info("answer not taken", "decision", "drop", "request", x.wire.ID, "cause", err.Error())
+		g.Log.Info("cannot write answer to caller", "decision", "drop", "request", x.wire.ID, "cause", err.Error())
 		return true
 	}
 	a.recordAnswered()
 	return true
 }
 
-// failRelay records that the answer broke off; the request isn't done with.
+// failRelay records that the answer broke off. It returns false: the request is not finished.
 func (a *attempt) failRelay(cause error) bool {
 	a.failed(cause)
 	return false
 }
 
-// shouldRetryFailure decides whether a runner's failure is answered by another runner instead.
+// shouldRetryFailure decides whether the request moves to another runner instead of returning this runner's failure.
 func (a *attempt) shouldRetryFailure() bool {
 	if !a.awaitHedge() && !a.mayTryAnother() {
 		return false
@@ -103,14 +104,14 @@
 	return true
 }
 
-// mayTryAnother reports that another runner may be asked once this one has ended.
+// mayTryAnother reports whether the request may be sent to another runner after this one.
 func (a *attempt) mayTryAnother() bool {
 	x := a.exchange
 	return !x.route.AtMostOnce() && x.mayUseAnotherRunner() && a.parent.Err() == nil && a.gateway.budgets.Allows(time.Now(), x.service.Name)
 }
 
-// relayLarge passes on an answer that is too large to be held.
-func (a *attempt) relayLarge(begun []byte) bool {
+// relayLarge forwards an answer that is too large to buffer. The prefix was already read.
+func (a *attempt) relayLarge(prefix []byte) bool {
 	g, x, t := a.gateway, a.exchange, a.target
 	if !a.commit() {
 		return a.failRelay(errors.New("another attempt has answered"))
@@ -123,7 +124,7 @@
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	x.writer.WriteHeader(a.answer.Response.StatusCode)
-	_, err := x.writer.Write(begun)
+	_, err := x.writer.Write(prefix)
 	if err == nil {
 		_, err = io.Copy(x.writer, a)
 	}
@@ -135,14 +136,15 @@
 	return true
 }
 
-// recordCrashOnReadError records why the rest of an answer can't be had, where it is the runner that ended it.
+// recordCrashOnReadError records a crash if the answer could not be read to its end because the runner crashed.
 func (a *attempt) recordCrashOnReadError() {
 	if a.lost != nil && a.classifyFailure(a.lost) == causeRunnerEnded {
 		a.recordCrash()
 	}
 }
 
-// beginAnswer sets the runner's header on the answer to the caller, which from now on can be finished but not be replaced.
+// beginAnswer copies the runner's headers to the answer to the caller. From then on the answer can be continued but not
+// replaced.
 func (g *Gateway) beginAnswer(x *exchange, answer *forward.Answer) http.Header {
 	h := x.writer.Header()
 	maps.Copy(h, platform.PassedHeader(answer.Response.Header))
@@ -151,19 +153,20 @@
 	return h
 }
 
-// setConnectionClose tells the caller to close its connection while the entry stops.
+// setConnectionClose tells the caller to close its connection if the entry is shutting down.
 func (g *Gateway) setConnectionClose(h http.Header) {
 	if g.shuttingDown.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
-// relayStream passes events on as they come, whole ones only where the stream may go on elsewhere.
+// relayStream forwards events as they arrive. If the stream may continue at another runner, it forwards only complete
+// events.
 func (a *attempt) relayStream() bool {
 	g, x, t := a.gateway, a.exchange, a.target
 	if !x.headSent {
 		if !x.continuePastShutdown() {
-			return a.failRelay(errShuttingDown) // the entry is just giving it its last answer
+			return a.failRelay(errShuttingDown) // the request is already getting an error response
 		}
 		g.beginAnswer(x, a.answer)
 		x.writer.WriteHeader(a.answer.Response.StatusCode)
@@ -188,8 +191,8 @@
 	}
 }
 
-// writeEvents passes events on to the caller, up to the one with the given id.
-func (a *attempt) writeEvents(part []byte, last string) {
+// writeEvents sends events to the caller. The last complete one has the given ID.
+func (a *attempt) writeEvents(part []byte, lastID string) {
 	g, x := a.gateway, a.exchange
 	if x.firstEventAt.IsZero() {
 		x.firstEventAt = time.Now()
@@ -199,14 +202,14 @@
 	err := x.write(part)
 	a.passing.Store(false)
 	if err != nil {
-		g.abortAnswer(x, a.target, errors.Wrap(err, "caller takes no more"))
+		g.abortAnswer(x, a.target, errors.Wrap(err, "write to caller"))
 	}
 	x.failedSends = 0
-	x.recordWrite(last)
+	x.recordWrite(lastID)
 }
 
-// shouldMoveStream reports that it is worth having another runner go on with a stream, since its own waits for its requests to end before it
-// loads weights: it takes nothing new meanwhile.
+// shouldMoveStream reports whether another runner should continue the stream because the current runner waits for its
+// requests to end before it loads weights, and accepts no new requests until then.
 func (a *attempt) shouldMoveStream(now time.Time) bool {
 	x := a.exchange
 	if !x.route.Resumable || x.lastEvent == "" || x.deadline.Sub(now) < x.route.TargetLatency {
@@ -223,17 +226,18 @@
 	return http.NewResponseController(x.writer).Flush()
 }
 
-// abortAnswer ends an answer that cannot be finished by cutting the connection, so that it cannot be taken for a whole one.
+// abortAnswer closes the connection of an answer that cannot be completed, so that the caller does not take it for a
+// complete one.
 func (g *Gateway) abortAnswer(x *exchange, t *target, cause error) {
-	g.Log.Error(cause, "answer cut", "decision", "cut", "request", x.wire.ID, "runner", t.view.ID, "after", time.Since(x.arrived).String())
+	g.Log.Error(cause, "answer aborted", "decision", "cut", "request", x.wire.ID, "runner", t.view.ID, "after", time.Since(x.arrived).String())
 	g.Metrics.Request("unknown", "cut")
 	panic(http.ErrAbortHandler)
 }
 
-// recordAnswered records a request that has its whole answer.
+// recordAnswered records that the request has its complete answer.
 func (a *attempt) recordAnswered() {
 	g, x, t, status := a.gateway, a.exchange, a.target, a.answer.Response.StatusCode
-	if a.answer.Framed() { // any other may have ended with its runner
+	if a.answer.Framed() { // the end of an unframed answer may be a crash of its runner
 		g.clearSuspicion(x)
 	}
 	took := time.Since(x.arrived)
--- a/gateway/stores.go
+++ b/gateway/stores.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// storeReportTTL is how old the last word of a store's agent may be while the store is used.
+	// storeReportTTL is how old the last report of a store's agent may be while the store is used.
 	storeReportTTL = 1200 * time.Millisecond
-	// saveTimeout is how long a part that was sent to a store counts as on its way there.
+	// saveTimeout is how long the save of a part to a store is taken to be in progress.
 	saveTimeout = 3 * time.Second
-	// linkUseFactor is by how much this entry's own moves are multiplied to guess those of all entries on a link.
+	// linkUseFactor multiplies this entry's own transfers on a link to estimate those of all entries.
 	linkUseFactor = 2
-	// saveSweepSize is how many parts on their way are remembered before old ones are looked for.
+	// saveSweepSize is the number of saves above which expired ones are removed.
 	saveSweepSize = 512
 )
 
@@ -36,81 +36,83 @@
 	store netip.AddrPort
 }
 
-// storeState is what is known of one store.
+// storeState is what the entry knows of one store.
 type storeState struct {
-	// agent looks after the store, and saidAt is its last word on the runners' clock, heardAt on ours.
+	// agent is the agent that is responsible for the store. reportedAt is when it sent its last report on the runners'
+	// clock, in milliseconds, and receivedAt when the report arrived on this entry's clock.
 	agent       rillreach.InstanceID
 	reportedAt  int64
 	receivedAt  time.Time
 	unreachable bool
-	// expiredSalts are the salts that any agent has called so: of two that believe they look after the store, one may already free
-	// what the other, whose list of runners is older, still tells of. Weights that were replaced never come back.
+	// expiredSalts are the salts that any agent has reported as expiring. If two agents both believe that they are
+	// responsible for the store, one may already free parts that the other, whose list of runners is older, still
+	// reports. Replaced weights never come back, so salts are never removed.
 	expiredSalts map[string]bool
-	// linkBusyUntil is until when the link is taken by moves that this entry knows of or guesses.
+	// linkBusyUntil is the estimated end of the transfers on the store's link.
 	linkBusyUntil time.Time
 }
 
-// applyRunnerUpdate takes over what a run holds, as its agent says.
-func (b *cacheState) applyRunnerUpdate(run rillreach.InstanceRun, h *bulletin.CacheUpdate) {
-	b.index.Update(holdings.Update{Address: h.Address, Run: run, Snapshot: h.Snapshot, Changes: h.Changes})
+// applyRunnerUpdate applies an agent's report of what a run holds.
+func (c *cacheState) applyRunnerUpdate(run rillreach.InstanceRun, update *bulletin.CacheUpdate) {
+	c.index.Update(holdings.Update{Address: update.Address, Run: run, Snapshot: update.Snapshot, Changes: update.Changes})
 }
 
-// applyStoreUpdate takes over what an agent says of a store.
-func (b *cacheState) applyStoreUpdate(agent rillreach.InstanceID, clock int64, h *bulletin.CacheUpdate, now time.Time) {
-	if !b.updateStore(agent, clock, h, now) {
+// applyStoreUpdate applies an agent's report of a store. Changes count only from the agent that is responsible for it.
+func (c *cacheState) applyStoreUpdate(agent rillreach.InstanceID, clock int64, update *bulletin.CacheUpdate, now time.Time) {
+	if !c.updateStore(agent, clock, update, now) {
 		return
 	}
-	if h.Snapshot {
-		b.index.Replace(h.Address, h.Changes)
+	if update.Snapshot {
+		c.index.Replace(update.Address, update.Changes)
 		return
 	}
-	b.index.Apply(h.Address, h.Changes)
+	c.index.Apply(update.Address, update.Changes)
 }
 
-// updateStore takes over the state of a store; it reports whether the agent is the one that looks after it: the last that
-// told everything anew.
-func (b *cacheState) updateStore(agent rillreach.InstanceID, clock int64, h *bulletin.CacheUpdate, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stores == nil {
-		b.stores = map[netip.AddrPort]*storeState{}
+// updateStore updates the state of a store, and reports whether the agent is the responsible one: the last that sent a
+// snapshot.
+func (c *cacheState) updateStore(agent rillreach.InstanceID, clock int64, update *bulletin.CacheUpdate, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.stores == nil {
+		c.stores = map[netip.AddrPort]*storeState{}
 	}
-	s := b.stores[h.Address]
+	s := c.stores[update.Address]
 	if s == nil {
 		s = &storeState{expiredSalts: map[string]bool{}}
-		b.stores[h.Address] = s
+		c.stores[update.Address] = s
 	}
-	for _, salt := range h.ExpiringSalts {
+	for _, salt := range update.ExpiringSalts {
 		s.expiredSalts[salt] = true
 	}
-	if h.Snapshot {
+	if update.Snapshot {
 		s.agent = agent
 	}
 	if s.agent != agent {
 		return false
 	}
-	s.reportedAt, s.receivedAt, s.unreachable = clock, now, h.Unreachable
+	s.reportedAt, s.receivedAt, s.unreachable = clock, now, update.Unreachable
 	return true
 }
 
-// usable reports whether parts under the salt may be fetched from the store, until when on the runners' clock that must
-// have ended, and how long its link is taken.
-func (b *cacheState) usable(place netip.AddrPort, salt string, now time.Time) (until time.Time, busy time.Duration, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stores[place]
+// usable reports whether parts under the salt may be fetched from the store. It also returns the time on the runners'
+// clock by which such a fetch must have ended, and how long the store's link is busy.
+func (c *cacheState) usable(store netip.AddrPort, salt string, now time.Time) (deadline time.Time, busy time.Duration, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.stores[store]
 	if s == nil || s.unreachable || s.reportedAt == 0 || now.Sub(s.receivedAt) > storeReportTTL || s.expiredSalts[salt] {
 		return time.Time{}, 0, false
 	}
 	return time.UnixMilli(s.reportedAt).Add(bulletin.FetchLease), max(0, s.linkBusyUntil.Sub(now)), true
 }
 
-// usableStores is how many stores may be asked now.
-func (b *cacheState) usableStores(now time.Time) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// usableStores returns the number of stores that may be used now.
+func (c *cacheState) usableStores(now time.Time) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for _, s := range b.stores {
+	for _, s := range c.stores {
 		if !s.unreachable && now.Sub(s.receivedAt) <= storeReportTTL {
 			n++
 		}
@@ -118,40 +120,40 @@
 	return n
 }
 
-// reserveLink records that a move takes the link of a store.
-func (b *cacheState) reserveLink(place netip.AddrPort, took time.Duration, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stores[place]
+// reserveLink records that a transfer takes the link of a store for the given time.
+func (c *cacheState) reserveLink(store netip.AddrPort, duration time.Duration, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.stores[store]
 	if s == nil {
 		return
 	}
 	if s.linkBusyUntil.Before(now) {
 		s.linkBusyUntil = now
 	}
-	s.linkBusyUntil = s.linkBusyUntil.Add(linkUseFactor * took)
+	s.linkBusyUntil = s.linkBusyUntil.Add(linkUseFactor * duration)
 }
 
-// isSaving reports whether a part is on its way to a store.
-func (b *cacheState) isSaving(key holdings.Key, place netip.AddrPort, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return now.Before(b.saving[saveKey{key, place}])
+// isSaving reports whether a part is being saved to a store.
+func (c *cacheState) isSaving(key holdings.Key, store netip.AddrPort, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return now.Before(c.saving[saveKey{key, store}])
 }
 
-// recordSave records that a part is on its way to a store.
-func (b *cacheState) recordSave(key holdings.Key, place netip.AddrPort, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.saving == nil {
-		b.saving = map[saveKey]time.Time{}
+// recordSave records that a part is being saved to a store.
+func (c *cacheState) recordSave(key holdings.Key, store netip.AddrPort, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.saving == nil {
+		c.saving = map[saveKey]time.Time{}
 	}
-	if len(b.saving) > saveSweepSize {
-		for k, until := range b.saving {
+	if len(c.saving) > saveSweepSize {
+		for k, until := range c.saving {
 			if now.After(until) {
-				delete(b.saving, k)
+				delete(c.saving, k)
 			}
 		}
 	}
-	b.saving[saveKey{key, place}] = now.Add(saveTimeout)
+	c.saving[saveKey{key, store}] = now.Add(saveTimeout)
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -10,13 +10,13 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// lazyFingerprint is the fingerprint of a request, worked out once for all its attempts.
+// lazyFingerprint is the fingerprint of a request, computed once for all its attempts.
 type lazyFingerprint struct {
 	once        sync.Once
 	fingerprint poison.Fingerprint
 }
 
-// fingerprint is that of the request, once its body has been read.
+// fingerprint returns the fingerprint of the request, whose body must have been read.
 func (x *exchange) fingerprint() poison.Fingerprint {
 	x.lazyFingerprint.once.Do(func() {
 		r := poison.Request{Caller: x.caller(), Method: x.call.Method, Host: x.call.Host, Target: x.call.Target, Body: x.call.Body}
@@ -25,7 +25,8 @@
 	return x.lazyFingerprint.fingerprint
 }
 
-// caller tells the request's caller apart from others: the client account, or the key that the runner is given where there is none.
+// caller identifies the request's caller: the client account, or the key that is passed to the runner if there is
+// none.
 func (x *exchange) caller() string {
 	if x.account == nil {
 		return "key " + x.wire.Key
@@ -33,7 +34,7 @@
 	return "account " + string(x.account.Name)
 }
 
-// crashCount is how many runners have ended under the request.
+// crashCount returns the number of runners that have crashed while serving the request.
 func (g *Gateway) crashCount(x *exchange) int {
 	if g.suspects.Empty() {
 		return 0
@@ -41,8 +42,8 @@
 	return g.suspects.Crashes(g.Clock.Now(), x.fingerprint())
 }
 
-// admitsSuspect decides whether a request that has come is sent to a runner at all: a repeat would end one runner after the other, with all that
-// others have there.
+// admitsSuspect decides whether a new request may be sent to a runner. Retries of a request that crashes runners would
+// end one runner after the other, along with all other requests there.
 func (g *Gateway) admitsSuspect(x *exchange) bool {
 	if g.suspects.Empty() {
 		return true
@@ -55,15 +56,18 @@
 	return verdict != poison.VerdictQuarantine
 }
 
-// isQuarantined reports that so many runners have ended under the request that it isn't sent any more, unless as a trial.
+// isQuarantined reports whether so many runners have crashed while serving the request that it must not be sent,
+// except as a trial.
 func (g *Gateway) isQuarantined(x *exchange) bool {
 	return !g.suspects.Empty() && g.suspects.Quarantined(g.Clock.Now(), x.fingerprint())
 }
 
-// mayReachCrashLimit reports that the attempt that runs may be the last that the request is allowed, so that none is made beside it.
+// mayReachCrashLimit reports whether one more crash would quarantine the request. If so, no second attempt is made
+// beside the current one.
 func (g *Gateway) mayReachCrashLimit(x *exchange) bool { return g.crashCount(x) >= poison.MaxCrashes-1 }
 
-// recordCrash holds against the request that its runner ended with it under way, and has the other entries told.
+// recordCrash records that the runner crashed while serving the request, and has the crash reported to the other
+// entries.
 func (a *attempt) recordCrash() {
 	g, x, t := a.gateway, a.exchange, a.target
 	crash := poison.Crash{
@@ -79,22 +83,23 @@
 		"generation", crash.Generation, "crashes", g.suspects.Crashes(now, crash.Request))
 }
 
-// listedRuns is how many runs of a service are listedRuns, with one that has just ended.
+// listedRuns returns the number of listed runs of a service, including one that has just ended.
 func (g *Gateway) listedRuns(service rillreach.ServiceID, ended *roster.Runner) int {
-	group := g.state.Roster.ByService(service)
-	if slices.Contains(group, ended) {
-		return len(group)
+	listed := g.state.Roster.ByService(service)
+	if slices.Contains(listed, ended) {
+		return len(listed)
 	}
-	return len(group) + 1
+	return len(listed) + 1
 }
 
-// clearSuspicion remembers that a runner has answered the request, and lifts the suspicion of those like it.
+// clearSuspicion records that a runner has answered the request, and clears the crashes of equal requests.
 func (g *Gateway) clearSuspicion(x *exchange) {
 	now := g.Clock.Now()
 	g.reportCleared(x, now, g.suspects.RecordAnswer(now, x.fingerprint()))
 }
 
-// recordProgress lifts the suspicion of a request that was answered before and now gets further than those that ended with their runners.
+// recordProgress records how much of the answer has arrived. It clears the crashes of a request that was answered
+// before and now gets further than in the runs that crashed.
 func (g *Gateway) recordProgress(x *exchange, bytes int64) {
 	if g.suspects.Empty() {
 		return
@@ -103,7 +108,7 @@
 	g.reportCleared(x, now, g.suspects.RecordProgress(now, x.fingerprint(), bytes))
 }
 
-// reportCleared has the other entries told which crashes no longer count.
+// reportCleared has the cleared crashes reported to the other entries.
 func (g *Gateway) reportCleared(x *exchange, now time.Time, cleared []poison.Crash) {
 	if len(cleared) == 0 {
 		return
@@ -113,20 +118,20 @@
 	g.Log.Info("request answered that runners had ended under", "decision", "clear", "request", x.wire.ID, "fingerprint", x.fingerprint().String(), "crashes", len(cleared))
 }
 
-// applyCrashes takes over what other entries have seen.
+// applyCrashes records crashes that other entries have observed.
 func (g *Gateway) applyCrashes(crashes []poison.Crash) {
 	if len(crashes) > 0 {
 		g.suspects.Record(g.Clock.Now(), crashes...)
 	}
 }
 
-// suspectCount is how many requests are under suspicion.
+// suspectCount returns the number of suspected requests.
 func (g *Gateway) suspectCount() float64 {
 	suspects, _ := g.suspects.Counts(g.Clock.Now())
 	return float64(suspects)
 }
 
-// quarantinedCount is how many requests are not sent to runners.
+// quarantinedCount returns the number of quarantined requests, which are not sent to runners.
 func (g *Gateway) quarantinedCount() float64 {
 	_, quarantined := g.suspects.Counts(g.Clock.Now())
 	return float64(quarantined)
