--- a/gateway/bulletins_test.go
+++ b/gateway/bulletins_test.go
@@ -11,14 +11,14 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// TestReportThatCannotBeTrue: a runner whose report makes no sense is one without a report, and still serves.
-func TestReportThatCannotBeTrue(t *testing.T) {
+// A runner with an invalid load report must be treated as one without a report, and still be used.
+func TestInvalidLoadReport(t *testing.T) {
 	now := time.Now()
 	loads := map[string]bulletin.Load{
-		"a negative number of requests":    {Running: -1},
-		"negative memory":                  {UsedTokens: -5},
-		"more memory than there can be":    {UsedTokens: 1 << 40},
-		"more unread requests than it has": {Running: 1, AwaitingFirstEvent: 2},
+		"a negative number of requests":                    {Running: -1},
+		"negative memory":                                  {UsedTokens: -5},
+		"impossibly much memory":                           {UsedTokens: 1 << 40},
+		"more requests without an event than running ones": {Running: 1, AwaitingFirstEvent: 2},
 	}
 	for name, load := range loads {
 		t.Run(name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 			assert.Equal(t, 0, choice.Index)
 		})
 	}
-	t.Run("one that makes sense counts", func(t *testing.T) {
+	t.Run("a valid report is used", func(t *testing.T) {
 		g, _ := beforeEngines(0)
 		g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s"})
 		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Load: bulletin.Load{Running: 2, AwaitingFirstEvent: 1, UsedTokens: 100}}, now)
@@ -38,8 +38,9 @@
 	})
 }
 
-// TestScheduledLoads: an agent tells on the runners' clock when its runner loads; the entry's own clock may say anything.
-func TestScheduledLoads(t *testing.T) {
+// Agents report on the runners' clock when a weight load is scheduled. The entry must not depend on its own clock to
+// agree.
+func TestScheduledWeightLoads(t *testing.T) {
 	now := time.Now()
 	viewAfter := func(b *bulletin.Bulletin) roster.View {
 		g, _ := beforeEngines(0)
@@ -48,15 +49,15 @@
 		g.applyBulletin(b, now)
 		return g.state.Roster.Find("r").View(now)
 	}
-	t.Run("a load that is told of is scheduled", func(t *testing.T) {
+	t.Run("a reported load is scheduled", func(t *testing.T) {
 		v := viewAfter(&bulletin.Bulletin{Clock: 5000, Load: bulletin.Load{WeightLoadAt: 6500}})
 		assert.True(t, v.WeightLoadScheduled)
 		assert.Equal(t, 1500*time.Millisecond, v.TimeToWeightLoad)
 	})
-	t.Run("without one none is", func(t *testing.T) {
+	t.Run("no load is reported", func(t *testing.T) {
 		assert.False(t, viewAfter(&bulletin.Bulletin{Clock: 5000}).WeightLoadScheduled)
 	})
-	t.Run("nor is it where the runners' clock is not told", func(t *testing.T) {
+	t.Run("the report lacks the runners' clock", func(t *testing.T) {
 		assert.False(t, viewAfter(&bulletin.Bulletin{Load: bulletin.Load{WeightLoadAt: 6500}}).WeightLoadScheduled)
 	})
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -14,12 +14,12 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-func TestPassingOn(t *testing.T) {
+func TestRequestForwarding(t *testing.T) {
 	runner := &site.Runner{ID: "r1"}
 	w := startWorld(t, defaultConfig(), runner)
 	defer w.stop()
 
-	t.Run("method, target and body arrive as they were sent", func(t *testing.T) {
+	t.Run("method, target and body are forwarded unchanged", func(t *testing.T) {
 		got := w.send(t, "POST", "/once/a%2Fb//c?q=%20x&&y", "hello")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
@@ -34,7 +34,7 @@
 		assert.Empty(t, run.Header.Get("Accept-Encoding"))
 		assert.Empty(t, run.Header.Get("User-Agent"))
 	})
-	t.Run("what is the system's to set is not taken from callers", func(t *testing.T) {
+	t.Run("internal headers are not accepted from callers", func(t *testing.T) {
 		w.send(t, "GET", "/repeat/x", "", "X-Rillreach-Tenant: other", "Hold: 7", "Kv-From: 1.2.3.4:1/2", "Pin-Ms: 5", "Kv-Backup: 1.2.3.4:1",
 			"Cache-Salt: s", "Connection: X-Rillreach-Model", "X-Rillreach-Model: m", "X-Plain: kept")
 		runs := runner.Runs()
@@ -46,7 +46,7 @@
 			assert.Empty(t, run.Header.Get(name), name)
 		}
 	})
-	t.Run("the runner is told what is left of the time", func(t *testing.T) {
+	t.Run("the runner gets the remaining time", func(t *testing.T) {
 		w.send(t, "GET", "/repeat/x", "", "X-Rillreach-Deadline-Ms: 90000")
 		runs := runner.Runs()
 		var left int
@@ -55,13 +55,13 @@
 		assert.LessOrEqual(t, left, 5000)
 		assert.Positive(t, left)
 	})
-	t.Run("a body in chunks arrives whole", func(t *testing.T) {
+	t.Run("a chunked body arrives complete", func(t *testing.T) {
 		got := w.send(t, "POST", "/once/c", "", "Transfer-Encoding: chunked", "", "5", "hello", "0", "")
 		assert.Equal(t, http.StatusOK, got.status)
 		runs := runner.Runs()
 		assert.Equal(t, "hello", runs[len(runs)-1].Body)
 	})
-	t.Run("a request inside another is not run", func(t *testing.T) {
+	t.Run("a request smuggled in a body is not run", func(t *testing.T) {
 		before := len(runner.Runs())
 		w.send(t, "POST", "/once/s", "GET /once/smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
 		runs := runner.Runs()
@@ -70,24 +70,24 @@
 	})
 }
 
-func TestOwnAnswers(t *testing.T) {
+func TestGatewayAnswers(t *testing.T) {
 	runner := &site.Runner{ID: "r1"}
 	w := startWorld(t, defaultConfig(), runner)
 	defer w.stop()
 
-	t.Run("no route is 404", func(t *testing.T) { assertGatewayAnswer(t, w.send(t, "GET", "/nowhere/", ""), http.StatusNotFound) })
-	t.Run("an unknown key is 401", func(t *testing.T) { assertGatewayAnswer(t, w.getWithKey(t, "other"), http.StatusUnauthorized) })
-	t.Run("a body over the limit is 413", func(t *testing.T) {
+	t.Run("no matching route: 404", func(t *testing.T) { assertGatewayAnswer(t, w.send(t, "GET", "/nowhere/", ""), http.StatusNotFound) })
+	t.Run("unknown key: 401", func(t *testing.T) { assertGatewayAnswer(t, w.getWithKey(t, "other"), http.StatusUnauthorized) })
+	t.Run("body over the limit: 413", func(t *testing.T) {
 		assertGatewayAnswer(t, w.send(t, "POST", "/once/", strings.Repeat("x", 70000)), http.StatusRequestEntityTooLarge)
 	})
-	t.Run("a key that is taken away is refused", func(t *testing.T) {
+	t.Run("a revoked key is refused", func(t *testing.T) {
 		config := defaultConfig()
 		config["version"] = 2
 		config["tenants"] = []jsonMap{{"name": "shop", "api_keys": []string{"another"}}}
 		w.store.Put("config", "main", config)
 		w.eventually(t, func() bool { return w.send(t, "GET", "/repeat/", "").status == http.StatusUnauthorized })
 	})
-	t.Run("a configuration that cannot be understood leaves the last one", func(t *testing.T) {
+	t.Run("an invalid configuration leaves the last one in force", func(t *testing.T) {
 		calls := w.store.Calls()
 		w.store.Put("config", "main", jsonMap{"version": 3, "routes": []jsonMap{{"name": "broken"}}})
 		w.eventually(t, func() bool { return w.store.Calls() > calls+1 })
@@ -95,9 +95,9 @@
 	})
 }
 
-func (w *world) getWithKey(t *testing.T, other string) answer {
+func (w *world) getWithKey(t *testing.T, key string) answer {
 	t.Helper()
-	return w.sendWithKey(t, other, "GET", "/repeat/", "")
+	return w.sendWithKey(t, key, "GET", "/repeat/", "")
 }
 
 func TestReadiness(t *testing.T) {
@@ -111,10 +111,10 @@
 	w.eventually(t, func() bool { return w.readiness(t) == http.StatusOK })
 }
 
-func TestRunnersInTrouble(t *testing.T) {
-	t.Run("a runner that refuses is replaced", func(t *testing.T) {
-		good, full := &site.Runner{ID: "good"}, &site.Runner{ID: "full", Handle: site.Refuse}
-		w := startWorld(t, defaultConfig(), good, full)
+func TestRunnerFailures(t *testing.T) {
+	t.Run("a request refused by a runner moves to another", func(t *testing.T) {
+		good, refusing := &site.Runner{ID: "good"}, &site.Runner{ID: "full", Handle: site.Refuse}
+		w := startWorld(t, defaultConfig(), good, refusing)
 		defer w.stop()
 		for range 8 {
 			got := w.send(t, "POST", "/once/x", "body")
@@ -122,73 +122,73 @@
 		}
 		assert.Len(t, good.Runs(), 8)
 	})
-	t.Run("a request that may have run once is not run again, and no promise is made", func(t *testing.T) {
-		cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-		a, b := &site.Runner{ID: "a", Handle: cut}, &site.Runner{ID: "b", Handle: cut}
+	t.Run("a non-idempotent request that may have run is not retried, and gets a 502", func(t *testing.T) {
+		closeConn := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+		a, b := &site.Runner{ID: "a", Handle: closeConn}, &site.Runner{ID: "b", Handle: closeConn}
 		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
 		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusBadGateway)
 		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 	})
-	t.Run("a repeatable request moves on once, within the route's number of runners", func(t *testing.T) {
-		cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-		a, b, c := &site.Runner{ID: "a", Handle: cut}, &site.Runner{ID: "b", Handle: cut}, &site.Runner{ID: "c", Handle: cut}
+	t.Run("an idempotent request is retried up to the max_attempts of the route", func(t *testing.T) {
+		closeConn := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+		a, b, c := &site.Runner{ID: "a", Handle: closeConn}, &site.Runner{ID: "b", Handle: closeConn}, &site.Runner{ID: "c", Handle: closeConn}
 		w := startWorld(t, defaultConfig(), a, b, c)
 		defer w.stop()
 		assertGatewayAnswer(t, w.send(t, "GET", "/repeat/x", ""), http.StatusBadGateway)
 		assert.Equal(t, 2, len(a.Runs())+len(b.Runs())+len(c.Runs()))
 	})
-	t.Run("nobody there is told at once as not run", func(t *testing.T) {
+	t.Run("without runners the request is refused at once", func(t *testing.T) {
 		w := startWorld(t, defaultConfig())
 		defer w.stop()
 		got := w.send(t, "POST", "/once/x", "body")
 		assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
 		assert.NotEmpty(t, got.header.Get("Retry-After"))
 	})
-	t.Run("a leaving runner gets nothing new", func(t *testing.T) {
-		stays, leaves := &site.Runner{ID: "stays"}, &site.Runner{ID: "leaves"}
-		w := startWorld(t, defaultConfig(), stays, leaves)
+	t.Run("a draining runner gets no new requests", func(t *testing.T) {
+		remaining, draining := &site.Runner{ID: "stays"}, &site.Runner{ID: "leaves"}
+		w := startWorld(t, defaultConfig(), remaining, draining)
 		defer w.stop()
-		w.store.Put("servers", "leaves", runnerRecord(leaves, "draining"))
+		w.store.Put("servers", "leaves", runnerRecord(draining, "draining"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("leaves").Info().Leaving })
-		before := len(leaves.Runs())
+		before := len(draining.Runs())
 		for range 6 {
 			w.send(t, "GET", "/repeat/x", "")
 		}
-		assert.Len(t, leaves.Runs(), before)
+		assert.Len(t, draining.Runs(), before)
 	})
-	t.Run("another runner at the address does not run the request", func(t *testing.T) {
-		real := &site.Runner{ID: "new"}
+	t.Run("another runner at the listed address does not run the request", func(t *testing.T) {
+		runner := &site.Runner{ID: "new"}
 		w := startWorld(t, defaultConfig())
 		defer w.stop()
-		real.Start()
-		t.Cleanup(real.Stop)
-		w.store.Put("servers", "old", runnerRecord(real, "ready"))
+		runner.Start()
+		t.Cleanup(runner.Stop)
+		w.store.Put("servers", "old", runnerRecord(runner, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Len() == 1 })
 		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
-		assert.Empty(t, real.Runs())
+		assert.Empty(t, runner.Runs())
 	})
 }
 
-func TestTimeOut(t *testing.T) {
+func TestRequestTimeout(t *testing.T) {
 	release := make(chan struct{})
-	hang := &site.Runner{ID: "hang", Handle: func(_ http.ResponseWriter, r *http.Request) {
+	hanging := &site.Runner{ID: "hang", Handle: func(_ http.ResponseWriter, r *http.Request) {
 		select {
 		case <-release:
 		case <-r.Context().Done():
 		}
 	}}
-	w := startWorld(t, defaultConfig(), hang)
+	w := startWorld(t, defaultConfig(), hanging)
 	defer w.stop()
 	defer close(release)
 	assertGatewayAnswer(t, w.send(t, "GET", "/short/x", ""), http.StatusGatewayTimeout)
 }
 
-func TestCallerLeaves(t *testing.T) {
-	left := make(chan struct{})
+func TestCallerDisconnects(t *testing.T) {
+	disconnected := make(chan struct{})
 	runner := &site.Runner{ID: "r", Handle: func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(left)
+		close(disconnected)
 	}}
 	w := startWorld(t, defaultConfig(), runner)
 	defer w.stop()
@@ -199,9 +199,9 @@
 	w.eventually(t, func() bool { return len(runner.Runs()) == 1 })
 	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(testTimeout):
-		t.Fatal("the runner still works for a caller that has left")
+		t.Fatal("the runner still serves a caller that has disconnected")
 	}
-	assert.Error(t, readAnswer(t, conn, "GET").err, "nothing that looks like an answer goes out")
+	assert.Error(t, readAnswer(t, conn, "GET").err, "the caller must get no answer")
 }
--- a/gateway/local_zone_test.go
+++ b/gateway/local_zone_test.go
@@ -13,10 +13,10 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// engineZones is in how many engineZones beforeEngines puts its engines.
+// engineZones is the number of zones across which beforeEngines spreads its engines.
 const engineZones = 3
 
-// newLocalEngines is an entry whose zone has so many engines, as the two others have.
+// newLocalEngines returns an entry whose zone has the given number of engines, as do the two other zones.
 func newLocalEngines(inZone int) (*Gateway, *exchange) {
 	g, x := beforeEngines(engineZones * inZone)
 	x.config.Services = map[rillreach.ServiceID]*deployment.Service{x.service.Name: x.service}
@@ -26,7 +26,7 @@
 }
 
 func TestLocalZone(t *testing.T) {
-	t.Run("a zone with engines enough has little told of those in others", func(t *testing.T) {
+	t.Run("with enough local engines, engines in other zones send load reports only", func(t *testing.T) {
 		g, _ := newLocalEngines(minLocalEngines)
 		sparse := 0
 		for _, w := range (&agentFollower{gateway: g}).wantedAgents(g.engineGroups()) {
@@ -36,11 +36,11 @@
 		}
 		assert.Equal(t, (engineZones-1)*minLocalEngines, sparse)
 	})
-	t.Run("a zone with fewer does not count as enough", func(t *testing.T) {
+	t.Run("fewer engines are not enough", func(t *testing.T) {
 		g, x := newLocalEngines(minLocalEngines - 1)
 		assert.False(t, g.localServices.isLocal(x.service.Name))
 	})
-	t.Run("one that loses a few goes on, and one that loses many does not", func(t *testing.T) {
+	t.Run("a zone stays local after losing a few engines, but not after losing many", func(t *testing.T) {
 		g, x := newLocalEngines(minLocalEngines)
 		for _, c := range []struct {
 			left  int
@@ -54,7 +54,7 @@
 	})
 }
 
-// runnersInZone are the runners of a zone.
+// runnersInZone returns the runners in a zone.
 func runnersInZone(group []*roster.Runner, zone rillreach.ZoneID) []*roster.Runner {
 	var all []*roster.Runner
 	for _, r := range group {
@@ -65,8 +65,8 @@
 	return all
 }
 
-// TestLittleIsHeard: what a runner held when its agent told more is forgotten.
-func TestLittleIsHeard(t *testing.T) {
+// What a runner held according to earlier full reports must be forgotten when its agent switches to load reports only.
+func TestLoadOnlyBulletinForgetsCache(t *testing.T) {
 	g, _ := newLocalEngines(1)
 	info := g.state.Roster.Find("r1").Info()
 	key := holdings.Key{Salt: "1/m", Part: "p"}
--- a/gateway/namings_test.go
+++ b/gateway/namings_test.go
@@ -11,8 +11,8 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// TestEntryStartsLongAfterNewWeights: an entry that has just started finds weights named, and not when; the agents know.
-func TestEntryStartsLongAfterNewWeights(t *testing.T) {
+// An entry that has just started does not know when the current weights were named, and must learn it from the agents.
+func TestEntryStartsAfterWeightsRollout(t *testing.T) {
 	const model = "m"
 	now := time.Now()
 	g := &Gateway{Settings: &deployment.Settings{Bounds: deployment.Bounds{WeightsRollout: 10 * time.Second}}}
@@ -20,7 +20,7 @@
 	x := &exchange{service: &deployment.Service{Engine: &deployment.Engine{}}}
 	x.wire.Prompt = &deployment.Prompt{Model: model}
 	admits := func() bool { return g.window(x, 1).Admits(now, 0) }
-	assert.True(t, admits(), "as far as it knows, they were named just now")
+	assert.True(t, admits(), "as far as the entry knows, the weights were named just now")
 	g.applyBulletin(&bulletin.Bulletin{Clock: 1_000_000, WeightsFirstSeen: []bulletin.WeightsFirstSeen{{Model: model, Version: 2, At: 1_000_000 - 9_000}}}, now)
 	assert.False(t, admits())
 }
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -17,28 +17,26 @@
 	"github.com/rillreach/rillreach/poison"
 )
 
-// One request ended each runner that began it, and its caller sent it again and again, to any entry. Runners were replaced within seconds, and
-// 15 of 18 ended in twelve seconds, each with all that it was answering: other callers saw streams cut and answers of 502.
-//
-// An entry kept nothing of a request once it was answered, and told no other entry of it, so that each repeat was a new request to it. The
-// closed connection was held against the runner, which was left alone for 0.3 s, and the repeat was sent to one that was still sound. For each of
-// the ended runners an entry logged "runner chosen attempt=1", "attempt failed cause=unexpected EOF avoidedFor=300ms" and "request given up
-// sends=1"; before twelve runners of one service, twelve repeats end twelve, at one entry as at two.
+// These tests guard against a request that crashes every runner that starts it, and that its caller retries at any
+// entry. If entries keep no record of crashes and do not share it, each retry is a new request to them and is sent to
+// another healthy runner: with twelve runners, twelve retries crash all of them, along with the other requests there.
+// Within twelve seconds, such a request can crash 15 of 18 runners.
 
 const (
-	// maxCrashes is how many runners a request may end before it is held back.
+	// maxCrashes is the number of runners that a request may crash before it is quarantined.
 	maxCrashes = 3
-	// propagationTime is within which time all entries know that, and mostLate how many sends of it may reach runners after that.
+	// propagationTime is how soon all entries must know of the quarantine. maxLateCrashes is how many runners may
+	// crash after that.
 	propagationTime = 3 * time.Second
 	maxLateCrashes  = 3
-	// fatalPath is the path under which a request ends the runner that begins it.
+	// fatalPath marks requests that crash the runner that starts them.
 	fatalPath = "fatal"
 )
 
-// repeats is how often a fatal request comes where there are more runners than it may end.
+// repeats is how often a fatal request is sent, and the number of runners.
 const repeats = 12
 
-func TestRequestThatEndsRunners(t *testing.T) {
+func TestRequestCrashesRunners(t *testing.T) {
 	for _, path := range []string{"/repeat/", "/once/", "/stream/", "/flow/"} {
 		t.Run("at one entry, on the route "+path, func(t *testing.T) {
 			var crashed crashLog
@@ -46,12 +44,12 @@
 			defer w.stop()
 			for range repeats {
 				w.send(t, "POST", path+fatalPath, "body")
-				assert.Equal(t, http.StatusOK, w.send(t, "POST", path+"x", "body").status, "others are served")
+				assert.Equal(t, http.StatusOK, w.send(t, "POST", path+"x", "body").status, "other requests are served")
 			}
 			assert.LessOrEqual(t, len(crashed.times()), maxCrashes)
 		})
 	}
-	t.Run("what is held back gets its last answer, which promises nothing", func(t *testing.T) {
+	t.Run("a quarantined request gets a 502 without Retry-After", func(t *testing.T) {
 		var crashed crashLog
 		w := startWorld(t, defaultConfig(), crashed.runners(repeats)...)
 		defer w.stop()
@@ -62,28 +60,28 @@
 		assertGatewayAnswer(t, got, http.StatusBadGateway)
 		assert.Empty(t, got.header.Get("Retry-After"))
 	})
-	t.Run("at two entries in turn", func(t *testing.T) {
+	t.Run("at two entries alternately", func(t *testing.T) {
 		var crashed crashLog
 		s := startSharedSite(t, crashed.runners(5*repeats)...)
 		one, two := s.startEntry(t, "entry-1"), s.startEntry(t, "entry-2")
-		pace := time.NewTicker(propagationTime / 40)
-		defer pace.Stop()
-		for begun := time.Now(); time.Since(begun) < propagationTime+time.Second; <-pace.C {
+		ticker := time.NewTicker(propagationTime / 40)
+		defer ticker.Stop()
+		for start := time.Now(); time.Since(start) < propagationTime+time.Second; <-ticker.C {
 			one.send(t, "POST", "/once/"+fatalPath, "body")
 			one, two = two, one
 		}
-		assert.LessOrEqual(t, crashed.countLate(), maxLateCrashes, "%d ended in all", len(crashed.times()))
+		assert.LessOrEqual(t, crashed.countLate(), maxLateCrashes, "%d crashed in total", len(crashed.times()))
 	})
-	t.Run("a runner that closes its connections and goes on is no ground to hold a request back", func(t *testing.T) {
-		cut := &site.Runner{ID: "cut", Handle: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }}
-		w := startWorld(t, defaultConfig(), cut)
+	t.Run("a runner that closes connections but keeps running does not quarantine a request", func(t *testing.T) {
+		closing := &site.Runner{ID: "cut", Handle: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }}
+		w := startWorld(t, defaultConfig(), closing)
 		defer w.stop()
 		for range repeats {
 			assert.Equal(t, http.StatusBadGateway, w.send(t, "POST", "/once/x", "body").status)
 		}
-		assert.Len(t, cut.Runs(), repeats)
+		assert.Len(t, closing.Runs(), repeats)
 	})
-	t.Run("a runner that has announced its end is none, either", func(t *testing.T) {
+	t.Run("a runner that has announced to leave does not make a request suspect", func(t *testing.T) {
 		var crashed crashLog
 		runners := crashed.runners(repeats)
 		w := startWorld(t, defaultConfig(), runners...)
@@ -105,7 +103,7 @@
 		<-leaving
 		assert.True(t, w.gateway.suspects.Empty())
 	})
-	t.Run("a request that a runner answers is no longer suspected", func(t *testing.T) {
+	t.Run("a request that a runner answers is no longer suspect", func(t *testing.T) {
 		var crashed crashLog
 		w := startWorld(t, defaultConfig(), append(crashed.runners(1), &site.Runner{ID: "sound"})...)
 		defer w.stop()
@@ -116,7 +114,7 @@
 		suspects, _ := w.gateway.suspects.Counts(w.gateway.Clock.Now())
 		assert.Zero(t, suspects)
 	})
-	t.Run("other callers are served the same path and body", func(t *testing.T) {
+	t.Run("the same request of another client account is not quarantined", func(t *testing.T) {
 		var crashed crashLog
 		w := startWorld(t, configWithTwoAccounts(), crashed.runners(repeats)...)
 		defer w.stop()
@@ -129,8 +127,8 @@
 	})
 }
 
-// TestCrashesAreTold: what one entry sees of a request, the others know, and those that start later.
-func TestCrashesAreTold(t *testing.T) {
+// The crashes that one entry observes must be known to the others, and to entries that start later.
+func TestCrashesReachOtherEntries(t *testing.T) {
 	var crashed crashLog
 	s := startSharedSite(t, crashed.runners(repeats)...)
 	one, two := s.startEntry(t, "entry-1"), s.startEntry(t, "entry-2")
@@ -146,24 +144,24 @@
 		assertGatewayAnswer(t, w.send(t, "POST", "/once/"+fatalPath, "body"), http.StatusBadGateway)
 		assert.Len(t, crashed.times(), maxCrashes)
 	}
-	t.Run("another entry holds the request back", func(t *testing.T) { assertRefused(t, two) })
-	t.Run("one that starts later does", func(t *testing.T) { assertRefused(t, s.startEntry(t, "entry-3")) })
-	t.Run("one that starts later does, though the agent has started anew", func(t *testing.T) {
+	t.Run("another entry refuses the request", func(t *testing.T) { assertRefused(t, two) })
+	t.Run("an entry that starts later refuses it", func(t *testing.T) { assertRefused(t, s.startEntry(t, "entry-3")) })
+	t.Run("an entry that starts after a restart of the agent refuses it", func(t *testing.T) {
 		s.restartAgent(t)
 		assertRefused(t, s.startEntry(t, "entry-4"))
 	})
 }
 
-// TestSuspectIsNotAskedTwiceAtOnce: where one more end would hold a request back, no second attempt is made beside a silent first.
-func TestSuspectIsNotAskedTwiceAtOnce(t *testing.T) {
+// If one more crash would quarantine a request, no second attempt must be made while the first is silent.
+func TestSuspectIsNotHedged(t *testing.T) {
 	for crashes, attempts := range map[int]int{0: 2, 1: 2, 2: 1} {
 		t.Run(fmt.Sprint("after ", crashes, " crashes"), func(t *testing.T) {
 			release := make(chan struct{})
-			hang := func(w http.ResponseWriter, req *http.Request) {
+			waitForRelease := func(w http.ResponseWriter, req *http.Request) {
 				<-release
 				site.Answer(w, req, "late")
 			}
-			a, b := &site.Runner{ID: "a", Handle: hang}, &site.Runner{ID: "b", Handle: hang}
+			a, b := &site.Runner{ID: "a", Handle: waitForRelease}, &site.Runner{ID: "b", Handle: waitForRelease}
 			w := startWorld(t, defaultConfig(), a, b)
 			defer w.stop()
 			suspected := poison.Request{Caller: "account shop", Method: "GET", Host: host, Target: "/repeat/x"}
@@ -177,10 +175,11 @@
 	}
 }
 
-// All runners of a service ended at once, for a reason of their own, and each was answering the same popular request, which had been answered
-// thousands of times before. Three ends without an answer in between look like those of a request that ends its runners, and since nothing is
-// sent that is held back, no answer could lift the suspicion: callers got 502 for ten minutes, with sound runners back after one second.
-func TestPopularRequestOutlivesAnOutage(t *testing.T) {
+// All runners of a service crash at once, for a reason of their own, while each of them serves the same popular
+// request, which runners have answered before. These crashes look like those of a request that crashes its runners. If
+// the entry does not recognize the outage, it quarantines the request, and callers get 502 for ten minutes although
+// the runners are back after a second: a quarantined request is not sent, so no answer can clear it.
+func TestOutageQuarantinesPopularRequest(t *testing.T) {
 	started, fail := make(chan struct{}, maxCrashes), make(chan struct{})
 	w := startWorld(t, defaultConfig(), newRunnersFailingTogether(started, fail)...)
 	defer w.stop()
@@ -188,16 +187,17 @@
 	assertAnsweredAfterOutage(t, w, started, fail)
 }
 
-// The same outage came over a request of which none had been answered yet: nothing tells it from one that ends each runner that begins it, and
-// it is refused for ten minutes.
-func TestNewRequestOutlivesAnOutage(t *testing.T) {
+// The same outage, while the runners serve a request that none has answered before. Nothing tells it from a request
+// that crashes its runners, so only a trial can clear it before the ten minutes are over.
+func TestOutageQuarantinesNewRequest(t *testing.T) {
 	started, fail := make(chan struct{}, maxCrashes), make(chan struct{})
 	w := startWorld(t, defaultConfig(), newRunnersFailingTogether(started, fail)...)
 	defer w.stop()
 	assertAnsweredAfterOutage(t, w, started, fail)
 }
 
-// newRunnersFailingTogether are runners that say when they begin a popular request, and end together.
+// newRunnersFailingTogether returns runners that report on the channel when they start a popular request, and crash
+// together.
 func newRunnersFailingTogether(started chan<- struct{}, fail <-chan struct{}) []*site.Runner {
 	var runners []*site.Runner
 	for i := range maxCrashes {
@@ -221,7 +221,8 @@
 	return runners
 }
 
-// assertAnsweredAfterOutage has all runners end under the request, and asserts that one that starts then answers it.
+// assertAnsweredAfterOutage crashes all runners while they serve the request, and asserts that a runner that starts
+// afterwards gets to answer it.
 func assertAnsweredAfterOutage(t *testing.T, w *world, started <-chan struct{}, fail chan struct{}) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -232,11 +233,11 @@
 	close(fail)
 	wg.Wait()
 	_, quarantined := w.gateway.suspects.Counts(w.gateway.Clock.Now())
-	require.Equal(t, 1, quarantined, "all three were answering it")
+	require.Equal(t, 1, quarantined, "all three runners were serving it")
 	sound := &site.Runner{ID: "sound"}
 	sound.Start()
 	t.Cleanup(sound.Stop)
 	w.store.Put("servers", sound.ID, runnerRecord(sound, "ready"))
 	w.eventually(t, func() bool { return w.send(t, "POST", "/once/popular", "body").status == http.StatusOK })
-	assert.Equal(t, http.StatusOK, w.send(t, "POST", "/once/popular", "body").status, "an answer lifts the suspicion")
+	assert.Equal(t, http.StatusOK, w.send(t, "POST", "/once/popular", "body").status, "an answer clears the request")
 }
--- a/gateway/poison_world_test.go
+++ b/gateway/poison_world_test.go
@@ -22,13 +22,13 @@
 	"github.com/rillreach/rillreach/sidecar"
 )
 
-// crashLog counts the sends of fatal requests, and the runners that they end.
+// crashLog records the crashes of runners caused by fatal requests.
 type crashLog struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
-// runners are runners that end with fatal requests.
+// runners returns runners that crash when they get a fatal request.
 func (l *crashLog) runners(n int) []*site.Runner {
 	var runners []*site.Runner
 	for i := range n {
@@ -53,14 +53,14 @@
 	l.at = append(l.at, time.Now())
 }
 
-// times are the moments at which runners times.
+// times returns the times of the crashes.
 func (l *crashLog) times() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]time.Time(nil), l.at...)
 }
 
-// countLate is how many runners ended later than the bound after the last that may.
+// countLate returns the number of crashes later than propagationTime after the last permitted one.
 func (l *crashLog) countLate() int {
 	all, n := l.times(), 0
 	for _, at := range all {
@@ -71,7 +71,8 @@
 	return n
 }
 
-// sharedSite is a site with several entries, which follow the agent of one engine and serve requests by other runners.
+// sharedSite is a test environment for several entries. They follow the agent of one engine, and forward requests to
+// other runners.
 type sharedSite struct {
 	store  *site.Store
 	server *httptest.Server
@@ -80,7 +81,7 @@
 	stop   func()
 }
 
-// startSharedSite starts a site without entries.
+// startSharedSite starts the site without entries.
 func startSharedSite(t *testing.T, runners ...*site.Runner) *sharedSite {
 	t.Helper()
 	s := &sharedSite{store: site.NewStore(), engine: &site.Engine{Model: site.Model, Version: 1}}
@@ -105,14 +106,14 @@
 	return s
 }
 
-// engineServiceConfig is the service of the site's engine.
+// engineServiceConfig returns the configuration of the engine's service.
 func engineServiceConfig() jsonMap {
 	return jsonMap{
 		"name": "e", "engine": jsonMap{"slots": 64, "kv_capacity_tokens": 40000, "kv_token_bytes": 18432, "link_mbps": 130000, "models": []jsonMap{{"name": site.Model}}},
 	}
 }
 
-// startEntry starts an startEntry, and waits until it serves and hears the agent.
+// startEntry starts an entry, and waits until it is ready and has a report of the agent.
 func (s *sharedSite) startEntry(t *testing.T, name string) *world {
 	t.Helper()
 	w := startWithSettings(t, s.store, func(settings *deployment.Settings) {
@@ -148,7 +149,7 @@
 	})
 }
 
-// restartAgent ends the agent, and starts another at its address, which knows nothing.
+// restartAgent replaces the agent by a new one at the same address, which has no state.
 func (s *sharedSite) restartAgent(t *testing.T) {
 	t.Helper()
 	s.stop()
@@ -157,17 +158,17 @@
 	s.startAgent(t, l)
 }
 
-// otherKey is that of a second client account.
+// otherKey is the API key of a second client account.
 const otherKey = "key-of-other"
 
-// configWithTwoAccounts is the configuration with a second client account.
+// configWithTwoAccounts returns the default configuration with a second client account.
 func configWithTwoAccounts() jsonMap {
 	config := defaultConfig()
 	config["tenants"] = append(config["tenants"].([]jsonMap), jsonMap{"name": "other", "api_keys": []string{otherKey}})
 	return config
 }
 
-// sendWithKey sends one request with a key.
+// sendWithKey sends a request with the given API key and reads the answer.
 func (w *world) sendWithKey(t *testing.T, key, method, target, body string) answer {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.callerAddress)
--- a/gateway/records_test.go
+++ b/gateway/records_test.go
@@ -9,18 +9,18 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// foreignRecords are records of another writer, some of which name the runner's address.
+// foreignRecords returns invalid records as other software may write them, some of them with the runner's address.
 func foreignRecords(r *site.Runner) map[string]any {
-	without := runnerRecord(r, "ready")
-	delete(without, "slots")
+	withoutSlots := runnerRecord(r, "ready")
+	delete(withoutSlots, "slots")
 	unknownService := runnerRecord(r, "ready")
 	unknownService["service"] = "another"
-	return map[string]any{"0": 7, "a0": without, "b0": runnerRecord(r, "resting"), "c0": unknownService, "z": nil, "zz": "text", "": map[string]any{}}
+	return map[string]any{"0": 7, "a0": withoutSlots, "b0": runnerRecord(r, "resting"), "c0": unknownService, "z": nil, "zz": "text", "": map[string]any{}}
 }
 
 func TestRecordsOfOtherWriters(t *testing.T) {
-	good, turns := &site.Runner{ID: "good"}, &site.Runner{ID: "turns"}
-	w := startWorld(t, defaultConfig(), good, turns)
+	good, changing := &site.Runner{ID: "good"}, &site.Runner{ID: "turns"}
+	w := startWorld(t, defaultConfig(), good, changing)
 	defer w.stop()
 	used := func() int { return len(w.gateway.state.Roster.ByService("plain")) }
 	assertServed := func(t *testing.T) {
@@ -29,31 +29,31 @@
 			assert.Equal(t, http.StatusOK, w.send(t, "POST", "/once/x", "body").status)
 		}
 	}
-	t.Run("the others serve where the store holds records that name no runner", func(t *testing.T) {
+	t.Run("valid runners are used beside invalid records", func(t *testing.T) {
 		for name, spec := range foreignRecords(good) {
 			w.store.Put("servers", name, spec)
 		}
-		last := w.store.Put("servers", "turns", runnerRecord(turns, "ready"))
+		last := w.store.Put("servers", "turns", runnerRecord(changing, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("turns").Info().Revision.Number == last })
 		assert.Equal(t, 2, used())
 		assertServed(t)
 	})
-	t.Run("a runner whose record turns bad gets nothing", func(t *testing.T) {
+	t.Run("a runner whose record becomes invalid gets no requests", func(t *testing.T) {
 		w.store.Put("servers", "turns", map[string]any{"service": "plain"})
 		w.eventually(t, func() bool { return used() == 1 })
-		before := len(turns.Runs())
+		before := len(changing.Runs())
 		assertServed(t)
-		assert.Len(t, turns.Runs(), before)
+		assert.Len(t, changing.Runs(), before)
 	})
-	t.Run("it gets requests again once its record is good", func(t *testing.T) {
-		w.store.Put("servers", "turns", runnerRecord(turns, "ready"))
+	t.Run("the runner gets requests again once its record is valid", func(t *testing.T) {
+		w.store.Put("servers", "turns", runnerRecord(changing, "ready"))
 		w.eventually(t, func() bool { return used() == 2 })
-		before := len(turns.Runs())
+		before := len(changing.Runs())
 		w.eventually(t, func() bool {
-			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(turns.Runs()) > before
+			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(changing.Runs()) > before
 		})
 	})
-	t.Run("one that stands under a second key serves under its own", func(t *testing.T) {
+	t.Run("a runner that is also listed under a second key is used under its own", func(t *testing.T) {
 		w.store.Put("servers", "copy", runnerRecord(good, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("copy") != nil })
 		before := len(good.Runs())
@@ -64,7 +64,7 @@
 		w.store.Remove("servers", "copy")
 		w.eventually(t, func() bool { return used() == 2 })
 	})
-	t.Run("a list that holds such records gives the others", func(t *testing.T) {
+	t.Run("a list with invalid records yields the valid ones", func(t *testing.T) {
 		w.store.Forget()
 		last := w.store.Put("servers", "good", runnerRecord(good, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("good").Info().Revision.Number == last })
--- a/gateway/restored_store_test.go
+++ b/gateway/restored_store_test.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// applyWithin is how soon after its acknowledgement a change is in force.
+	// applyWithin is how soon after its acknowledgement a change must be in force.
 	applyWithin = 2 * time.Second
-	// observeRestoredFor is how long it is looked whether a copy takes something back.
-	observeRestoredFor = 500 * time.Millisecond
+	// revertCheckTime is how long tests check that a restore reverts nothing.
+	revertCheckTime = 500 * time.Millisecond
 )
 
-// restoredConfig is a version of the configuration with a route of its own.
+// restoredConfig returns a version of the configuration, with a route that only this version has.
 func restoredConfig(version int) jsonMap {
 	return configWithRoutes(version, routeConfig("repeat", "idempotent", "plain", nil), routeConfig("added-"+string(rune('a'+version)), "idempotent", "plain", nil))
 }
 
-// startBeforeRestore is an entry that knows version 3 of the configuration and of the weights, and a copy that has version 1 of both; written is how many
-// other changes the store has had between.
-func startBeforeRestore(t *testing.T, written int) (*world, site.Copy) {
+// startBeforeRestore returns an entry that knows version 3 of the configuration and the weights, and a copy of the
+// store with version 1 of both. In between the store has had the given number of other writes.
+func startBeforeRestore(t *testing.T, otherWrites int) (*world, site.Copy) {
 	t.Helper()
 	w := startWorld(t, restoredConfig(1), &site.Runner{ID: "r"})
 	t.Cleanup(w.stop)
 	w.store.Put("versions", site.Model, site.WeightsOf(1))
 	w.awaitVersions(t, 1, 1)
 	older := w.store.Copy()
-	for range written {
+	for range otherWrites {
 		w.store.Put("notes", "n", 1)
 	}
 	w.store.Put("config", "main", restoredConfig(3))
@@ -61,8 +61,9 @@
 	return named.Version
 }
 
-// A change that the store acknowledges after it has come back from a copy is in force as soon as any other, and the copy takes nothing back.
-func TestChangeIsMissedAfterTheStoreWasRestored(t *testing.T) {
+// A change that is acknowledged after the store was restored from an older copy must be in force as soon as any other,
+// and the restore itself must revert nothing.
+func TestChangeMissedAfterStoreRestore(t *testing.T) {
 	write := func(w *world) {
 		w.store.Put("config", "main", restoredConfig(3))
 		w.store.Put("config", "main", restoredConfig(4))
@@ -73,13 +74,13 @@
 		write(w)
 		w.awaitVersions(t, 4, 4)
 	}
-	t.Run("its revisions stay below those of before", func(t *testing.T) {
+	t.Run("revisions stay below those before the restore", func(t *testing.T) {
 		w, older := startBeforeRestore(t, 20)
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return w.configVersion() < 3 || w.weightsVersion() < 3 }, observeRestoredFor, 10*time.Millisecond, "the copy took a version back")
+		assert.Never(t, func() bool { return w.configVersion() < 3 || w.weightsVersion() < 3 }, revertCheckTime, 10*time.Millisecond, "the restore reverted a version")
 		assertChanges(t, w)
 	})
-	t.Run("its revisions pass those of before, before anybody asks", func(t *testing.T) {
+	t.Run("revisions pass those before the restore while the store is unreachable", func(t *testing.T) {
 		w, older := startBeforeRestore(t, 20)
 		w.store.Fail(http.StatusServiceUnavailable)
 		w.store.Restore(older)
@@ -90,7 +91,7 @@
 		w.store.Fail(0)
 		w.awaitVersions(t, 4, 4)
 	})
-	t.Run("it was away before", func(t *testing.T) {
+	t.Run("the store was unreachable before", func(t *testing.T) {
 		w, older := startBeforeRestore(t, 20)
 		w.store.Fail(http.StatusServiceUnavailable)
 		time.Sleep(300 * time.Millisecond)
@@ -98,25 +99,25 @@
 		w.store.Fail(0)
 		assertChanges(t, w)
 	})
-	t.Run("twice in a row", func(t *testing.T) {
+	t.Run("the store is restored twice", func(t *testing.T) {
 		w, older := startBeforeRestore(t, 20)
 		w.store.Restore(older)
-		time.Sleep(observeRestoredFor)
+		time.Sleep(revertCheckTime)
 		w.store.Restore(older)
 		assertChanges(t, w)
 	})
-	t.Run("the era is missing in some answers", func(t *testing.T) {
+	t.Run("some answers lack the era", func(t *testing.T) {
 		w, older := startBeforeRestore(t, 20)
 		w.store.Restore(older)
-		time.Sleep(observeRestoredFor)
+		time.Sleep(revertCheckTime)
 		w.store.HideEra(true)
 		assertChanges(t, w)
 	})
 }
 
-// What was known of runners and zones is not taken back by a copy that is older.
-func TestRestoredStoreTakesBack(t *testing.T) {
-	t.Run("a leaving", func(t *testing.T) {
+// A restore of the store from an older copy must not revert what the entry knows of runners and zones.
+func TestStoreRestoreRevertsState(t *testing.T) {
+	t.Run("a runner that is draining", func(t *testing.T) {
 		r := &site.Runner{ID: "r"}
 		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
@@ -125,18 +126,18 @@
 		leaving := func() bool { return w.gateway.state.Roster.Find("r").View(time.Now()).Leaving }
 		w.eventually(t, leaving)
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return !leaving() }, observeRestoredFor, 10*time.Millisecond)
+		assert.Never(t, func() bool { return !leaving() }, revertCheckTime, 10*time.Millisecond)
 	})
-	t.Run("a removal", func(t *testing.T) {
+	t.Run("a removed runner", func(t *testing.T) {
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"}, &site.Runner{ID: "other"})
 		defer w.stop()
 		older := w.store.Copy()
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return w.gateway.state.Roster.Find("r") != nil }, observeRestoredFor, 10*time.Millisecond)
+		assert.Never(t, func() bool { return w.gateway.state.Roster.Find("r") != nil }, revertCheckTime, 10*time.Millisecond)
 	})
-	t.Run("a removal, of a runner that writes its record again", func(t *testing.T) {
+	t.Run("a removed runner that writes its record again", func(t *testing.T) {
 		r := &site.Runner{ID: "r"}
 		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
@@ -144,11 +145,11 @@
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
 		w.store.Restore(older)
-		time.Sleep(observeRestoredFor)
+		time.Sleep(revertCheckTime)
 		w.store.Put("servers", "r", runnerRecord(r, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") != nil })
 	})
-	t.Run("a runner that the copy doesn't have", func(t *testing.T) {
+	t.Run("a runner that is missing in the copy", func(t *testing.T) {
 		late := &site.Runner{ID: "late"}
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"})
 		defer w.stop()
@@ -159,12 +160,12 @@
 		listed := func() bool { return w.gateway.state.Roster.Find("late") != nil }
 		w.eventually(t, listed)
 		w.store.Restore(older)
-		assert.Never(t, func() bool { return !listed() }, observeRestoredFor, 10*time.Millisecond)
+		assert.Never(t, func() bool { return !listed() }, revertCheckTime, 10*time.Millisecond)
 		w.store.Put("servers", "late", runnerRecord(late, "ready"))
 		time.Sleep(applyWithin)
-		assert.True(t, listed(), "it has written its record again in time")
+		assert.True(t, listed(), "its record was written again in time")
 	})
-	for name, begun := range map[string]bool{"an evacuation that was begun": true, "an evacuation that was lifted": false} {
+	for name, started := range map[string]bool{"a started evacuation": true, "an ended evacuation": false} {
 		t.Run(name, func(t *testing.T) {
 			store := site.NewStore()
 			store.Put("config", "main", defaultConfig())
@@ -180,14 +181,14 @@
 				}
 				w.eventually(t, func() bool { return evacuated() == evacuate })
 			}
-			if !begun {
+			if !started {
 				change(true)
 			}
 			older := w.store.Copy()
-			change(begun)
+			change(started)
 			w.store.Restore(older)
-			require.Never(t, func() bool { return evacuated() != begun }, observeRestoredFor, 10*time.Millisecond)
-			if begun {
+			require.Never(t, func() bool { return evacuated() != started }, revertCheckTime, 10*time.Millisecond)
+			if started {
 				change(true)
 			}
 			change(false)
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -18,10 +18,11 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// shortGrace is a grace under which a stop ends soon after callers may be expected to have noticed it.
+// shortGrace is a grace period that ends soon after the time in which callers cannot know of the shutdown.
 const shortGrace = 5 * time.Second
 
-// slowEvents streams an event each tenth of a second for the time, and an end that tells a whole stream from a cut one.
+// slowEvents streams an event every 100 ms for the given time, and a final event by which a complete stream is
+// recognized.
 func slowEvents(length time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		site.Seal(w, r)
@@ -39,8 +40,9 @@
 	}
 }
 
-// startForShutdown starts an entry with a runner and the grace; stopping is the time of the stop's signal.
-func startForShutdown(t *testing.T, handle http.HandlerFunc) (w *world, runner *site.Runner, stopping func() time.Time) {
+// startForShutdown starts an entry with one runner and the short grace period. The returned function starts the
+// shutdown and returns when it did.
+func startForShutdown(t *testing.T, handle http.HandlerFunc) (w *world, runner *site.Runner, shutDown func() time.Time) {
 	t.Helper()
 	runner = &site.Runner{ID: "r1", Handle: handle}
 	w = startWorld(t, defaultConfig(), runner)
@@ -53,7 +55,7 @@
 	}
 }
 
-// sendGet sends a request on the connection, and returns once the entry has it.
+// sendGet sends a GET request on the connection.
 func (w *world) sendGet(t *testing.T, conn net.Conn, path string, header ...string) {
 	t.Helper()
 	lines := append([]string{"GET " + path + " HTTP/1.1", "Host: " + host, "X-Rillreach-Attempt-Id: a1", "Authorization: Bearer " + key}, header...)
@@ -64,26 +66,27 @@
 func (w *world) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.callerAddress)
-	require.NoError(t, err, "the entry lives, and takes no connection")
+	require.NoError(t, err, "a running entry does not accept connections")
 	t.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
-// assertNotCut holds an answer against the promise that a stop cuts nothing: it is whole, or it says that the request has not run.
+// assertNotCut asserts that the shutdown has not cut off an answer: it is complete, or it says that the request has
+// not run.
 func assertNotCut(t *testing.T, got answer, runs int) {
 	t.Helper()
-	require.NoError(t, got.err, "the answer was cut")
+	require.NoError(t, got.err, "the answer was cut off")
 	if got.status == http.StatusServiceUnavailable {
 		assert.NotEmpty(t, got.header.Get("Retry-After"))
-		assert.Zero(t, runs, "refused as not run, and it ran")
+		assert.Zero(t, runs, "refused as not run, but it ran")
 		return
 	}
 	assert.Equal(t, http.StatusOK, got.status)
 	assert.Contains(t, got.body, "data: end")
 }
 
-func TestStop(t *testing.T) {
-	t.Run("a stream that is taken late and cannot end in time is not cut", func(t *testing.T) {
+func TestShutdown(t *testing.T) {
+	t.Run("a late stream that cannot end in time is not cut off", func(t *testing.T) {
 		t.Parallel()
 		w, runner, stop := startForShutdown(t, slowEvents(2*time.Second))
 		signalled := stop()
@@ -91,7 +94,7 @@
 		got := w.send(t, "GET", "/stream/x", "")
 		assertNotCut(t, got, len(runner.Runs()))
 	})
-	t.Run("connections are taken for as long as the process lives", func(t *testing.T) {
+	t.Run("connections are accepted for as long as the process lives", func(t *testing.T) {
 		t.Parallel()
 		w, runner, stop := startForShutdown(t, slowEvents(3700*time.Millisecond))
 		old := w.dial(t)
@@ -103,10 +106,10 @@
 		require.NoError(t, got.err)
 		assert.True(t, got.closes)
 		whole := readAnswer(t, old, "GET")
-		require.NoError(t, whole.err, "a stream from before the stop goes on to its end")
+		require.NoError(t, whole.err, "a stream from before the shutdown is completed")
 		assert.Contains(t, whole.body, "data: end")
 	})
-	t.Run("what has no answer yet at the end gets one", func(t *testing.T) {
+	t.Run("a request without an answer at the deadline gets one", func(t *testing.T) {
 		t.Parallel()
 		w, runner, stop := startForShutdown(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		conn := w.dial(t)
@@ -115,28 +118,29 @@
 		stop()
 		assertGatewayAnswer(t, readAnswer(t, conn, "GET"), http.StatusBadGateway)
 	})
-	t.Run("an open connection is served on, and told to close", func(t *testing.T) {
+	t.Run("an open connection is still served, and told to close", func(t *testing.T) {
 		t.Parallel()
 		w, _, stop := startForShutdown(t, nil)
 		conn := w.dial(t)
 		w.sendGet(t, conn, "/repeat/x")
-		first := bufio.NewReader(conn)
-		resp, err := http.ReadResponse(first, nil)
+		reader := bufio.NewReader(conn)
+		resp, err := http.ReadResponse(reader, nil)
 		require.NoError(t, err)
 		_, err = io.Copy(io.Discard, resp.Body)
 		require.NoError(t, err)
 		assert.False(t, resp.Close)
 		stop()
 		w.sendGet(t, conn, "/repeat/y")
-		resp, err = http.ReadResponse(first, nil)
+		resp, err = http.ReadResponse(reader, nil)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
 		assert.True(t, resp.Close)
 	})
 }
 
-// startPastNoticePeriod starts an entry whose streams usually take a time, and has it stop for so long that callers could know of it.
-func startPastNoticePeriod(t *testing.T, usual time.Duration, runners ...*site.Runner) *world {
+// startPastNoticePeriod starts an entry whose streams usually take the given time, and shuts it down. It returns once
+// callers may know of the shutdown.
+func startPastNoticePeriod(t *testing.T, typicalDuration time.Duration, runners ...*site.Runner) *world {
 	t.Helper()
 	config := configWithRoutes(
 		1,
@@ -146,8 +150,8 @@
 	w := startWorld(t, config, runners...)
 	t.Cleanup(w.stop)
 	for range 40 {
-		w.gateway.answerTimes.add("stream", usual)
-		w.gateway.answerTimes.add("flow", usual)
+		w.gateway.answerTimes.add("stream", typicalDuration)
+		w.gateway.answerTimes.add("flow", typicalDuration)
 	}
 	w.stop()
 	w.eventually(t, w.gateway.shuttingDown.Load)
@@ -155,8 +159,8 @@
 	return w
 }
 
-func TestStreamsTakenLate(t *testing.T) {
-	t.Run("one that likely ends in time comes whole, under its runner's seal", func(t *testing.T) {
+func TestStreamsBufferedDuringShutdown(t *testing.T) {
+	t.Run("a stream that likely ends in time is sent complete, with its runner's seal", func(t *testing.T) {
 		t.Parallel()
 		w := startPastNoticePeriod(t, 300*time.Millisecond, &site.Runner{ID: "a", Handle: slowEvents(300 * time.Millisecond)})
 		got := w.send(t, "GET", "/flow/x", "")
@@ -166,7 +170,7 @@
 		assert.NotEmpty(t, got.header.Get("X-Rillreach-Response-Seal"))
 		assert.NotEmpty(t, got.header.Get("Content-Length"))
 	})
-	t.Run("one that breaks and may run again begins anew elsewhere, nothing doubled", func(t *testing.T) {
+	t.Run("a resumable stream that breaks off restarts elsewhere without duplicate events", func(t *testing.T) {
 		t.Parallel()
 		var runs atomic.Int64
 		breaksOnce := func(w http.ResponseWriter, r *http.Request) {
@@ -181,25 +185,25 @@
 		require.NoError(t, got.err)
 		assert.Equal(t, eventsUpTo(9), got.body)
 	})
-	t.Run("one that breaks and may run once gets an answer that promises nothing", func(t *testing.T) {
+	t.Run("a non-resumable stream that breaks off gets a 502", func(t *testing.T) {
 		t.Parallel()
 		a, b := &site.Runner{ID: "a", Handle: cutAfterEvents(4)}, &site.Runner{ID: "b", Handle: cutAfterEvents(4)}
 		w := startPastNoticePeriod(t, 300*time.Millisecond, a, b)
 		assertGatewayAnswer(t, w.send(t, "GET", "/flow/x", ""), http.StatusBadGateway)
 		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 	})
-	t.Run("one that likely takes longer than its caller stays without a word is refused", func(t *testing.T) {
+	t.Run("a stream that likely takes longer than its caller's idle timeout is refused", func(t *testing.T) {
 		t.Parallel()
 		a := &site.Runner{ID: "a"}
-		w := startPastNoticePeriod(t, 3*time.Second, a) // callers leave after 2.4 s
+		w := startPastNoticePeriod(t, 3*time.Second, a) // callers give up after 2.4 s
 		assertGatewayAnswer(t, w.send(t, "GET", "/flow/x", ""), http.StatusServiceUnavailable)
 		assert.Empty(t, a.Runs())
 	})
 }
 
-// TestStreamsThatBeginAtTheEnd has streams begin just as the entry gives those without an answer their last one: each is whole, or
-// has an answer of the entry and none of its events.
-func TestStreamsThatBeginAtTheEnd(t *testing.T) {
+// A stream that starts just when the entry sends error responses to the requests that have no answer yet must be
+// complete, or be replaced by an error response without any of its events.
+func TestStreamStartsAtShutdownDeadline(t *testing.T) {
 	t.Parallel()
 	const streams = 100
 	var began atomic.Int64
@@ -216,7 +220,7 @@
 		site.Events(w, r, 1, 0)
 	}}
 	config := configWithRoutes(1, routeConfig("flow", "streaming", "plain", jsonMap{"timeout_ms": 60000}))
-	config["services"] = []jsonMap{{"name": "plain", "max_connections": 6 * streams}} // of which this entry may have a sixth
+	config["services"] = []jsonMap{{"name": "plain", "max_connections": 6 * streams}} // this entry may use a sixth
 	w := startWorld(t, config, runner)
 	t.Cleanup(w.stop)
 	w.gateway.Settings.Bounds.GracePeriod = shortGrace
@@ -236,15 +240,16 @@
 	}
 }
 
-// TestLastAnswerIsFlushed: a stop waits for requests that run, and the server writes an answer out only after the request has ceased to.
-func TestLastAnswerIsFlushed(t *testing.T) {
-	for _, leaving := range []bool{false, true} {
-		t.Run(fmt.Sprint("leaving: ", leaving), func(t *testing.T) {
+// During a shutdown, the process exits as soon as no requests run. The server flushes an answer only after the request
+// has ended, so that the entry has to flush it before.
+func TestShutdownAnswerIsFlushed(t *testing.T) {
+	for _, shuttingDown := range []bool{false, true} {
+		t.Run(fmt.Sprint("shutting down: ", shuttingDown), func(t *testing.T) {
 			g := &Gateway{}
-			g.shuttingDown.Store(leaving)
+			g.shuttingDown.Store(shuttingDown)
 			recorder := httptest.NewRecorder()
 			g.respond(newExchange(recorder, httptest.NewRequest(http.MethodGet, "/", http.NoBody)), http.StatusServiceUnavailable, "entry-stops", 0)
-			assert.Equal(t, leaving, recorder.Flushed)
+			assert.Equal(t, shuttingDown, recorder.Flushed)
 		})
 	}
 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -17,7 +17,7 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// eventsUpTo is the stream of events from the first to the last.
+// eventsUpTo returns the stream of events from the first to the given one.
 func eventsUpTo(last int) string {
 	var b strings.Builder
 	for id := 1; id <= last; id++ {
@@ -31,7 +31,7 @@
 }
 
 func TestStreams(t *testing.T) {
-	t.Run("events pass as they come, and the whole is whole", func(t *testing.T) {
+	t.Run("a complete stream is forwarded unchanged", func(t *testing.T) {
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r", Handle: cutAfterEvents(0)})
 		defer w.stop()
 		for _, path := range []string{"/stream/x", "/flow/x"} {
@@ -40,10 +40,10 @@
 			assert.Equal(t, eventsUpTo(9), got.body)
 		}
 	})
-	t.Run("a stream that breaks inside an event goes on elsewhere, nothing lost and nothing doubled", func(t *testing.T) {
+	t.Run("a stream that breaks off inside an event continues elsewhere without lost or duplicate events", func(t *testing.T) {
 		once := make(chan struct{}, 1)
 		once <- struct{}{}
-		breaks := func(w http.ResponseWriter, r *http.Request) {
+		breakOnce := func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-once:
 				site.Events(w, r, 9, 4)
@@ -51,7 +51,7 @@
 				site.Events(w, r, 9, 0)
 			}
 		}
-		a, b := &site.Runner{ID: "a", Handle: breaks}, &site.Runner{ID: "b", Handle: breaks}
+		a, b := &site.Runner{ID: "a", Handle: breakOnce}, &site.Runner{ID: "b", Handle: breakOnce}
 		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
 		got := w.send(t, "POST", "/stream/x", "prompt")
@@ -60,7 +60,7 @@
 		assert.Len(t, a.Runs(), 1)
 		assert.Len(t, b.Runs(), 1)
 	})
-	t.Run("a stream that may not go on elsewhere reaches the caller cut", func(t *testing.T) {
+	t.Run("a non-resumable stream that breaks off reaches the caller incomplete", func(t *testing.T) {
 		a, b := &site.Runner{ID: "a", Handle: cutAfterEvents(4)}, &site.Runner{ID: "b", Handle: cutAfterEvents(4)}
 		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
@@ -68,15 +68,15 @@
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
 		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
 	})
-	t.Run("a stream that breaks at every runner reaches the caller cut", func(t *testing.T) {
-		breaks := func(w http.ResponseWriter, r *http.Request) {
+	t.Run("a stream that breaks off at every runner reaches the caller incomplete", func(t *testing.T) {
+		breakAfterTwo := func(w http.ResponseWriter, r *http.Request) {
 			from, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 			if err != nil {
 				from = 0
 			}
 			site.Events(w, r, 9, from+2)
 		}
-		a, b := &site.Runner{ID: "a", Handle: breaks}, &site.Runner{ID: "b", Handle: breaks}
+		a, b := &site.Runner{ID: "a", Handle: breakAfterTwo}, &site.Runner{ID: "b", Handle: breakAfterTwo}
 		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
 		got := w.send(t, "POST", "/stream/x", "prompt")
@@ -98,22 +98,22 @@
 			}
 		}
 	}
-	t.Run("the last id is that of the last event", func(t *testing.T) {
+	t.Run("the last ID is that of the last event", func(t *testing.T) {
 		body, last := read(eventsUpTo(3))
 		assert.Equal(t, eventsUpTo(3), body)
 		assert.Equal(t, "3", last)
 	})
-	t.Run("the rest of a whole stream goes out, too", func(t *testing.T) {
+	t.Run("an unterminated event at the end of a complete stream is returned", func(t *testing.T) {
 		body, _ := read(eventsUpTo(2) + "data: no end")
 		assert.Equal(t, eventsUpTo(2)+"data: no end", body)
 	})
 }
 
-func TestStreamThatFallsSilent(t *testing.T) {
+func TestSilentStreamContinuesElsewhere(t *testing.T) {
 	release := make(chan struct{})
 	once := make(chan struct{}, 1)
 	once <- struct{}{}
-	falls := func(w http.ResponseWriter, r *http.Request) {
+	hangOnce := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-once:
 			site.Events(w, r, 4, 0)
@@ -122,42 +122,42 @@
 			site.Events(w, r, 9, 0)
 		}
 	}
-	a, b := &site.Runner{ID: "a", Handle: falls}, &site.Runner{ID: "b", Handle: falls}
+	a, b := &site.Runner{ID: "a", Handle: hangOnce}, &site.Runner{ID: "b", Handle: hangOnce}
 	w := startWorld(t, defaultConfig(), a, b)
 	defer w.stop()
 	defer close(release)
 	got := w.send(t, "POST", "/stream/x", "prompt")
-	require.NoError(t, got.err, "the runner is not known to live, and so another goes on")
+	require.NoError(t, got.err, "the runner is not known to be alive, so another one must continue")
 	assert.Equal(t, eventsUpTo(9), got.body)
 }
 
-// TestStreamOfBusyRunner: a runner that is about to load weights waits for its streams to end, which leave it for others; it
-// takes nothing new meanwhile.
-func TestStreamOfBusyRunner(t *testing.T) {
-	empties := func(w http.ResponseWriter, r *http.Request) {
+// A runner that is about to load weights accepts no new requests, and waits for its streams to end. The entry may move
+// these to other runners, but must not cut one that no other runner continues.
+func TestStreamOfRunnerLoadingWeights(t *testing.T) {
+	refuseToResume := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last-Event-Id") != "" {
 			site.Refuse(w, r)
 			return
 		}
 		site.Events(w, r, 9, 0)
 	}
-	busy := roster.Report{Load: deployment.Load{LoadingWeights: true}, ReceivedAt: time.Now().Add(testTimeout)}
-	t.Run("a stream stays where no other runner may take it", func(t *testing.T) {
-		alone, leaves := &site.Runner{ID: "alone", Handle: empties}, &site.Runner{ID: "leaves"}
-		w := startWorld(t, defaultConfig(), alone, leaves)
+	aboutToLoad := roster.Report{Load: deployment.Load{LoadingWeights: true}, ReceivedAt: time.Now().Add(testTimeout)}
+	t.Run("a stream stays if no other runner can take it", func(t *testing.T) {
+		alone, draining := &site.Runner{ID: "alone", Handle: refuseToResume}, &site.Runner{ID: "leaves"}
+		w := startWorld(t, defaultConfig(), alone, draining)
 		defer w.stop()
-		w.store.Put("servers", "leaves", runnerRecord(leaves, "draining"))
+		w.store.Put("servers", "leaves", runnerRecord(draining, "draining"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("leaves").Info().Leaving })
-		w.gateway.state.Roster.Find("alone").SetReport(busy)
+		w.gateway.state.Roster.Find("alone").SetReport(aboutToLoad)
 		got := w.send(t, "POST", "/stream/x", "prompt")
-		require.NoError(t, got.err, "the stream left a sound runner, and nobody took it")
+		require.NoError(t, got.err, "the stream was moved away from a working runner, and no other took it")
 		assert.Equal(t, eventsUpTo(9), got.body)
 	})
-	t.Run("a stream goes on at another that may", func(t *testing.T) {
-		emptied := make(chan struct{})
+	t.Run("a stream continues at another runner that can take it", func(t *testing.T) {
+		reported := make(chan struct{})
 		a := &site.Runner{ID: "a", Handle: func(w http.ResponseWriter, r *http.Request) {
 			site.Events(w, r, 4, 0)
-			<-emptied
+			<-reported
 			_, _ = io.WriteString(w, "id: 5\ndata: piece 5\n\n")
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
@@ -172,16 +172,16 @@
 		t.Cleanup(b.Stop)
 		w.store.Put("servers", "b", runnerRecord(b, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("b") != nil })
-		w.gateway.state.Roster.Find("a").SetReport(busy)
-		close(emptied)
+		w.gateway.state.Roster.Find("a").SetReport(aboutToLoad)
+		close(reported)
 		got := readAnswer(t, conn, "GET")
 		require.NoError(t, got.err)
 		assert.Equal(t, eventsUpTo(9), got.body)
 	})
 }
 
-// TestSilenceWithoutAnother: a runner's silence is no reason to end an answer that nobody else would go on with.
-func TestSilenceWithoutAnother(t *testing.T) {
+// An answer must not be ended because its runner is silent if no other runner would continue it.
+func TestSilentStreamWithoutOtherRunner(t *testing.T) {
 	pauses := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last-Event-Id") != "" {
 			site.Refuse(w, r)
@@ -199,15 +199,15 @@
 	assertWhole := func(t *testing.T, w *world) {
 		t.Helper()
 		got := w.send(t, "POST", "/stream/x", "prompt")
-		require.NoError(t, got.err, "the answer was ended, and nobody went on with it")
+		require.NoError(t, got.err, "the answer was ended, and no runner continued it")
 		assert.Equal(t, eventsUpTo(9), got.body)
 	}
-	t.Run("where no other runner may take it, it is waited for", func(t *testing.T) {
+	t.Run("the entry waits if no other runner may take it", func(t *testing.T) {
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "a", Handle: pauses})
 		defer w.stop()
 		assertWhole(t, w)
 	})
-	t.Run("where no budget is left for another, too", func(t *testing.T) {
+	t.Run("the entry waits if the retry budget is spent", func(t *testing.T) {
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "a", Handle: pauses}, &site.Runner{ID: "b", Handle: pauses})
 		defer w.stop()
 		for w.gateway.budgets.TrySpend(time.Now(), "plain") {
--- a/gateway/weights_test.go
+++ b/gateway/weights_test.go
@@ -15,14 +15,14 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// shortWeightsBound is how long replaced weights may be used in these tests; requests are sent in the first part of it.
+// shortWeightsBound bounds the use of replaced weights in these tests. Requests are sent well before it has passed.
 const shortWeightsBound = 2500 * time.Millisecond
 
-// queuedEngine is an engine at which requests wait until replaced weights may be used no longer, and begin then.
+// queuedEngine is an engine at which requests wait until shortWeightsBound has passed, and start only then.
 type queuedEngine struct {
 	site.Engine
 
-	// namedAt is when the newer weights were namedAt, in nanoseconds.
+	// namedAt is when the newer weights were named, in Unix nanoseconds.
 	namedAt   atomic.Int64
 	waiting   atomic.Int64
 	begun     atomic.Int64
@@ -36,7 +36,7 @@
 	return q
 }
 
-// wait holds a request until the bound on old weights is over, unless its connection is closed before.
+// wait holds a request until shortWeightsBound has passed, unless its connection is closed before.
 func (q *queuedEngine) wait(w http.ResponseWriter, r *http.Request) {
 	q.waiting.Add(1)
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-// newEngineStore is a store with routes to engines.
+// newEngineStore returns an object store that configures routes to engines.
 func newEngineStore() *site.Store {
 	store := site.NewStore()
 	store.Put("config", "main", site.ConfigOf(
@@ -65,7 +65,7 @@
 	return store
 }
 
-// startWithEngines is an entry before engines, with weights of version 1 named.
+// startWithEngines starts an entry with engines, with version 1 of the weights named.
 func startWithEngines(t *testing.T, engines ...*site.Engine) *world {
 	t.Helper()
 	store := newEngineStore()
@@ -78,7 +78,7 @@
 	return w
 }
 
-// addEngine lists an engine, and waits until the entry knows it.
+// addEngine starts and lists an engine, and waits until the entry knows it.
 func (w *world) addEngine(t *testing.T, e *site.Engine) {
 	t.Helper()
 	e.Start()
@@ -86,7 +86,7 @@
 	w.store.Put("servers", e.ID, site.EngineRecordOf(e.Address(), "ready", e.Weights()))
 	id := rillreach.InstanceID(e.ID)
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find(id) != nil })
-	w.gateway.state.Roster.Find(id).SetReport(roster.Report{ReceivedAt: time.Now().Add(testTimeout)}) // its agent says that it lives
+	w.gateway.state.Roster.Find(id).SetReport(roster.Report{ReceivedAt: time.Now().Add(testTimeout)}) // reported alive
 }
 
 // nameWeights names version 2, and waits until the entry knows of it.
@@ -97,7 +97,7 @@
 	w.eventually(t, func() bool { return !w.gateway.state.ReplacedAt(site.Model, 1).IsZero() })
 }
 
-// sendPrompt sends one request with a sendPrompt, whose answer is still to be read.
+// sendPrompt sends a request with a prompt and returns the connection, from which the answer is still to be read.
 func (w *world) sendPrompt(t *testing.T, path string) net.Conn {
 	t.Helper()
 	conn := w.dial(t)
@@ -108,13 +108,14 @@
 
 func assertCancelled(t *testing.T, q *queuedEngine) {
 	t.Helper()
-	assert.Zero(t, q.begun.Load(), "a request began on weights that were replaced longer ago than the bound")
+	assert.Zero(t, q.begun.Load(), "a request started on weights that were replaced longer ago than the bound")
 	require.Eventually(t, func() bool { return q.cancelled.Load() == 1 }, testTimeout, time.Millisecond)
 }
 
-// TestNoRequestBeginsOnReplacedWeights: a request that is sent in time may wait at its runner until the bound on old weights is over.
-func TestNoRequestBeginsOnReplacedWeights(t *testing.T) {
-	t.Run("one that may not go on elsewhere gets its answer before", func(t *testing.T) {
+// A request that is sent in time may wait at its runner until the bound on replaced weights has passed. It must be
+// cancelled there before, or it would start on weights that may no longer be used.
+func TestRequestStartsOnReplacedWeights(t *testing.T) {
+	t.Run("a non-resumable request gets an error response before", func(t *testing.T) {
 		q := newQueuedEngine("old")
 		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
@@ -122,7 +123,7 @@
 		assertGatewayAnswer(t, readAnswer(t, w.sendPrompt(t, "/flow/x"), http.MethodGet), http.StatusBadGateway)
 		assertCancelled(t, q)
 	})
-	t.Run("one that may goes on where the newest weights are", func(t *testing.T) {
+	t.Run("a resumable request moves to a runner with the newest weights", func(t *testing.T) {
 		q := newQueuedEngine("old")
 		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
@@ -138,7 +139,7 @@
 		assert.Len(t, newest.Runs(), 1)
 		assertCancelled(t, q)
 	})
-	t.Run("also where the newer weights are named while it waits", func(t *testing.T) {
+	t.Run("the newer weights are named while the request waits", func(t *testing.T) {
 		q := newQueuedEngine("old")
 		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
@@ -150,9 +151,9 @@
 	})
 }
 
-// TestWeightsNamedBeforeTheStart: an entry that has just started finds weights named, and cannot know for how long; where no agent
-// speaks, nobody tells it, and nobody has runners load them either.
-func TestWeightsNamedBeforeTheStart(t *testing.T) {
+// An entry that has just started cannot know for how long the named weights have been named. If no agent reports that,
+// it has to assume that older weights may no longer be used.
+func TestWeightsNamedBeforeEntryStart(t *testing.T) {
 	store := newEngineStore()
 	store.Put("versions", site.Model, site.WeightsOf(2))
 	old := &site.Engine{Model: site.Model, Version: 1}
--- a/gateway/world_test.go
+++ b/gateway/world_test.go
@@ -31,7 +31,7 @@
 	testTimeout = 10 * time.Second
 )
 
-// world is a site with one entry.
+// world is a test environment: an object store and an entry that follows it.
 type world struct {
 	store            *site.Store
 	gateway          *Gateway
@@ -81,7 +81,7 @@
 	}
 }
 
-// startWorld starts an entry before the runners.
+// startWorld starts the runners and an entry, and waits until the entry is ready if there is a configuration.
 func startWorld(t *testing.T, config jsonMap, runners ...*site.Runner) *world {
 	t.Helper()
 	store := site.NewStore()
@@ -100,16 +100,17 @@
 	return w
 }
 
-// weightsBound is how long replaced weights may be used, where a test does not say otherwise.
+// weightsBound is the default bound on how long replaced weights may be used.
 const weightsBound = 10 * time.Second
 
-// startWithWeightsBound starts an entry that follows the store, and lets requests begin on replaced weights for as long as the bound.
+// startWithWeightsBound starts an entry that follows the store, with a bound on how long requests may start on
+// replaced weights.
 func startWithWeightsBound(t *testing.T, store *site.Store, bound time.Duration) *world {
 	t.Helper()
 	return startWithSettings(t, store, func(s *deployment.Settings) { s.Bounds.WeightsRollout = bound })
 }
 
-// startWithSettings starts an entry that follows the store, with settings that are changed.
+// startWithSettings starts an entry that follows the store, with modified settings.
 func startWithSettings(t *testing.T, store *site.Store, change func(*deployment.Settings)) *world {
 	t.Helper()
 	w := &world{store: store, ended: make(chan error, 1)}
@@ -136,20 +137,21 @@
 	return w
 }
 
-// testLogger logs to the test for as long as it runs: an entry that stops goes on for some seconds after that.
+// testLogger returns a logger that writes to the test's log until the test ends. An entry that shuts down logs for
+// some seconds longer.
 func testLogger(t *testing.T) logr.Logger {
 	t.Helper()
 	var mu sync.Mutex
-	over := false
+	ended := false
 	t.Cleanup(func() {
 		mu.Lock()
 		defer mu.Unlock()
-		over = true
+		ended = true
 	})
 	return funcr.New(func(prefix, args string) {
 		mu.Lock()
 		defer mu.Unlock()
-		if !over {
+		if !ended {
 			t.Log(prefix, args)
 		}
 	}, funcr.Options{})
@@ -187,12 +189,12 @@
 	status int
 	header http.Header
 	body   string
-	// closes says that the entry wants no more on the connection.
+	// closes reports whether the entry has asked to close the connection.
 	closes bool
 	err    error
 }
 
-// send sends one request on a connection of its own.
+// send sends a request on a new connection and reads the answer.
 func (w *world) send(t *testing.T, method, target string, body string, header ...string) answer {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.callerAddress)
