--- a/gateway/agents.go
+++ b/gateway/agents.go
@@ -19,57 +19,58 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// followEvery is how often it is looked at whether each runner's agent is followed.
-const followEvery = 200 * time.Millisecond
+// followInterval is how often the set of followed agents is compared with the listed runners.
+const followInterval = 200 * time.Millisecond
 
-// speaksWithin is how long an agent may be silent and still be reported to: twice the longest pause between the bulletins of one that was
-// asked for little.
-const speaksWithin = 2 * time.Second
+// agentTimeout is how long an agent may be silent and still get reports: twice the longest interval between load-only
+// bulletins.
+const agentTimeout = 2 * time.Second
 
-// agents follows the agents of all listed runners of engines.
-type agents struct {
+// agentFollower subscribes to the agents of all listed runners of engine services.
+type agentFollower struct {
 	gateway *Gateway
 	pool    *peer.Pool
 
 	wg        conc.WaitGroup
 	mu        sync.Mutex
-	following map[netip.AddrPort]*followed
+	following map[netip.AddrPort]*followedAgent
 }
 
-// wantedAgent is an agent that is to be followed.
+// wantedAgent describes a subscription that should exist.
 type wantedAgent struct {
-	// runner is the address of the runner beside it.
+	// runner is the address of the agent's runner.
 	runner netip.AddrPort
-	// sparse says that it's asked for little.
-	sparse bool
+	// loadOnly means that the agent is asked for load reports only.
+	loadOnly bool
 }
 
-// followed is an agent that is followed.
-type followed struct {
+// followedAgent is an agent that the entry is subscribed to.
+type followedAgent struct {
 	wanted wantedAgent
 	stop   context.CancelFunc
-	// heard is when its last bulletin came, in nanoseconds by the entry's clock.
-	heard atomic.Int64
+	// lastBulletinAt is when its last bulletin arrived, in nanoseconds on the entry's clock.
+	lastBulletinAt atomic.Int64
 }
 
-// Name is the controller's name.
-func (a *agents) Name() string { return "follow-agents" }
+// Name returns the name of the controller.
+func (a *agentFollower) Name() string { return "follow-agents" }
 
 // Run follows the agents until the context ends.
-func (a *agents) Run(ctx context.Context) error {
+func (a *agentFollower) Run(ctx context.Context) error {
 	a.mu.Lock()
-	a.following = map[netip.AddrPort]*followed{}
+	a.following = map[netip.AddrPort]*followedAgent{}
 	a.mu.Unlock()
-	pause.Every(ctx, followEvery, a.look)
+	pause.Every(ctx, followInterval, a.reconcile)
 	a.wg.Wait()
 	return nil
 }
 
-// look begins to follow the agents of new runners, and ends with those of runners that are gone or that are to be asked otherwise.
-func (a *agents) look(ctx context.Context) {
+// reconcile subscribes to the agents of new runners, and cancels the subscriptions for runners that are gone or whose
+// subscription has to change.
+func (a *agentFollower) reconcile(ctx context.Context) {
 	groups := a.gateway.engineGroups()
 	a.gateway.updateLocalServices(groups)
-	wanted := a.wanted(groups)
+	wanted := a.wantedAgents(groups)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for address, f := range a.following {
@@ -85,81 +86,82 @@
 	}
 }
 
-// follow begins to follow an agent.
-func (a *agents) follow(ctx context.Context, address netip.AddrPort, w wantedAgent) *followed {
-	one, stop := context.WithCancel(ctx)
+// follow subscribes to an agent.
+func (a *agentFollower) follow(ctx context.Context, address netip.AddrPort, w wantedAgent) *followedAgent {
+	followCtx, stop := context.WithCancel(ctx)
 	g := a.gateway
-	f := &followed{wanted: w, stop: stop}
-	take := g.applyBulletin
-	if w.sparse {
-		take = g.applySparseBulletin
+	f := &followedAgent{wanted: w, stop: stop}
+	apply := g.applyBulletin
+	if w.loadOnly {
+		apply = g.applyLoadOnlyBulletin
 	}
 	s := &subscribe.Subscription{
 		Pool: a.pool, Agent: address, Log: g.Log,
 		Take: func(b *bulletin.Bulletin, now time.Time) {
-			f.heard.Store(g.Clock.Now().UnixNano())
-			take(b, now)
+			f.lastBulletinAt.Store(g.Clock.Now().UnixNano())
+			apply(b, now)
 			g.applyPermits(w.runner, b, now)
 			a.applyQuotas(address, b, now)
 		},
-		Ask: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.sparse},
+		Ask: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.loadOnly},
 	}
-	a.wg.Go(func() { s.Run(one) })
+	a.wg.Go(func() { s.Run(followCtx) })
 	return f
 }
 
-// live are the agents that have spoken lately.
-func (a *agents) live(now time.Time) []netip.AddrPort {
+// liveAgents returns the agents that have sent a bulletin recently.
+func (a *agentFollower) liveAgents(now time.Time) []netip.AddrPort {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var live []netip.AddrPort
 	for address, f := range a.following {
-		if now.Sub(time.Unix(0, f.heard.Load())) < speaksWithin {
+		if now.Sub(time.Unix(0, f.lastBulletinAt.Load())) < agentTimeout {
 			live = append(live, address)
 		}
 	}
 	return live
 }
 
-// allotterOf is the agent among those that shares out a runner's limit, if there is one: an engine's own, for any other runner the first by a hash.
-func (a *agents) allotterOf(r *roster.Runner, live []netip.AddrPort) (netip.AddrPort, bool) {
+// allocatorOf returns the agent among the live ones that allocates a runner's limit to the entries, if there is one.
+// For an engine that is its own agent, for any other runner the first by rendezvous hash.
+func (a *agentFollower) allocatorOf(r *roster.Runner, live []netip.AddrPort) (netip.AddrPort, bool) {
 	info := r.Info()
-	if a.gateway.servesModels(info.Service) {
-		own := a.gateway.agentBeside(info.Address)
+	if a.gateway.isEngineService(info.Service) {
+		own := a.gateway.agentAddress(info.Address)
 		return own, slices.Contains(live, own)
 	}
 	key := hash.String(string(info.ID))
 	var chosen netip.AddrPort
-	var most uint64
+	var bestRank uint64
 	for _, agent := range live {
-		if rank := hash.Mix(key, hash.String(agent.String())); !chosen.IsValid() || rank > most {
-			chosen, most = agent, rank
+		if rank := hash.Mix(key, hash.String(agent.String())); !chosen.IsValid() || rank > bestRank {
+			chosen, bestRank = agent, rank
 		}
 	}
 	return chosen, chosen.IsValid()
 }
 
-// allots reports that an agent is the one that shares out a runner's limit.
-func (a *agents) allots(agent netip.AddrPort, r *roster.Runner) bool {
-	allotter, ok := a.allotterOf(r, a.live(a.gateway.Clock.Now()))
-	return ok && allotter == agent
+// isAllocatorOf reports whether the agent is the one that allocates a runner's limit.
+func (a *agentFollower) isAllocatorOf(agent netip.AddrPort, r *roster.Runner) bool {
+	allocator, ok := a.allocatorOf(r, a.liveAgents(a.gateway.Clock.Now()))
+	return ok && allocator == agent
 }
 
-// wanted are the agents beside runners of engines, by their addresses.
-func (a *agents) wanted(groups map[rillreach.ServiceID][]*roster.Runner) map[netip.AddrPort]wantedAgent {
+// wantedAgents returns the subscriptions for the runners of engine services, by the addresses of the agents.
+func (a *agentFollower) wantedAgents(groups map[rillreach.ServiceID][]*roster.Runner) map[netip.AddrPort]wantedAgent {
 	wanted := map[netip.AddrPort]wantedAgent{}
 	for service, group := range groups {
-		local := a.gateway.local.has(service)
+		local := a.gateway.localServices.isLocal(service)
 		for _, r := range group {
 			info := r.Info()
-			address := a.gateway.agentBeside(info.Address)
-			wanted[address] = wantedAgent{runner: info.Address, sparse: local && info.Zone != a.gateway.Settings.Zone}
+			address := a.gateway.agentAddress(info.Address)
+			wanted[address] = wantedAgent{runner: info.Address, loadOnly: local && info.Zone != a.gateway.Settings.Zone}
 		}
 	}
 	return wanted
 }
 
-// agentBeside is the address of the agent beside an engine.
-func (g *Gateway) agentBeside(engine netip.AddrPort) netip.AddrPort {
+// agentAddress returns the address of the agent beside an engine.
+func (g *Gateway) agentAddress(engine netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(engine.Addr(), g.Settings.FirstPort)
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -63,7 +63,7 @@
 	}
 	if t == nil {
 		x.reason = verdict
-		x.exhausted = true
+		x.noRunnerLeft = true
 		return false
 	}
 	a := g.newAttempt(ctx, x, t)
@@ -124,7 +124,7 @@
 	if err != nil {
 		if errors.Is(err, forward.ErrNotSent) {
 			x.sends.recordNotSent(t.view.ID)
-			x.untaken++
+			x.failedSends++
 		}
 		a.handleFailure(err)
 		return false
@@ -153,9 +153,9 @@
 	if n > 0 {
 		a.recordProgress()
 		a.received += int64(n)
-		a.gateway.noteReceived(a.exchange, a.received)
+		a.gateway.recordProgress(a.exchange, a.received)
 	}
-	if err != nil && !isEnd(err) {
+	if err != nil && !isCompleteAnswer(err) {
 		a.readErr = err
 	}
 	return n, err
@@ -186,7 +186,7 @@
 // findTarget chooses the runner for the next attempt, or returns the reason why there is none.
 func (g *Gateway) findTarget(ctx context.Context, x *exchange) (*target, string) {
 	if x.needsEngine() {
-		return g.line.admit(ctx, x)
+		return g.queue.admit(ctx, x)
 	}
 	return g.choose(x, time.Now())
 }
@@ -209,14 +209,14 @@
 // handleFailure records an attempt that failed without a complete answer, and ejects the runner if it is at fault.
 func (a *attempt) handleFailure(err error) {
 	g, x, t := a.gateway, a.exchange, a.target
-	cause := a.cause(err)
+	cause := a.classifyFailure(err)
 	notSent := cause == causeNotSent
 	if !notSent {
 		x.maybeRan = true
 	}
 	g.Metrics.Attempt(string(cause))
 	if cause == causeRunnerEnded {
-		a.noteCrash()
+		a.recordCrash()
 	}
 	now := time.Now()
 	if t.cancelled.Load() {
@@ -230,27 +230,27 @@
 	ejectedFor := time.Duration(0)
 	if !callerLeft && !a.noEjection.Load() && !errors.Is(err, forward.ErrTooManyConns) {
 		ejectedFor = t.runner.Eject(now)
-		if cause != causeClosed {
+		if cause != causeConnectionClosed {
 			g.pool.CloseIdle(t.view.Address)
 		}
 	}
 	g.Log.Info("attempt failed", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "notSent", notSent,
-		"callerLeft", callerLeft, "spared", a.noEjection.Load(), "timedOut", a.requestCtx.Err() != nil, "kind", cause, "endedBy", a.endedBy(), "fingerprint", x.fingerprint().String(),
+		"callerLeft", callerLeft, "spared", a.noEjection.Load(), "timedOut", a.requestCtx.Err() != nil, "kind", cause, "endedBy", a.cancelReason(), "fingerprint", x.fingerprint().String(),
 		"events", x.lastEvent, "cause", err.Error(), "avoidedFor", ejectedFor.String(), "after", now.Sub(x.arrived).String())
 }
 
 // handleRefusal records that the runner has stated that it did not run the request.
 func (g *Gateway) handleRefusal(x *exchange, t *target, answer *forward.Response, headers platform.Response) {
 	x.reason = "runner-refused"
-	x.untaken++
+	x.failedSends++
 	x.sends.recordRefusal(t.view.ID)
 	g.Log.Info("runner refused", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID,
-		"status", answer.Head.StatusCode, "began", x.began, "rest", headers.RetryAfter.String(), "otherRunner", headers.Misdirected, "answeredBy", headers.Instance, "weights", headers.Weights)
+		"status", answer.Head.StatusCode, "began", x.headSent, "rest", headers.RetryAfter.String(), "otherRunner", headers.Misdirected, "answeredBy", headers.Instance, "weights", headers.Weights)
 	switch {
 	case headers.Misdirected && headers.Instance != "" && headers.Instance != t.view.ID:
 		t.runner.MarkLeaving() // another process has its address, so this one has ended even if it is still listed
 		select {
-		case g.restarted <- struct{}{}:
+		case g.refreshRunners <- struct{}{}:
 		default: // a refresh of the list is already pending
 		}
 	case headers.Misdirected && x.wire.Prompt != nil:
--- a/gateway/backpressure_test.go
+++ b/gateway/backpressure_test.go
@@ -89,7 +89,7 @@
 	t.Helper()
 	var all []*world
 	for i := range n {
-		all = append(all, s.entry(t, fmt.Sprint("entry-", i)))
+		all = append(all, s.startEntry(t, fmt.Sprint("entry-", i)))
 	}
 	return all
 }
@@ -97,8 +97,8 @@
 // addPromptRoute adds a route for prompts to the configuration.
 func (s *sharedSite) addPromptRoute() {
 	config := defaultConfig()
-	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "gap_aim_ms": 1000}))
-	config["services"] = append(config["services"].([]jsonMap), engineService())
+	config["routes"] = append(config["routes"].([]jsonMap), routeConfig("prompt", "streaming", "e", jsonMap{"resumable": true, "gap_aim_ms": 1000}))
+	config["services"] = append(config["services"].([]jsonMap), engineServiceConfig())
 	s.store.Put("config", "main", config)
 }
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	stop := startLoad(limitSendInterval, entries, send)
 	defer stop()
-	require.Eventually(t, func() bool { return l.arrivals.len() >= limitEntries }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return l.arrivals.len() >= limitEntries }, testTimeout, time.Millisecond)
 	l.limiting.Store(true)
 	start := time.Now()
 	time.Sleep(limitDuration / 3)
@@ -120,7 +120,7 @@
 	most := maxInWindow(&l.arrivals, start.Add(2*limitGrace), limitWindow)
 	assert.LessOrEqual(t, float64(most), limitPerSecond*limitFactor*limitWindow.Seconds()+limitSlack)
 	assert.Positive(t, most, "requests within the limit are sent")
-	require.Eventually(t, func() bool { return l.arrivals.len() > countWhenLifted+10*limitEntries }, wait, 5*time.Millisecond, "requests after the limit was lifted")
+	require.Eventually(t, func() bool { return l.arrivals.len() > countWhenLifted+10*limitEntries }, testTimeout, 5*time.Millisecond, "requests after the limit was lifted")
 }
 
 // Guards against entries that send a runner as many requests as before although its answers state a limit.
@@ -128,43 +128,43 @@
 	t.Run("a plain runner beside an unlimited one", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle}, &site.Runner{ID: "sound"})
-		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
+		s := startSharedSite(t, &site.Runner{ID: "limited", Handle: limited.handle}, &site.Runner{ID: "sound"})
+		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.send(t, "POST", "/once/x", "body") }, func() {})
 	})
 	t.Run("the only plain runner", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
-		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.call(t, "POST", "/once/x", "body") }, func() {})
+		s := startSharedSite(t, &site.Runner{ID: "limited", Handle: limited.handle})
+		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) { w.send(t, "POST", "/once/x", "body") }, func() {})
 	})
 	t.Run("a plain runner whose agents have stopped", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t, &site.Runner{ID: "limited", Handle: limited.handle})
+		s := startSharedSite(t, &site.Runner{ID: "limited", Handle: limited.handle})
 		entries := s.startEntries(t, limitEntries)
-		assertLimitHonored(t, &limited, entries, func(w *world) { w.call(t, "POST", "/once/x", "body") }, s.stop)
+		assertLimitHonored(t, &limited, entries, func(w *world) { w.send(t, "POST", "/once/x", "body") }, s.stop)
 	})
 	t.Run("an engine whose agent restarts and does not know the limit", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t)
+		s := startSharedSite(t)
 		s.addPromptRoute()
 		s.engine.Handle = limited.handle
 		entries := s.startEntries(t, limitEntries)
 		var n atomic.Int64
 		assertLimitHonored(t, &limited, entries, func(w *world) {
-			read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
+			readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
 		}, func() { s.restartAgent(t) })
 	})
 	t.Run("an engine", func(t *testing.T) {
 		t.Parallel()
 		limited := limitedRunner{body: "limited"}
-		s := beginShared(t)
+		s := startSharedSite(t)
 		s.addPromptRoute()
 		s.engine.Handle = limited.handle
 		var n atomic.Int64
 		assertLimitHonored(t, &limited, s.startEntries(t, limitEntries), func(w *world) {
-			read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
+			readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET")
 		}, func() {})
 	})
 }
--- a/gateway/begin.go
+++ b/gateway/begin.go
@@ -18,7 +18,7 @@
 
 // awaitSync waits until the entry knows enough to serve, but no longer than initialSyncTimeout after its start.
 func (g *Gateway) awaitSync(ctx context.Context) {
-	for !g.state.HasSynced() && time.Since(g.began) < initialSyncTimeout && ctx.Err() == nil {
+	for !g.state.HasSynced() && time.Since(g.startedAt) < initialSyncTimeout && ctx.Err() == nil {
 		pause.For(ctx, syncPollInterval)
 	}
 }
--- a/gateway/begin_test.go
+++ b/gateway/begin_test.go
@@ -21,23 +21,23 @@
 		r := &site.Runner{ID: "r", Handle: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "sound") }}
 		r.Start()
 		t.Cleanup(r.Stop)
-		store.Put("servers", r.ID, record(r, "ready"))
-		return beginWith(t, store, func(*deployment.Settings) {}), store
+		store.Put("servers", r.ID, runnerRecord(r, "ready"))
+		return startWithSettings(t, store, func(*deployment.Settings) {}), store
 	}
 	t.Run("a request shortly before the configuration arrives waits for it", func(t *testing.T) {
 		w, store := begin(t)
 		defer w.stop()
 		time.AfterFunc(initialSyncTimeout/4, func() { store.Put("config", "main", defaultConfig()) })
-		assert.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status)
+		assert.Equal(t, http.StatusOK, w.send(t, "POST", "/once/x", "body").status)
 	})
 	t.Run("a request is refused after a short wait if no configuration arrives", func(t *testing.T) {
 		w, _ := begin(t)
 		defer w.stop()
-		assertOwn(t, w.call(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
+		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
 	})
 	t.Run("only the first requests after the start wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			g := &Gateway{began: time.Now()}
+			g := &Gateway{startedAt: time.Now()}
 			for _, waited := range []time.Duration{initialSyncTimeout, 0} {
 				start := time.Now()
 				g.awaitSync(t.Context())
--- a/gateway/begun_answer.go
+++ b/gateway/begun_answer.go
@@ -27,7 +27,7 @@
 // isTransient reports whether the reason why no runner can take a request may soon go away.
 func isTransient(verdict string) bool {
 	switch verdict {
-	case verdictNoRunner, verdictCold, verdictLimited, verdictResting, verdictEvacuated, verdictElsewhere, verdictBacklog, verdictBudgetExhausted:
+	case verdictNoRunner, verdictRunnersCold, verdictRunnersLimited, verdictRunnersResting, verdictZoneEvacuated, verdictRegionNotAllowed, verdictBacklog, verdictBudgetExhausted:
 		return true
 	default:
 		return false
@@ -35,48 +35,48 @@
 }
 
 // canResume reports whether the caller has part of an answer that another runner can continue.
-func (x *exchange) canResume() bool { return x.began && x.route.Resumable }
+func (x *exchange) canResume() bool { return x.headSent && x.route.Resumable }
 
 // resendAt returns when a started answer may be sent on again. After the first send that no runner accepted this is at
 // once, since another runner may have room.
 func (x *exchange) resendAt(now time.Time) time.Time {
-	if x.notBefore.After(now) {
-		return x.notBefore
+	if x.retryNotBefore.After(now) {
+		return x.retryNotBefore
 	}
-	if x.untaken < 2 {
+	if x.failedSends < 2 {
 		return now
 	}
-	delay := minResendDelay << min(x.untaken-2, maxDoublings)
+	delay := minResendDelay << min(x.failedSends-2, maxDoublings)
 	return now.Add(min(delay, maxResendDelay))
 }
 
 // callerGivesUpAt returns when the caller of a started answer stops waiting, or the deadline of the request if that is
 // earlier.
 func (x *exchange) callerGivesUpAt() time.Time {
-	idleDeadline := x.lastPassed().Add(x.route.CallerIdleTimeout())
-	if idleDeadline.Before(x.ends) {
+	idleDeadline := x.lastWrite().Add(x.route.CallerIdleTimeout())
+	if idleDeadline.Before(x.deadline) {
 		return idleDeadline
 	}
-	return x.ends
+	return x.deadline
 }
 
 // awaitResend decides whether another attempt may follow and, for a started answer, waits until it is worth making. It
 // returns the reason why none may follow, or an empty string.
 func (g *Gateway) awaitResend(ctx context.Context, x *exchange) string {
 	for {
-		verdict := g.again(ctx, x)
+		verdict := g.checkRetry(ctx, x)
 		if !x.canResume() || verdict != "" && !isTransient(verdict) {
 			return verdict
 		}
 		if verdict != "" {
-			x.untaken++
+			x.failedSends++
 		}
 		now := time.Now()
 		resendAt := x.resendAt(now)
 		if resendAt.After(x.callerGivesUpAt()) {
 			return verdictNotResumedInTime
 		}
-		x.exhausted = false
+		x.noRunnerLeft = false
 		pause.For(ctx, resendAt.Sub(now))
 		if verdict == "" && ctx.Err() == nil {
 			return ""
--- a/gateway/begun_answer_test.go
+++ b/gateway/begun_answer_test.go
@@ -43,7 +43,7 @@
 	}
 	route["resumable"] = true
 	runners := []*site.Runner{{ID: "a", Handle: handle}, {ID: "b", Handle: handle}, {ID: "c", Handle: handle}}
-	s.world = begin(t, configOf(1, routeOf("stream", "streaming", "plain", route)), runners...)
+	s.world = startWorld(t, configWithRoutes(1, routeConfig("stream", "streaming", "plain", route)), runners...)
 	t.Cleanup(s.stop)
 	return s
 }
@@ -55,9 +55,9 @@
 
 func (s *brokenStreamSite) assertCompleteAnswer(t *testing.T) {
 	t.Helper()
-	got := s.call(t, "POST", "/stream/x", "prompt")
+	got := s.send(t, "POST", "/stream/x", "prompt")
 	require.NoError(t, got.err, "the answer was cut although there was time left and no other runner had run the request")
-	assert.Equal(t, pieces(streamEvents), got.body)
+	assert.Equal(t, eventsUpTo(streamEvents), got.body)
 }
 
 // Guards against cutting a partly received answer as soon as no other runner has room for the rest.
@@ -104,16 +104,16 @@
 			runs.Add(1)
 			site.Events(w, r, streamEvents, cutAfterEvent+2)
 		})
-		got := s.call(t, "POST", "/stream/x", "prompt")
+		got := s.send(t, "POST", "/stream/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
 		assert.EqualValues(t, 1, runs.Load(), "the route allows two runners")
 	})
 	t.Run("no runner ever has room", func(t *testing.T) {
 		s := newBrokenStreamSite(t, jsonMap{"max_attempts": 2}, func(s *brokenStreamSite, _ time.Duration, w http.ResponseWriter, r *http.Request) { s.refuse(w, r) })
 		start := time.Now()
-		got := s.call(t, "POST", "/stream/x", "prompt")
+		got := s.send(t, "POST", "/stream/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
-		assert.Equal(t, pieces(cutAfterEvent), got.body)
+		assert.Equal(t, eventsUpTo(cutAfterEvent), got.body)
 		idleTimeout := s.gateway.state.Config().Routes[0].CallerIdleTimeout()
 		assert.Less(t, time.Since(start), idleTimeout+idleTimeout/2, "the request is held after its caller has given up")
 	})
@@ -133,15 +133,15 @@
 	t.Run("the only other engine refuses once", func(t *testing.T) {
 		var refused atomic.Bool
 		first, other := newEngine("first"), newEngine("other")
-		first.Handle = cutAfter(cutAfterEvent)
+		first.Handle = cutAfterEvents(cutAfterEvent)
 		other.Handle = refusesOnce(&refused)
-		w := enginesWorld(t, first)
+		w := startWithEngines(t, first)
 		defer w.stop()
-		conn := w.prompt(t, "/prompt/x")
+		conn := w.sendPrompt(t, "/prompt/x")
 		w.addEngine(t, other)
-		got := read(t, conn, "POST")
+		got := readAnswer(t, conn, "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamEvents), got.body)
+		assert.Equal(t, eventsUpTo(streamEvents), got.body)
 	})
 	t.Run("a hedge was refused before the first engine disconnects", func(t *testing.T) {
 		var refused atomic.Bool
@@ -158,9 +158,9 @@
 			time.Sleep(eventInterval) // so that the entry has received the refusal
 			panic(http.ErrAbortHandler)
 		}
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamEvents), got.body)
+		assert.Equal(t, eventsUpTo(streamEvents), got.body)
 	})
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -49,7 +49,7 @@
 }
 
 // offset returns the index among n candidates at which the search for the best one starts.
-func (g *Gateway) offset(n int) int { return int(g.seq.Add(1) % uint64(n)) }
+func (g *Gateway) offset(n int) int { return int(g.choices.Add(1) % uint64(n)) }
 
 // assign makes the choice the target of the next attempt and counts the request as running there. It returns nil if the
 // runner no longer admits a request because another one has just taken the last permit.
@@ -67,8 +67,8 @@
 		t.weights = t.view.Weights[x.wire.Prompt.Model]
 		t.prompt = o.versions[t.weights].prompt
 		g.reserveLinks(t, now)
-		g.reads.add(t.prefillTokens)
-		g.sizes.add(t.tokens)
+		g.prefillSizes.add(t.prefillTokens)
+		g.requestSizes.add(t.tokens)
 	}
 	t.inflight = g.beginRequest(x, t)
 	g.logChoice(x, t, o, now)
@@ -79,7 +79,7 @@
 func (g *Gateway) logChoice(x *exchange, t *target, o *options, now time.Time) {
 	fetchUntil := time.Time{}
 	if t.prompt != nil && len(t.plan.Sources) > 0 {
-		fetchUntil = t.prompt.until
+		fetchUntil = t.prompt.fetchDeadline
 	}
 	g.Log.Info("runner chosen", "decision", "send", "request", x.wire.ID, "account", x.accountName(), "route", x.route.Name,
 		"chosen", t.view.ID, "candidates", len(o.candidates), "cost", t.choice.Cost, "estimate", t.choice.Estimate.String(), "attempt", x.sends.sendCount()+1,
@@ -119,7 +119,7 @@
 // reserveLinks records the use of links by the fetches of the chosen runner.
 func (g *Gateway) reserveLinks(t *target, now time.Time) {
 	for _, transfer := range t.plan.Transfers {
-		g.stores.book(transfer.Source, transfer.Duration, now)
+		g.cache.reserveLink(transfer.Source, transfer.Duration, now)
 	}
 }
 
@@ -135,10 +135,10 @@
 		d.Salt = "request/" + string(x.wire.ID)
 		return
 	}
-	if len(t.plan.Sources) > 0 && !t.prompt.until.IsZero() {
+	if len(t.plan.Sources) > 0 && !t.prompt.fetchDeadline.IsZero() {
 		d.Fetch = make([]netip.AddrPort, len(x.wire.Prompt.Parts))
 		copy(d.Fetch, t.plan.Sources)
-		d.FetchDeadline = t.prompt.until
+		d.FetchDeadline = t.prompt.fetchDeadline
 	}
-	d.Save = g.saves(x, t.prompt, &t.view, time.Now())
+	d.Save = g.chooseSaveStores(x, t.prompt, &t.view, time.Now())
 }
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -17,76 +17,77 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// handle takes one request of a caller.
+// handle serves one request of a caller.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
-	g.running.Add()
-	defer g.running.Done()
+	g.inflight.Add()
+	defer g.inflight.Done()
 	x := newExchange(w, r)
 	g.awaitSync(r.Context())
 	refusal := g.admit(x)
 	if refusal == nil {
-		refusal = g.take(x)
+		refusal = g.accept(x)
 	}
 	if refusal != nil {
 		g.refuse(x, refusal)
 		return
 	}
-	timed, cancel := context.WithDeadline(r.Context(), x.ends)
+	deadlineCtx, cancel := context.WithDeadline(r.Context(), x.deadline)
 	defer cancel()
-	ctx, end := context.WithCancelCause(timed)
-	defer end(nil)
-	x.keepPastEnd = context.AfterFunc(g.over, func() { end(errStopping) })
-	defer x.keepPastEnd()
+	ctx, cancelCause := context.WithCancelCause(deadlineCtx)
+	defer cancelCause(nil)
+	x.continuePastShutdown = context.AfterFunc(g.drainCtx, func() { cancelCause(errShuttingDown) })
+	defer x.continuePastShutdown()
 	g.serve(ctx, x)
 }
 
-// admit finds out what the request is and whether it may run.
+// admit resolves the request's route, account and service, and returns a refusal if the request must not run.
 func (g *Gateway) admit(x *exchange) *refusal {
 	x.config = g.state.Config()
 	if x.config == nil || !g.state.HasSynced() {
-		return notYet
+		return refusedNoConfiguration
 	}
-	if most := x.config.Limits.MaxHeader; most > 0 && headSize(x.request) > most {
-		return headTooLarge
+	if maxHeader := x.config.Limits.MaxHeader; maxHeader > 0 && headSize(x.request) > maxHeader {
+		return refusedHeadTooLarge
 	}
 	path, _, _ := strings.Cut(x.request.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
 		path = x.request.URL.EscapedPath()
 	}
 	if x.route = x.config.Match(x.request.Host, path); x.route == nil {
-		return unknownRoute
+		return refusedNoRoute
 	}
 	if refusal := x.authenticate(); refusal != nil {
 		return refusal
 	}
-	x.regions, x.limited = deployment.AllowedRegions(x.route, x.account)
-	x.ends = x.arrived.Add(x.route.Timeout)
+	x.regions, x.regionsLimited = deployment.AllowedRegions(x.route, x.account)
+	x.deadline = x.arrived.Add(x.route.Timeout)
 	if x.wire.Timeout > 0 && x.wire.Timeout < x.route.Timeout {
-		x.ends = x.arrived.Add(x.wire.Timeout)
+		x.deadline = x.arrived.Add(x.wire.Timeout)
 	}
-	x.service = x.config.Services[g.share(x)]
+	x.service = x.config.Services[g.chooseService(x)]
 	if x.service == nil {
-		return unknownService
+		return refusedUnknownService
 	}
 	g.budgets.RecordRequest(x.arrived, x.service.Name)
 	return nil
 }
 
-// take reads the rest of a request that may run; while the entry stops it decides whether there is time for it.
-func (g *Gateway) take(x *exchange) *refusal {
+// accept reads the body of an admitted request. It refuses the request if it is quarantined, or if the entry is
+// shutting down and has no time left for it.
+func (g *Gateway) accept(x *exchange) *refusal {
 	if refusal := x.read(); refusal != nil {
 		return refusal
 	}
-	if !g.mayBegin(x) {
-		return crashesRunners
+	if !g.admitsSuspect(x) {
+		return refusedCrashesRunners
 	}
-	if g.leaving.Load() {
-		return g.takeLeaving(x)
+	if g.shuttingDown.Load() {
+		return g.acceptDuringShutdown(x)
 	}
 	return nil
 }
 
-// headSize is about how many bytes the head of a request takes.
+// headSize returns the approximate size of a request's head in bytes.
 func headSize(r *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
@@ -104,33 +105,34 @@
 	}
 	x.account = x.config.AccountByKey(x.wire.APIKey)
 	if x.account == nil && !x.route.Public {
-		return unknownKey
+		return refusedUnknownKey
 	}
 	return nil
 }
 
-// share picks one of the route's services by their weights; requests of one conversation stay together.
-func (g *Gateway) share(x *exchange) rillreach.ServiceID {
-	shares := x.route.WeightedServices
-	if len(shares) == 1 {
-		return shares[0].Service
+// chooseService picks one of the route's services by weight. Requests of one conversation get the same service.
+func (g *Gateway) chooseService(x *exchange) rillreach.ServiceID {
+	services := x.route.WeightedServices
+	if len(services) == 1 {
+		return services[0].Service
 	}
-	sum := 0.0
-	for _, s := range shares {
-		sum += s.Weight
+	totalWeight := 0.0
+	for _, s := range services {
+		totalWeight += s.Weight
 	}
-	at := float64(xxhash.Sum64String(conversation(x))) / math.MaxUint64 * sum
-	for _, s := range shares {
-		if at < s.Weight {
+	point := float64(xxhash.Sum64String(conversationID(x))) / math.MaxUint64 * totalWeight
+	for _, s := range services {
+		if point < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		point -= s.Weight
 	}
-	return shares[len(shares)-1].Service
+	return services[len(services)-1].Service
 }
 
-// conversation names what the request has in common with those that come back: the last shared part of its prompt.
-func conversation(x *exchange) string {
+// conversationID identifies the conversation of a request by the last shared part of its prompt, which later requests
+// of the conversation have too. A request without shared parts is its own conversation.
+func conversationID(x *exchange) string {
 	if x.wire.Prompt != nil {
 		if shared := x.wire.Prompt.SharedParts(); len(shared) > 0 {
 			return shared[len(shared)-1].ID
@@ -139,7 +141,7 @@
 	return string(x.wire.ID)
 }
 
-// read takes the body in and makes the call that goes to the runner.
+// read reads the body and prepares the call to the runner.
 func (x *exchange) read() *refusal {
 	r := x.request
 	x.call = forward.Request{
@@ -150,27 +152,27 @@
 		return nil
 	}
 	control := http.NewResponseController(x.writer)
-	if err := control.SetReadDeadline(x.ends); err != nil {
-		return unreadable
+	if err := control.SetReadDeadline(x.deadline); err != nil {
+		return refusedBodyUnreadable
 	}
 	body, err := readBody(http.MaxBytesReader(x.writer, r.Body, x.config.Limits.MaxBody), r.ContentLength)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return bodyTooLarge
+		return refusedBodyTooLarge
 	case err != nil:
-		return unreadable
+		return refusedBodyUnreadable
 	}
 	x.call.Body = body
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		return unreadable
+		return refusedBodyUnreadable
 	}
 	return nil
 }
 
-// readBody reads a body whose length may be known.
+// readBody reads a body of the given length. A length of zero or less means unknown.
 func readBody(from io.Reader, length int64) ([]byte, error) {
-	if length <= 0 || length > maxPrepared {
+	if length <= 0 || length > maxPreallocatedBody {
 		return io.ReadAll(from)
 	}
 	body := make([]byte, length)
@@ -178,10 +180,10 @@
 	return body, err
 }
 
-// maxPrepared is the largest body for which memory is taken before it has come, in bytes.
-const maxPrepared = 256 << 10
+// maxPreallocatedBody is the largest body, in bytes, for which memory is allocated before the body has arrived.
+const maxPreallocatedBody = 256 << 10
 
-// serve tries runners until the request has its answer or none can give it.
+// serve makes attempts until the request is answered or must be given up.
 func (g *Gateway) serve(ctx context.Context, x *exchange) {
 	for {
 		done := g.runAttempt(ctx, x)
@@ -195,57 +197,59 @@
 	}
 }
 
-// Verdicts on a request whose attempts have failed, where they decide on its answer.
+// Verdicts on requests that are given up.
 const (
-	verdictStopping = "stopping"
-	verdictLeft     = "caller-left"
-	verdictTimedOut = "timed-out"
-	verdictNoRunner = "no-runner"
-	// verdictCold says that all runners left are cold and have as much as they bear, verdictLimited that they have as much as the limits that they name
-	// allow, verdictResting that they rest, verdictEvacuated that they are in evacuated zones, and verdictElsewhere that they are in regions in which the request may not run.
-	verdictCold      = "runners-cold"
-	verdictLimited   = "runners-limited"
-	verdictResting   = "runners-resting"
-	verdictEvacuated = "zone-evacuated"
-	verdictElsewhere = "region-not-allowed"
-	// verdictNoRoom says that no engine had room in time, verdictBacklog that none will have, for what waits already, and
-	// verdictLeftLine that the request's time or its caller's patience ended before one had.
-	verdictNoRoom   = "no-room"
-	verdictBacklog  = "backlog"
-	verdictLeftLine = "left-while-waiting"
-	// verdictCrashesRunners says that runners have ended under the request.
+	verdictStopping   = "stopping"
+	verdictCallerLeft = "caller-left"
+	verdictTimedOut   = "timed-out"
+	verdictNoRunner   = "no-runner"
+	// The next five say why none of the remaining runners may take the request: they are cold and have no permits left,
+	// have reached the limits that they announce, have asked for a rest, or are in an evacuated zone or in a region in
+	// which the request must not run.
+	verdictRunnersCold      = "runners-cold"
+	verdictRunnersLimited   = "runners-limited"
+	verdictRunnersResting   = "runners-resting"
+	verdictZoneEvacuated    = "zone-evacuated"
+	verdictRegionNotAllowed = "region-not-allowed"
+	// verdictNoRoom means that no engine had room in time, verdictBacklog that none will because of the requests that
+	// are already queued, and verdictLeftQueue that the request's deadline passed or its caller gave up in the queue.
+	verdictNoRoom    = "no-room"
+	verdictBacklog   = "backlog"
+	verdictLeftQueue = "left-while-waiting"
+	// verdictCrashesRunners means that the request is quarantined because runners have crashed while serving it.
 	verdictCrashesRunners = "crashes-runners"
 )
 
-// again decides whether another attempt may follow; it returns why not, or nothing.
-func (g *Gateway) again(ctx context.Context, x *exchange) string {
+// checkRetry decides whether another attempt may follow. It returns the reason if not, or an empty string.
+func (g *Gateway) checkRetry(ctx context.Context, x *exchange) string {
 	now := time.Now()
 	switch {
-	case g.over.Err() != nil && ctx.Err() != nil:
+	case g.drainCtx.Err() != nil && ctx.Err() != nil:
 		return verdictStopping
 	case x.request.Context().Err() != nil:
-		return verdictLeft
+		return verdictCallerLeft
 	case ctx.Err() != nil:
 		return verdictTimedOut
-	case x.maybeRan && (x.route.AtMostOnce() || x.began && !x.route.Resumable):
+	case x.maybeRan && (x.route.AtMostOnce() || x.headSent && !x.route.Resumable):
 		return "may-have-run"
-	case x.exhausted:
+	case x.noRunnerLeft:
 		return x.reason
-	case x.ends.Sub(now) < leastTime:
+	case x.deadline.Sub(now) < minRemainingTime:
 		return "no-time-left"
 	default:
-		return g.allowed(x, now)
+		return g.checkRetryLimits(x, now)
 	}
 }
 
-// allowed decides whether route and budget leave room for another attempt; it returns why not, or nothing.
-func (g *Gateway) allowed(x *exchange, now time.Time) string {
+// checkRetryLimits checks another attempt against the limits of the route and the retry budget, which it spends. It
+// returns the reason if the attempt must not be made, or an empty string.
+func (g *Gateway) checkRetryLimits(x *exchange, now time.Time) string {
 	switch {
-	case x.sends.sendCount() == 0 && (now.Sub(x.arrived) > connectFor || len(x.sends.runnersTried()) >= maxTried):
+	case x.sends.sendCount() == 0 && (now.Sub(x.arrived) > maxConnectTime || len(x.sends.runnersTried()) >= maxConnectRunners):
 		return "no-connection"
 	case x.sends.sendCount() == 0:
 		return ""
-	case !x.mayMove():
+	case !x.mayUseAnotherRunner():
 		return "runners-used"
 	case g.isQuarantined(x):
 		return verdictCrashesRunners
@@ -257,20 +261,20 @@
 }
 
 const (
-	// leastTime is the time under which another attempt cannot succeed.
-	leastTime = 10 * time.Millisecond
-	// connectFor bounds the search for a runner that takes a connection.
-	connectFor = 600 * time.Millisecond
-	// maxTried bounds how many runners are asked for a connection.
-	maxTried = 6
+	// minRemainingTime is the shortest remaining time in which another attempt can succeed.
+	minRemainingTime = 10 * time.Millisecond
+	// maxConnectTime bounds the search for a runner that accepts a connection.
+	maxConnectTime = 600 * time.Millisecond
+	// maxConnectRunners bounds how many runners are tried in that search.
+	maxConnectRunners = 6
 )
 
-// directions are what goes to the runner beside the caller's own header.
+// directions returns what the runner is told in addition to the caller's own headers.
 func (g *Gateway) directions(x *exchange, t *target) *platform.RunnerHeaders {
 	d := &platform.RunnerHeaders{
 		Runner:      t.view.ID,
 		Account:     x.accountName(),
-		Timeout:     time.Until(x.ends),
+		Timeout:     time.Until(x.deadline),
 		DropAPIKey:  !x.route.Public || x.account != nil,
 		LastEventID: x.lastEvent,
 	}
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -64,7 +64,7 @@
 	g, now := a.gateway, time.Now()
 	x := a.exchange.fork()
 	// Checked first because this runs for each event of a stream whose runner is about to load weights.
-	if !x.mayMove() || g.mayEndMore(x) || !g.budgets.Allows(now, x.service.Name) {
+	if !x.mayUseAnotherRunner() || g.mayReachCrashLimit(x) || !g.budgets.Allows(now, x.service.Name) {
 		return false
 	}
 	o := g.findOptions(x, g.viewsAt(now), now)
@@ -117,7 +117,7 @@
 	if h.reason == hedgeLoading {
 		h.primary.noEjection.Store(true)
 	}
-	h.primary.cancel(errAnotherAnswers)
+	h.primary.cancel(errSecondAttemptAnswers)
 }
 
 // awaitAnswer waits for the answer of the second attempt, or of a third one that replaces it.
@@ -141,7 +141,7 @@
 		return
 	}
 	h.secondary.noEjection.Store(true)
-	h.secondary.cancel(errNotNeeded)
+	h.secondary.cancel(errSecondAttemptNotNeeded)
 }
 
 // wait waits until the hedge has answered or ended, and reports whether it has answered.
@@ -208,7 +208,7 @@
 	if h == nil {
 		return nil
 	}
-	if x.mayMove() {
+	if x.mayUseAnotherRunner() {
 		h.secondary.watchdog.start(firstByteTimeout(x.route)) // the primary's watchdog no longer covers it
 	}
 	won := h.wait()
@@ -236,21 +236,21 @@
 }
 
 // prefetch reads enough of the answer to know that it can replace another one: the first complete event of a stream, or
-// any other answer up to its end or up to maxHeld. It reports whether the answer can be used.
+// any other answer up to its end or up to maxBufferedAnswer. It reports whether the answer can be used.
 func (a *attempt) prefetch() bool {
 	x, status := a.exchange, a.answer.Head.StatusCode
-	if status >= failureStatus || a.isStream() && !a.goesOn() {
+	if status >= minFailureStatus || a.isEventStream() && !a.canContinue() {
 		x.maybeRan, x.reason = true, "runner-failed"
 		return false
 	}
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferSize)
 	for !a.prefetchedEnough() {
 		n, err := a.readAnswer(buf)
 		a.prefetched.Write(buf[:n])
-		if isEnd(err) {
+		if isCompleteAnswer(err) {
 			break
 		}
-		if err == nil && a.prefetched.Len() > maxEvent && !a.prefetchedEnough() {
+		if err == nil && a.prefetched.Len() > maxEventSize && !a.prefetchedEnough() {
 			err = errEventTooLarge
 		}
 		if err != nil {
@@ -264,10 +264,10 @@
 // prefetchedEnough reports whether the prefetched part shows that the answer can be used. The first event of a stream
 // is enough even if the stream is buffered until it is complete, since two runners must not work on it for long.
 func (a *attempt) prefetchedEnough() bool {
-	if a.isStream() {
+	if a.isEventStream() {
 		return bytes.Contains(a.prefetched.Bytes(), eventEnd)
 	}
-	return a.prefetched.Len() > maxHeld
+	return a.prefetched.Len() > maxBufferedAnswer
 }
 
 // currentExchange returns the request that the attempt answers. A hedge that replaces the primary adopts the primary's.
@@ -280,7 +280,7 @@
 // canContinueFrom reports whether the stream can continue after the given event, the last one that the caller has, with
 // this attempt's events. Those that the caller already has must be known by their IDs.
 func (a *attempt) canContinueFrom(lastEvent string) bool {
-	return a.exchange.lastEvent == lastEvent || isNumber(lastEvent)
+	return a.exchange.lastEvent == lastEvent || isNumericID(lastEvent)
 }
 
 // adoptExchange makes the attempt answer the original request instead of its copy.
@@ -288,11 +288,11 @@
 	if a.exchange.lastEvent != x.lastEvent {
 		a.resumeAfter = x.lastEvent
 	}
-	x.waited = a.exchange.waited
+	x.firstTokenWait = a.exchange.firstTokenWait
 	a.mu.Lock()
 	a.exchange = x
 	a.mu.Unlock()
-	if x.mayMove() {
+	if x.mayUseAnotherRunner() {
 		a.watchdog.start(a.watchdog.timeout)
 	}
 }
--- a/gateway/hedge_test.go
+++ b/gateway/hedge_test.go
@@ -74,14 +74,14 @@
 		t.Run("a stream and "+other.name, func(t *testing.T) {
 			w := silentWorld(t, pauseStream, other.answers)
 			defer w.stop()
-			got := w.call(t, "POST", "/stream/x", "prompt")
+			got := w.send(t, "POST", "/stream/x", "prompt")
 			require.NoError(t, got.err, "the answer of a slow runner was cut")
-			assert.Equal(t, pieces(streamEvents), got.body)
+			assert.Equal(t, eventsUpTo(streamEvents), got.body)
 		})
 		t.Run("a request without an answer so far and "+other.name, func(t *testing.T) {
 			w := silentWorld(t, answerLate, other.answers)
 			defer w.stop()
-			got := w.call(t, "GET", "/repeat/x", "")
+			got := w.send(t, "GET", "/repeat/x", "")
 			require.NoError(t, got.err)
 			assert.Equal(t, "late and whole", got.body)
 		})
@@ -100,7 +100,7 @@
 		for range runners {
 			select {
 			case <-released:
-			case <-time.After(wait):
+			case <-time.After(testTimeout):
 				t.Fatal("a runner is still working on the request")
 			}
 		}
@@ -116,12 +116,12 @@
 		defer w.stop()
 		goOn := make(chan struct{})
 		loads.Handle = pauseAfterFifthEvent(w, goOn)
-		conn := w.prompt(t, "/prompt/x")
+		conn := w.sendPrompt(t, "/prompt/x")
 		assertReleased(t, 1)
 		close(goOn)
-		got := read(t, conn, "POST")
+		got := readAnswer(t, conn, "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamEvents), got.body)
+		assert.Equal(t, eventsUpTo(streamEvents), got.body)
 	})
 	t.Run("the caller disconnects", func(t *testing.T) {
 		var asked atomic.Int64
@@ -131,7 +131,7 @@
 		})
 		defer w.stop()
 		conn := w.dial(t)
-		w.ask(t, conn, "/stream/x")
+		w.sendGet(t, conn, "/stream/x")
 		w.eventually(t, func() bool { return asked.Load() == 1 })
 		require.NoError(t, conn.Close())
 		assertReleased(t, 2)
@@ -148,9 +148,9 @@
 		third.ID, third.Handle = "third", site.Refuse
 		w.addEngine(t, third)
 		setReport(w, "third", deployment.Load{Running: 60, UsedTokens: 3000})
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
-		assert.Equal(t, pieces(streamEvents), got.body)
+		assert.Equal(t, eventsUpTo(streamEvents), got.body)
 		assert.Len(t, loads.Runs(), 1)
 		assert.LessOrEqual(t, len(other.Runs())+len(third.Runs()), 1, "the route allows two runners")
 	})
@@ -160,7 +160,7 @@
 		for w.gateway.budgets.TrySpend(time.Now(), "e") {
 			continue
 		}
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
 		assert.Len(t, loads.Runs(), 1)
 		assert.Empty(t, other.Runs())
@@ -173,7 +173,7 @@
 		var second atomic.Int64
 		w := silentWorld(t, answerLate, func(http.ResponseWriter, *http.Request) { second.Add(1) })
 		defer w.stop()
-		got := w.call(t, "POST", "/once/x", "order")
+		got := w.send(t, "POST", "/once/x", "order")
 		require.NoError(t, got.err)
 		assert.Equal(t, "once", got.body)
 		assert.Zero(t, second.Load())
@@ -183,11 +183,11 @@
 // Guards against a new connection for each request, which costs the runner one of its connections and the caller a
 // round trip.
 func TestConnectionNotReused(t *testing.T) {
-	w := begin(t, defaultConfig(), &site.Runner{ID: "a"})
+	w := startWorld(t, defaultConfig(), &site.Runner{ID: "a"})
 	defer w.stop()
 	for range 5 {
-		require.NoError(t, w.call(t, "GET", "/repeat/x", "").err)
-		require.NoError(t, w.call(t, "POST", "/once/x", "order").err)
+		require.NoError(t, w.send(t, "GET", "/repeat/x", "").err)
+		require.NoError(t, w.send(t, "POST", "/once/x", "order").err)
 	}
 	assert.Equal(t, int64(1), w.gateway.pool.Opened.Load(), "each request opened a connection")
 }
@@ -221,7 +221,7 @@
 			site.Events(rw, r, last, 0)
 		}
 	}
-	w = enginesWorld(t, loads, other)
+	w = startWithEngines(t, loads, other)
 	setReport(w, "other", deployment.Load{Running: 60, UsedTokens: 3000})
 	return w, loads, other
 }
@@ -242,15 +242,15 @@
 }
 
 func setReport(w *world, id rillreach.InstanceID, load deployment.Load) {
-	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
+	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(testTimeout)})
 }
 
 // assertStreamCompleteWithHedge asserts that a stream from the first engine is complete and that the other was tried.
 func assertStreamCompleteWithHedge(t *testing.T, w *world, loads, other *site.Engine) {
 	t.Helper()
-	got := read(t, w.prompt(t, "/prompt/x"), "POST")
+	got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 	require.NoError(t, got.err, "the answer was cut although its runner was still answering")
-	assert.Equal(t, pieces(streamEvents), got.body)
+	assert.Equal(t, eventsUpTo(streamEvents), got.body)
 	assert.Len(t, loads.Runs(), 1)
 	require.Len(t, other.Runs(), 1, "the other runner was not tried")
 }
@@ -266,11 +266,11 @@
 func silentWorldWithConfig(t *testing.T, config jsonMap, first, second http.HandlerFunc) *world {
 	t.Helper()
 	a, b := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: second}
-	w := begin(t, config, a)
+	w := startWorld(t, config, a)
 	b.Start()
 	t.Cleanup(b.Stop)
 	a.Handle = func(rw http.ResponseWriter, r *http.Request) {
-		w.store.Put("servers", "b", record(b, "ready"))
+		w.store.Put("servers", "b", runnerRecord(b, "ready"))
 		first(rw, r)
 	}
 	return w
--- a/gateway/left_out.go
+++ b/gateway/left_out.go
@@ -67,23 +67,23 @@
 
 // setRefusal sets the retry delay of a request for which no runner is left, and returns the reason.
 func (e *exclusions) setRefusal(x *exchange) (verdict string) {
-	x.comeBack, x.notBefore = 0, time.Time{}
+	x.admissionWait, x.retryNotBefore = 0, time.Time{}
 	switch {
 	case e.cold > 0:
-		x.comeBack = coldRetryAfter
-		return verdictCold
+		x.admissionWait = coldRetryAfter
+		return verdictRunnersCold
 	case e.limited > 0:
-		x.comeBack = e.limitRetryAfter()
-		return verdictLimited
+		x.admissionWait = e.limitRetryAfter()
+		return verdictRunnersLimited
 	case e.backingOff > 0:
-		x.notBefore = e.backoffEnds
-		return verdictResting
+		x.retryNotBefore = e.backoffEnds
+		return verdictRunnersResting
 	case e.evacuated > 0:
-		x.comeBack = evacuationRetryAfter
-		return verdictEvacuated
+		x.admissionWait = evacuationRetryAfter
+		return verdictZoneEvacuated
 	case e.disallowedRegion > 0:
-		x.comeBack = evacuationRetryAfter
-		return verdictElsewhere
+		x.admissionWait = evacuationRetryAfter
+		return verdictRegionNotAllowed
 	default:
 		return verdictNoRunner
 	}
--- a/gateway/line.go
+++ b/gateway/line.go
@@ -112,7 +112,7 @@
 	case <-ctx.Done():
 	}
 	if q.remove(w) {
-		return nil, verdictLeftLine
+		return nil, verdictLeftQueue
 	}
 	d := <-w.decided // it was decided at the same moment
 	return d.target, d.verdict
@@ -218,7 +218,7 @@
 		*o.views[choice.Index] = t.runner.View(now) // the next request finds less room there
 		return decision{target: t}, true
 	case w.request.MissesDeadline(now):
-		x.comeBack = drainTime
+		x.admissionWait = drainTime
 		return decision{verdict: verdictNoRoom}, true
 	case mostFree >= 0 && reserved != nil:
 		reserved[o.runners[mostFree]] = true
--- a/gateway/line_test.go
+++ b/gateway/line_test.go
@@ -27,36 +27,36 @@
 		t.Helper()
 		engine := &site.Engine{Model: site.Model, Version: 1}
 		engine.ID = "e"
-		w := enginesWorld(t, engine)
+		w := startWithEngines(t, engine)
 		w.reportLoad("e", fullEngineLoad)
 		return w, engine
 	}
 	t.Run("the prompt is sent once there is room", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
-		conn := w.prompt(t, "/prompt/x")
-		w.eventually(t, func() bool { return w.gateway.line.len() == 1 })
+		conn := w.sendPrompt(t, "/prompt/x")
+		w.eventually(t, func() bool { return w.gateway.queue.len() == 1 })
 		assert.Empty(t, engine.Runs())
 		w.reportLoad("e", deployment.Load{})
-		got := read(t, conn, "POST")
+		got := readAnswer(t, conn, "POST")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 	})
 	t.Run("a prompt whose caller disconnects is not sent", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
-		conn := w.prompt(t, "/prompt/x")
-		w.eventually(t, func() bool { return w.gateway.line.len() == 1 })
+		conn := w.sendPrompt(t, "/prompt/x")
+		w.eventually(t, func() bool { return w.gateway.queue.len() == 1 })
 		require.NoError(t, conn.Close())
-		w.eventually(t, func() bool { return w.gateway.line.len() == 0 })
+		w.eventually(t, func() bool { return w.gateway.queue.len() == 0 })
 		w.reportLoad("e", deployment.Load{})
 		assert.Empty(t, engine.Runs())
 	})
 	t.Run("without room the prompt is refused as not run with a Retry-After header", func(t *testing.T) {
 		w, engine := begin(t)
 		defer w.stop()
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
-		assertOwn(t, got, http.StatusServiceUnavailable)
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
+		assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		assert.Positive(t, after)
@@ -66,8 +66,8 @@
 
 // reportLoad sets the report of an engine's agent.
 func (w *world) reportLoad(id rillreach.InstanceID, load deployment.Load) {
-	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(wait)})
-	w.gateway.line.notify()
+	w.gateway.state.Roster.Find(id).SetReport(roster.Report{Load: load, ReceivedAt: time.Now().Add(testTimeout)})
+	w.gateway.queue.notify()
 }
 
 // Guards against holding a request that cannot be admitted before its caller gives up because of the requests ahead of
@@ -77,24 +77,24 @@
 		g, x := gatewayWithEngines(1)
 		g.state.Roster.Find("r0").SetReport(roster.Report{Load: deployment.Load{Running: 1, UsedTokens: 70000}, ReceivedAt: time.Now().Add(time.Hour)})
 		now := time.Now()
-		x.arrived, x.ends = now, now.Add(3*time.Second)
-		g.line.admitRate.Record(now, 3000) // 1000 tokens per second
+		x.arrived, x.deadline = now, now.Add(3*time.Second)
+		g.queue.admitRate.Record(now, 3000) // 1000 tokens per second
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		first := make(chan string, 1)
 		go func() {
-			_, verdict := g.line.admit(ctx, x)
+			_, verdict := g.queue.admit(ctx, x)
 			first <- verdict
 		}()
 		synctest.Wait()
-		require.Equal(t, 1, g.line.len(), "the first request waits")
+		require.Equal(t, 1, g.queue.len(), "the first request waits")
 		second := *x
-		_, verdict := g.line.admit(ctx, &second)
+		_, verdict := g.queue.admit(ctx, &second)
 		assert.Equal(t, verdictBacklog, verdict)
 		assert.Equal(t, now, time.Now(), "the second request was not refused at once")
-		assert.InDelta(t, 12.2, second.comeBack.Seconds(), 0.1)
+		assert.InDelta(t, 12.2, second.admissionWait.Seconds(), 0.1)
 		cancel()
-		assert.Equal(t, verdictLeftLine, <-first)
+		assert.Equal(t, verdictLeftQueue, <-first)
 	})
 }
 
@@ -112,7 +112,7 @@
 		ctx := t.Context()
 		admitted := make(chan string, 2)
 		wait := func(name string, x *exchange) {
-			if target, _ := g.line.admit(ctx, x); target != nil {
+			if target, _ := g.queue.admit(ctx, x); target != nil {
 				admitted <- name
 			}
 		}
@@ -121,13 +121,13 @@
 		small.arrived = small.arrived.Add(time.Millisecond)
 		go wait("small", &small)
 		synctest.Wait()
-		require.Equal(t, 2, g.line.len())
+		require.Equal(t, 2, g.queue.len())
 		report(50000) // enough room for the small one only
-		g.line.admitWaiting(time.Now())
+		g.queue.admitWaiting(time.Now())
 		synctest.Wait()
 		assert.Empty(t, admitted)
 		report(1000)
-		g.line.admitWaiting(time.Now())
+		g.queue.admitWaiting(time.Now())
 		assert.Equal(t, "large", <-admitted)
 	})
 }
--- a/gateway/loads_soon_test.go
+++ b/gateway/loads_soon_test.go
@@ -37,24 +37,24 @@
 	}
 	soon := &site.Engine{Model: site.Model, Version: 1}
 	soon.ID = "soon"
-	w := enginesWorld(t, loads)
+	w := startWithEngines(t, loads)
 	defer w.stop()
-	conn := w.prompt(t, "/prompt/x")
+	conn := w.sendPrompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
 	w.addEngine(t, soon)
-	later := time.Now().Add(wait) // so that the reports stay fresh
+	later := time.Now().Add(testTimeout) // so that the reports stay fresh
 	w.gateway.state.Roster.Find("soon").SetReport(roster.Report{ReceivedAt: later, WeightLoadAt: time.Now()})
 	w.gateway.state.Roster.Find("loads").SetReport(roster.Report{ReceivedAt: later, Load: deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true}})
 	close(sendFifth)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
-	firstPart := make([]byte, len(pieces(5)))
+	firstPart := make([]byte, len(eventsUpTo(5)))
 	_, err = io.ReadFull(resp.Body, firstPart)
 	require.NoError(t, err)
 	close(sendSixth)
 	rest, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	assert.Equal(t, pieces(6), string(firstPart)+string(rest))
+	assert.Equal(t, eventsUpTo(6), string(firstPart)+string(rest))
 	assert.Empty(t, soon.Runs())
 }
 
@@ -63,7 +63,7 @@
 	isAvoidedWith := func(change func(*Gateway, *exchange, *roster.Report)) bool {
 		g, x := gatewayWithEngines(1)
 		now := time.Now()
-		x.began = true
+		x.headSent = true
 		report := roster.Report{ReceivedAt: now}
 		change(g, x, &report)
 		g.state.Roster.Find("r0").SetReport(report)
@@ -96,6 +96,6 @@
 		assert.False(t, isAvoidedWith(setDesiredVersion(1)))
 	})
 	t.Run("a request whose answer has not started avoids none", func(t *testing.T) {
-		assert.False(t, isAvoidedWith(func(_ *Gateway, x *exchange, r *roster.Report) { x.began, r.WeightLoadAt = false, r.ReceivedAt }))
+		assert.False(t, isAvoidedWith(func(_ *Gateway, x *exchange, r *roster.Report) { x.headSent, r.WeightLoadAt = false, r.ReceivedAt }))
 	})
 }
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -43,8 +43,8 @@
 	o.runners = make([]*roster.Runner, 0, len(group.views))
 	o.candidates = make([]place.Candidate, 0, len(group.views))
 	tried := x.sends.runnersTried()
-	conversation := hash.String(conversation(x))
-	meanPrefill := g.reads.mean()
+	conversation := hash.String(conversationID(x))
+	meanPrefill := g.prefillSizes.mean()
 	evacuations := g.state.Evacuations()
 	for i := range group.views {
 		v := &group.views[i]
@@ -90,7 +90,7 @@
 	request := place.Request{Target: x.route.TargetLatency}
 	if x.needsEngine() {
 		request.Tokens = x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens
-		request.Latency = g.firsts.model(x.service.Name)
+		request.Latency = g.ttft.model(x.service.Name)
 	}
 	return request
 }
@@ -116,7 +116,7 @@
 		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.AwaitingFirstEvent+v.Load.Waiting)*meanPrefill+v.UnreportedPrefillTokens)
 		c.UsedTokens = max(c.UsedTokens, v.Load.UsedTokens+v.UnreportedKVTokens)
 	}
-	c.Avoided = isAvoided(v) || x.began && g.weightLoadImminent(x, v)
+	c.Avoided = isAvoided(v) || x.headSent && g.weightLoadImminent(x, v)
 	c.HashDistance = hashDistance(conversation, v.ID)
 	return c
 }
@@ -136,7 +136,7 @@
 	v := o.views[i]
 	state := g.versionStateOf(x, o, v)
 	if state.prompt == nil {
-		state.prompt = g.promptStateOf(x, weightVersion(x, v), o.views, now)
+		state.prompt = g.lookUpPrompt(x, weightVersion(x, v), o.views, now)
 	}
 	o.plans[i] = state.prompt.plan(v)
 	applyPlan(&o.candidates[i], x.wire.Prompt, &o.plans[i])
--- a/gateway/poison_world_test.go
+++ b/gateway/poison_world_test.go
@@ -22,19 +22,19 @@
 	"github.com/rillreach/rillreach/sidecar"
 )
 
-// crashLog counts the sends of fatal requests, and the runners that they end.
+// crashLog records the crashes of runners caused by fatal requests.
 type crashLog struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
-// runners are runners that end with fatal requests.
+// runners returns runners that crash when they get a fatal request.
 func (l *crashLog) runners(n int) []*site.Runner {
 	var runners []*site.Runner
 	for i := range n {
 		r := &site.Runner{ID: fmt.Sprint("r", i)}
 		r.Handle = func(w http.ResponseWriter, req *http.Request) {
-			if !strings.Contains(req.RequestURI, fatal) {
+			if !strings.Contains(req.RequestURI, fatalPath) {
 				site.Answer(w, req, "sound")
 				return
 			}
@@ -53,25 +53,26 @@
 	l.at = append(l.at, time.Now())
 }
 
-// ended are the moments at which runners ended.
-func (l *crashLog) ended() []time.Time {
+// times returns the times of the crashes.
+func (l *crashLog) times() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]time.Time(nil), l.at...)
 }
 
-// late is how many runners ended later than the bound after the last that may.
-func (l *crashLog) late() int {
-	all, n := l.ended(), 0
+// countLate returns the number of crashes later than propagationTime after the last permitted one.
+func (l *crashLog) countLate() int {
+	all, n := l.times(), 0
 	for _, at := range all {
-		if len(all) > mostEnded && at.Sub(all[mostEnded-1]) > spreads {
+		if len(all) > maxCrashes && at.Sub(all[maxCrashes-1]) > propagationTime {
 			n++
 		}
 	}
 	return n
 }
 
-// sharedSite is a site with several entries, which follow the agent of one engine and serve requests by other runners.
+// sharedSite is a test environment for several entries. They follow the agent of one engine, and forward requests to
+// other runners.
 type sharedSite struct {
 	store  *site.Store
 	server *httptest.Server
@@ -80,17 +81,17 @@
 	stop   func()
 }
 
-// beginShared starts a site without entries.
-func beginShared(t *testing.T, runners ...*site.Runner) *sharedSite {
+// startSharedSite starts the site without entries.
+func startSharedSite(t *testing.T, runners ...*site.Runner) *sharedSite {
 	t.Helper()
 	s := &sharedSite{store: site.NewStore(), engine: &site.Engine{Model: site.Model, Version: 1}}
 	config := defaultConfig()
-	config["services"] = append(config["services"].([]jsonMap), engineService())
+	config["services"] = append(config["services"].([]jsonMap), engineServiceConfig())
 	s.store.Put("config", "main", config)
 	for _, r := range runners {
 		r.Start()
 		t.Cleanup(r.Stop)
-		s.store.Put("servers", r.ID, record(r, "ready"))
+		s.store.Put("servers", r.ID, runnerRecord(r, "ready"))
 	}
 	s.server = httptest.NewServer(s.store)
 	t.Cleanup(s.server.Close)
@@ -105,17 +106,17 @@
 	return s
 }
 
-// engineService is the service of the site's engine.
-func engineService() jsonMap {
+// engineServiceConfig returns the configuration of the engine's service.
+func engineServiceConfig() jsonMap {
 	return jsonMap{
 		"name": "e", "engine": jsonMap{"slots": 64, "kv_capacity_tokens": 40000, "kv_token_bytes": 18432, "link_mbps": 130000, "models": []jsonMap{{"name": site.Model}}},
 	}
 }
 
-// entry starts an entry, and waits until it serves and hears the agent.
-func (s *sharedSite) entry(t *testing.T, name string) *world {
+// startEntry starts an entry, and waits until it is ready and has a report of the agent.
+func (s *sharedSite) startEntry(t *testing.T, name string) *world {
 	t.Helper()
-	w := beginWith(t, s.store, func(settings *deployment.Settings) {
+	w := startWithSettings(t, s.store, func(settings *deployment.Settings) {
 		settings.Name, settings.FirstPort, settings.LastPort = name, s.agent.Port(), s.agent.Port()
 	})
 	t.Cleanup(w.stop)
@@ -148,7 +149,7 @@
 	})
 }
 
-// restartAgent ends the agent, and starts another at its address, which knows nothing.
+// restartAgent replaces the agent by a new one at the same address, which has no state.
 func (s *sharedSite) restartAgent(t *testing.T) {
 	t.Helper()
 	s.stop()
@@ -157,23 +158,23 @@
 	s.startAgent(t, l)
 }
 
-// otherKey is that of a second client account.
+// otherKey is the API key of a second client account.
 const otherKey = "key-of-other"
 
-// twoAccounts is the configuration with a second client account.
-func twoAccounts() jsonMap {
+// configWithTwoAccounts returns the default configuration with a second client account.
+func configWithTwoAccounts() jsonMap {
 	config := defaultConfig()
 	config["tenants"] = append(config["tenants"].([]jsonMap), jsonMap{"name": "other", "api_keys": []string{otherKey}})
 	return config
 }
 
-// callAs sends one request with a key.
-func (w *world) callAs(t *testing.T, key, method, target, body string) answer {
+// sendWithKey sends a request with the given API key and reads the answer.
+func (w *world) sendWithKey(t *testing.T, key, method, target, body string) answer {
 	t.Helper()
-	conn, err := net.Dial("tcp", w.callers)
+	conn, err := net.Dial("tcp", w.callerAddress)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", method, target, host, key, len(body), body)
 	require.NoError(t, err)
-	return read(t, conn, method)
+	return readAnswer(t, conn, method)
 }
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -62,9 +62,9 @@
 	t.Helper()
 	stop := startLoad(backoffSendInterval, entries, send)
 	defer stop()
-	require.Eventually(t, func() bool { return r.arrivals.len() > 0 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return r.arrivals.len() > 0 }, testTimeout, time.Millisecond)
 	r.refusing.Store(true)
-	require.Eventually(t, func() bool { return r.refusedAt.Load() != 0 }, wait, time.Millisecond)
+	require.Eventually(t, func() bool { return r.refusedAt.Load() != 0 }, testTimeout, time.Millisecond)
 	refusedAt := time.Unix(0, r.refusedAt.Load())
 	time.Sleep(time.Until(refusedAt.Add(backoffDuration + recoveryTimeout)))
 	during, afterwards := 0, 0
@@ -84,12 +84,12 @@
 func TestRunnerRetryAfterIgnored(t *testing.T) {
 	call := func(t *testing.T, path string) func(*world) {
 		t.Helper()
-		return func(w *world) { w.call(t, "POST", path, "body") }
+		return func(w *world) { w.send(t, "POST", path, "body") }
 	}
 	t.Run("a plain runner beside an available one", func(t *testing.T) {
 		t.Parallel()
 		r := newBackoffRunner()
-		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertBackoffHonored(t, r, []*world{w}, call(t, "/repeat/x"))
 	})
@@ -97,25 +97,25 @@
 		t.Parallel()
 		r := newBackoffRunner()
 		r.refuse = refuseWithSeal
-		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertBackoffHonored(t, r, []*world{w}, call(t, "/repeat/x"))
 	})
 	t.Run("the only plain runner", func(t *testing.T) {
 		t.Parallel()
 		r := newBackoffRunner()
-		w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
+		w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
 		defer w.stop()
 		assertBackoffHonored(t, r, []*world{w}, call(t, "/once/x"))
 	})
 	t.Run("an engine", func(t *testing.T) {
 		t.Parallel()
 		r := newBackoffRunner()
-		s := beginShared(t)
+		s := startSharedSite(t)
 		s.addPromptRoute()
 		s.engine.Handle = r.handle
 		var n atomic.Int64
-		assertBackoffHonored(t, r, s.startEntries(t, 1), func(w *world) { read(t, w.prompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET") })
+		assertBackoffHonored(t, r, s.startEntries(t, 1), func(w *world) { readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", n.Add(1))), "GET") })
 	})
 }
 
@@ -123,12 +123,12 @@
 // time.
 func TestRequestHeldWhileAllRunnersBackOff(t *testing.T) {
 	r := newBackoffRunner()
-	w := begin(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
+	w := startWorld(t, defaultConfig(), &site.Runner{ID: "rests", Handle: r.handle})
 	defer w.stop()
 	r.refusing.Store(true)
 	for range 3 {
-		got := w.call(t, "POST", "/once/x", "body")
-		assertOwn(t, got, http.StatusServiceUnavailable)
+		got := w.send(t, "POST", "/once/x", "body")
+		assertGatewayAnswer(t, got, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		assert.Greater(t, after, (backoffDuration - time.Second).Seconds(), "Retry-After is shorter than the remaining backoff")
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -43,7 +43,7 @@
 	g.state.Roster.Put(deployment.Runner{ID: "r", Service: "s", Address: engineAddress, Generation: earlierGeneration})
 	g.applyBulletin(runBulletin(earlierGeneration, 7, 800, true), time.Now())
 	g.state.Roster.Find("r").Eject(time.Now())
-	require.Equal(t, map[netip.AddrPort]int{engineAddress: 800}, g.stores.index.Holders(partKey))
+	require.Equal(t, map[netip.AddrPort]int{engineAddress: 800}, g.cache.index.Holders(partKey))
 	return g
 }
 
@@ -54,8 +54,8 @@
 	assert.Equal(t, rillreach.Generation(laterGeneration), v.Generation)
 	assert.Zero(t, v.Load.Waiting)
 	assert.False(t, v.Ejected)
-	assert.Empty(t, g.stores.index.Holders(partKey))
-	assert.Zero(t, g.stores.index.TotalTokens(engineAddress))
+	assert.Empty(t, g.cache.index.Holders(partKey))
+	assert.Zero(t, g.cache.index.TotalTokens(engineAddress))
 }
 
 func TestStateKeptAfterRunnerRestart(t *testing.T) {
@@ -74,7 +74,7 @@
 		runner := g.state.Roster.Find("r")
 		g.applyBulletin(&bulletin.Bulletin{Runner: "r", Generation: laterGeneration, Load: bulletin.Load{Waiting: 3}}, time.Now())
 		assert.Same(t, runner, g.state.Roster.Find("r"))
-		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.cache.index.Holders(partKey))
 	})
 	t.Run("late reports of the earlier process are ignored", func(t *testing.T) {
 		for name, snapshot := range map[string]bool{"snapshot": true, "change": false} {
@@ -92,14 +92,14 @@
 		late := runBulletin(earlierGeneration, 9, 900, true)
 		late.CacheUpdates[0].Address, late.CacheUpdates[0].Store = storeAddress, true
 		g.applyBulletin(late, time.Now())
-		assert.Equal(t, map[netip.AddrPort]int{storeAddress: 900}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{storeAddress: 900}, g.cache.index.Holders(partKey))
 	})
 	t.Run("a list that arrives after the bulletin keeps the cache index of the later process", func(t *testing.T) {
 		g := gatewayWithEarlierRun(t)
 		g.applyBulletin(runBulletin(laterGeneration, 3, 500, true), time.Now())
 		g.state.Roster.Put(record)
 		g.handleRunnerRestart(record) // as if the list had reported the restart first and were handled late
-		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.stores.index.Holders(partKey))
+		assert.Equal(t, map[netip.AddrPort]int{engineAddress: 500}, g.cache.index.Holders(partKey))
 	})
 	t.Run("an unknown generation is not a restart", func(t *testing.T) {
 		g := gatewayWithEarlierRun(t)
@@ -107,7 +107,7 @@
 		v := g.state.Roster.Find("r").View(time.Now())
 		assert.Equal(t, 4, v.Load.Waiting)
 		assert.True(t, v.Ejected)
-		assert.Equal(t, 800, g.stores.index.TotalTokens(engineAddress))
+		assert.Equal(t, 800, g.cache.index.TotalTokens(engineAddress))
 	})
 }
 
@@ -115,7 +115,7 @@
 	now := time.Now()
 	delayAt := func(clock int64) (time.Duration, bool) {
 		var g Gateway
-		g.stores.clock.hear(clock, now)
+		g.cache.clock.observe(clock, now)
 		return g.restartDelay(laterGeneration, now)
 	}
 	t.Run("the delay is measured on the runners' common clock", func(t *testing.T) {
@@ -135,18 +135,18 @@
 func TestRestartInStoreMissed(t *testing.T) {
 	e := &site.Engine{Model: site.Model, Version: 1, Born: earlierGeneration}
 	e.ID = "e1"
-	w := enginesWorld(t)
+	w := startWithEngines(t)
 	e.Start()
 	t.Cleanup(e.Stop)
 	w.store.Put("servers", e.ID, e.Record("ready"))
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("e1") != nil })
 	g := w.gateway
 	first := g.state.Roster.Find("e1")
-	g.stores.applyRunner(first.Info().Run(), &bulletin.CacheUpdate{Address: e.Address(), Snapshot: true, Changes: []holdings.Change{{Key: partKey, Tokens: 800}}})
-	require.Equal(t, 800, g.stores.index.TotalTokens(e.Address()))
+	g.cache.applyRunnerUpdate(first.Info().Run(), &bulletin.CacheUpdate{Address: e.Address(), Snapshot: true, Changes: []holdings.Change{{Key: partKey, Tokens: 800}}})
+	require.Equal(t, 800, g.cache.index.TotalTokens(e.Address()))
 	e.Restart(laterGeneration)
 	w.store.Put("servers", e.ID, e.Record("ready"))
-	w.eventually(t, func() bool { return g.stores.index.TotalTokens(e.Address()) == 0 })
+	w.eventually(t, func() bool { return g.cache.index.TotalTokens(e.Address()) == 0 })
 	assert.NotSame(t, first, g.state.Roster.Find("e1"))
 	<-first.Ended()
 }
@@ -158,27 +158,27 @@
 		site.Events(w, r, 4, 0)
 		<-r.Context().Done()
 	}
-	a, b := &site.Runner{ID: "a", Handle: hangs}, &site.Runner{ID: "b", Handle: cutAfter(0)}
-	route := routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "gap_aim_ms": 60000})
-	w := begin(t, configOf(1, route), a)
+	a, b := &site.Runner{ID: "a", Handle: hangs}, &site.Runner{ID: "b", Handle: cutAfterEvents(0)}
+	route := routeConfig("stream", "streaming", "plain", jsonMap{"resumable": true, "gap_aim_ms": 60000})
+	w := startWorld(t, configWithRoutes(1, route), a)
 	defer w.stop()
 	startedAt := func(start int) jsonMap {
-		entry := record(a, "ready")
+		entry := runnerRecord(a, "ready")
 		entry["born"] = start
 		return entry
 	}
 	w.store.Put("servers", "a", startedAt(earlierGeneration))
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("a").Info().Generation == earlierGeneration })
 	conn := w.dial(t)
-	w.ask(t, conn, "/stream/x")
+	w.sendGet(t, conn, "/stream/x")
 	w.eventually(t, func() bool { return len(a.Runs()) == 1 })
 	b.Start()
 	t.Cleanup(b.Stop)
-	w.store.Put("servers", "b", record(b, "ready"))
+	w.store.Put("servers", "b", runnerRecord(b, "ready"))
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("b") != nil })
 	w.store.Put("servers", "a", startedAt(laterGeneration))
-	got := read(t, conn, "GET")
+	got := readAnswer(t, conn, "GET")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(9), got.body)
+	assert.Equal(t, eventsUpTo(9), got.body)
 	assert.Len(t, b.Runs(), 1)
 }
--- a/gateway/route_times.go
+++ b/gateway/route_times.go
@@ -50,7 +50,7 @@
 // drainRequest estimates how long requests on the route take until their answer is complete. A request that must not
 // run twice is lost if the shutdown deadline overtakes it, so the conservative estimate also serves as its typical one.
 func (g *Gateway) drainRequest(route *deployment.Route) drain.Request {
-	estimator := g.usual.estimator(route.Name)
+	estimator := g.answerTimes.estimator(route.Name)
 	request := drain.Request{TypicalDuration: estimator.UpperBound(typicalDeviations), ConservativeDuration: estimator.UpperBound(conservativeDeviations)}
 	if route.AtMostOnce() {
 		request.TypicalDuration = request.ConservativeDuration
--- a/gateway/runner_limit.go
+++ b/gateway/runner_limit.go
@@ -30,12 +30,12 @@
 	g.Log.Info("limit of a runner changed", "decision", "throttle", sourceKey, source, "runner", r.Info().ID, "bounded", limit.Bounded, "perSecond", limit.PerSecond)
 	g.limited.recordChange(r, now)
 	g.limited.changed.Wake()
-	g.line.notify()
+	g.queue.notify()
 }
 
 // applyQuotas applies what an agent reports about limited runners, and adds the permits that it allocates to this entry
 // if it is the one that allocates for the runner.
-func (a *agents) applyQuotas(agent netip.AddrPort, b *bulletin.Bulletin, now time.Time) {
+func (a *agentFollower) applyQuotas(agent netip.AddrPort, b *bulletin.Bulletin, now time.Time) {
 	g := a.gateway
 	for i := range b.Quotas {
 		quota := &b.Quotas[i]
@@ -44,25 +44,25 @@
 		if r == nil {
 			continue
 		}
-		if r.ObserveLimit(now, g.stores.clock.toLocal(limit.Observation(), now)) {
+		if r.ObserveLimit(now, g.cache.clock.toLocal(limit.Observation(), now)) {
 			g.handleLimitChange(r, limit.Limit, now, "agent", b.Runner)
 		}
 		if r.Limit().Limit != limit.Limit {
 			g.limited.markUnreported(r, now) // the agent does not know of a later observation
 		}
-		if !a.allots(agent, r) {
+		if !a.isAllocatorOf(agent, r) {
 			continue // it allocated for the runner earlier
 		}
 		r.AddLimitPermits(now, limit.Limit, quota.Permits, g.permitExpiry(b, now))
 		if quota.Permits > 0 {
-			g.line.notify()
+			g.queue.notify()
 		}
 	}
 }
 
 // toLocal converts the times of an observation from the runners' common clock to the local clock.
-func (c *runnersClock) toLocal(o backpressure.Observation, now time.Time) backpressure.Observation {
-	clock, known := c.read(now)
+func (c *runnerClock) toLocal(o backpressure.Observation, now time.Time) backpressure.Observation {
+	clock, known := c.estimate(now)
 	if !known {
 		clock = o.Received // the observation is not later than now
 	}
@@ -72,8 +72,8 @@
 
 // toShared converts the times of an observation from the local clock to the runners' common clock. The second result is
 // false if that clock is not known.
-func (c *runnersClock) toShared(o backpressure.Observation, now time.Time) (backpressure.Observation, bool) {
-	clock, known := c.read(now)
+func (c *runnerClock) toShared(o backpressure.Observation, now time.Time) (backpressure.Observation, bool) {
+	clock, known := c.estimate(now)
 	o.Sent, o.Received = clock.Add(o.Sent.Sub(now)), clock.Add(o.Received.Sub(now))
 	return o.Widen(maxClockSkew), known
 }
--- a/gateway/second_attempt_test.go
+++ b/gateway/second_attempt_test.go
@@ -23,14 +23,14 @@
 	defer w.stop()
 	goOn := make(chan struct{})
 	loads.Handle = pauseAfterFifthEvent(w, goOn)
-	conn := w.prompt(t, "/prompt/x")
+	conn := w.sendPrompt(t, "/prompt/x")
 	w.eventually(t, func() bool { return len(other.Runs()) == 1 })
-	assert.Eventually(t, func() bool { return w.gateway.state.Roster.Find("other").View(time.Now()).RunningRequests == 0 }, wait/4, 5*time.Millisecond,
+	assert.Eventually(t, func() bool { return w.gateway.state.Roster.Find("other").View(time.Now()).RunningRequests == 0 }, testTimeout/4, 5*time.Millisecond,
 		"a refused request counts as running until the answer of the first runner ends")
 	close(goOn)
-	got := read(t, conn, "POST")
+	got := readAnswer(t, conn, "POST")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamEvents), got.body)
+	assert.Equal(t, eventsUpTo(streamEvents), got.body)
 }
 
 // Guards against forwarding a runner's failure while a hedge may still answer the request.
@@ -50,7 +50,7 @@
 			site.Answer(w, r, "second")
 		})
 		defer w.stop()
-		got := w.call(t, "GET", "/repeat/x", "")
+		got := w.send(t, "GET", "/repeat/x", "")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 		assert.Equal(t, "second", got.body)
@@ -63,7 +63,7 @@
 			site.Refuse(w, r)
 		})
 		defer w.stop()
-		got := w.call(t, "GET", "/repeat/x", "")
+		got := w.send(t, "GET", "/repeat/x", "")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusInternalServerError, got.status)
 		assert.Equal(t, "sealed", got.header.Get("X-Rillreach-Response-Seal"))
@@ -107,7 +107,7 @@
 				writeEvents(rw, 7, streamEvents)
 			}
 		}
-		got := read(t, w.prompt(t, "/prompt/x"), "POST")
+		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err, "the stream was left for one that cannot continue it")
 		var whole strings.Builder
 		writeEvents(&whole, 1, streamEvents)
@@ -132,9 +132,9 @@
 			w.WriteHeader(http.StatusNotFound)
 		})
 		defer w.stop()
-		got := w.call(t, "POST", "/stream/x", "prompt")
+		got := w.send(t, "POST", "/stream/x", "prompt")
 		require.NoError(t, got.err, "the stream was left for an error")
-		assert.Equal(t, pieces(streamEvents), got.body)
+		assert.Equal(t, eventsUpTo(streamEvents), got.body)
 	})
 }
 
@@ -156,14 +156,14 @@
 func threeRunnerWorld(t *testing.T, first, others http.HandlerFunc) *world {
 	t.Helper()
 	a, b, c := &site.Runner{ID: "a"}, &site.Runner{ID: "b", Handle: others}, &site.Runner{ID: "c", Handle: others}
-	w := begin(t, configOf(1, routeOf("repeat", "idempotent", "plain", jsonMap{"max_attempts": 3})), a)
+	w := startWorld(t, configWithRoutes(1, routeConfig("repeat", "idempotent", "plain", jsonMap{"max_attempts": 3})), a)
 	for _, r := range []*site.Runner{b, c} {
 		r.Start()
 		t.Cleanup(r.Stop)
 	}
 	a.Handle = func(rw http.ResponseWriter, r *http.Request) {
-		w.store.Put("servers", "b", record(b, "ready"))
-		w.store.Put("servers", "c", record(c, "ready"))
+		w.store.Put("servers", "b", runnerRecord(b, "ready"))
+		w.store.Put("servers", "c", runnerRecord(c, "ready"))
 		first(rw, r)
 	}
 	return w
@@ -183,7 +183,7 @@
 		<-r.Context().Done()
 	}, refusesOnce)
 	defer w.stop()
-	got := w.call(t, "GET", "/repeat/x", "")
+	got := w.send(t, "GET", "/repeat/x", "")
 	require.NoError(t, got.err)
 	assert.Equal(t, "third", got.body, "no runner was tried after the refusal")
 	assert.EqualValues(t, 2, others.Load())
@@ -207,14 +207,14 @@
 		panic(http.ErrAbortHandler)
 	}, hangsOnce)
 	defer w.stop()
-	got := w.call(t, "GET", "/repeat/x", "")
+	got := w.send(t, "GET", "/repeat/x", "")
 	require.NoError(t, got.err)
 	assert.Equal(t, "third", got.body, "no runner was tried besides the second")
 }
 
 // Guards against buffering a stream without event boundaries until the entry runs out of memory.
 func TestHedgeBuffersEndlessEvent(t *testing.T) {
-	const most = 64 * maxEvent
+	const most = 64 * maxEventSize
 	written := make(chan int, 1)
 	w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -226,7 +226,7 @@
 	}, func(w http.ResponseWriter, r *http.Request) {
 		site.Seal(w, r)
 		sum := 0
-		for chunk := strings.Repeat("x", relayBuffer); sum < most && r.Context().Err() == nil; sum += len(chunk) {
+		for chunk := strings.Repeat("x", relayBufferSize); sum < most && r.Context().Err() == nil; sum += len(chunk) {
 			if _, err := io.WriteString(w, chunk); err != nil {
 				break
 			}
@@ -234,9 +234,9 @@
 		written <- sum
 	})
 	defer w.stop()
-	got := w.call(t, "POST", "/stream/x", "prompt")
+	got := w.send(t, "POST", "/stream/x", "prompt")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamEvents), got.body)
+	assert.Equal(t, eventsUpTo(streamEvents), got.body)
 	assert.Less(t, <-written, most, "the entry has read everything that the runner sent")
 }
 
@@ -247,7 +247,7 @@
 	big := strings.Repeat("x", 64<<10)
 	var second atomic.Int64
 	// The 26 MB of the answer take longer than the default timeout on a busy machine.
-	config := configOf(1, routeOf("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
+	config := configWithRoutes(1, routeConfig("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
 	w := silentWorldWithConfig(t, config, func(w http.ResponseWriter, r *http.Request) {
 		site.Seal(w, r)
 		for id := 1; id <= events; id++ {
@@ -262,13 +262,13 @@
 	})
 	defer w.stop()
 	conn := w.dial(t)
-	w.ask(t, conn, "/stream/x")
+	w.sendGet(t, conn, "/stream/x")
 	select {
 	case <-blocked:
 		t.Fatal("the connection buffers more data than this test assumes")
 	case <-time.After(4 * minSilence):
 	}
-	got := read(t, conn, "GET")
+	got := readAnswer(t, conn, "GET")
 	require.NoError(t, got.err)
 	assert.Equal(t, events, strings.Count(got.body, "\n\n"))
 	assert.Zero(t, second.Load(), "another runner was tried although the first one has sent events")
@@ -288,12 +288,12 @@
 		site.Events(w, r, streamEvents, 0)
 	})
 	conn := w.dial(t)
-	w.ask(t, conn, "/stream/x")
+	w.sendGet(t, conn, "/stream/x")
 	<-hedged
 	w.stop()
-	w.eventually(t, w.gateway.leaving.Load)
+	w.eventually(t, w.gateway.shuttingDown.Load)
 	close(leaving)
-	got := read(t, conn, "GET")
+	got := readAnswer(t, conn, "GET")
 	require.NoError(t, got.err)
-	assert.Equal(t, pieces(streamEvents), got.body)
+	assert.Equal(t, eventsUpTo(streamEvents), got.body)
 }
--- a/gateway/shed.go
+++ b/gateway/shed.go
@@ -13,10 +13,10 @@
 // admissionRequest describes the request to package admission.
 func (g *Gateway) admissionRequest(x *exchange) admission.Request {
 	r := admission.Request{
-		Arrived: x.arrived, TargetTime: x.arrived.Add(x.route.TargetLatency), Deadline: x.ends, ExpectedTTFT: g.expectedTTFT(x),
-		Tokens: x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens, AnswerStarted: x.began,
+		Arrived: x.arrived, TargetTime: x.arrived.Add(x.route.TargetLatency), Deadline: x.deadline, ExpectedTTFT: g.expectedTTFT(x),
+		Tokens: x.wire.Prompt.Tokens + x.wire.Prompt.MaxOutputTokens, AnswerStarted: x.headSent,
 	}
-	if idleTimeout := x.route.CallerIdleTimeout(); idleTimeout > 0 && !x.began {
+	if idleTimeout := x.route.CallerIdleTimeout(); idleTimeout > 0 && !x.headSent {
 		if idleDeadline := x.arrived.Add(idleTimeout); idleDeadline.Before(r.Deadline) {
 			r.Deadline = idleDeadline
 		}
@@ -26,13 +26,13 @@
 
 // expectedTTFT returns a time to first token that suffices for most requests of the route with this prompt size.
 func (g *Gateway) expectedTTFT(x *exchange) time.Duration {
-	estimator := g.firstWaits.estimator(x.route.Name)
+	estimator := g.firstTokenDelays.estimator(x.route.Name)
 	return max(minTTFT, g.unsharedPrefillTime(x)+estimator.UpperBound(typicalDeviations))
 }
 
 // unsharedPrefillTime returns the time to process the part of the prompt that no other request shares.
 func (g *Gateway) unsharedPrefillTime(x *exchange) time.Duration {
-	return time.Duration(x.wire.Prompt.UnsharedTokens()) * g.firsts.model(x.service.Name).PerToken
+	return time.Duration(x.wire.Prompt.UnsharedTokens()) * g.ttft.model(x.service.Name).PerToken
 }
 
 // shed refuses a waiting request that will not be served, so that its caller is not held in vain, and reports whether
@@ -51,7 +51,7 @@
 	if !tooLate && !q.standingQueue.ShouldShed(now, w.request, wait) {
 		return decision{}, false
 	}
-	w.exchange.comeBack = max(wait, q.standingQueue.Age(now))
+	w.exchange.admissionWait = max(wait, q.standingQueue.Age(now))
 	return decision{verdict: verdictBacklog}, true
 }
 
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -56,7 +56,7 @@
 
 // isAlive reports whether the agent of the runner reports that the process to which the request was sent responds.
 func isAlive(r *roster.Runner) bool {
-	if isOver(r) {
+	if hasLaterRun(r) {
 		return false
 	}
 	v := r.View(time.Now())
--- a/gateway/slow_start.go
+++ b/gateway/slow_start.go
@@ -26,7 +26,7 @@
 // permitExpiry returns when the permits of a bulletin expire.
 func (g *Gateway) permitExpiry(b *bulletin.Bulletin, now time.Time) time.Time {
 	expiry := now.Add(permit.Validity)
-	if clock, known := g.stores.clock.read(now); known && b.Clock != 0 {
+	if clock, known := g.cache.clock.estimate(now); known && b.Clock != 0 {
 		expiry = expiry.Add(-max(0, clock.Sub(time.UnixMilli(b.Clock))))
 	}
 	return expiry
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -96,26 +96,26 @@
 	defer r.Stop()
 	store := site.NewStore()
 	store.Put("config", "main", withSlowStart(defaultConfig(), "plain"))
-	listed := record(r, "ready")
+	listed := runnerRecord(r, "ready")
 	listed["cold_remaining_ms"] = coldDuration.Milliseconds()
 	store.Put("servers", r.ID, listed)
-	w := beginWith(t, store, setSlowStartBounds)
+	w := startWithSettings(t, store, setSlowStartBounds)
 	defer w.stop()
 	w.awaitReady(t)
 	start := time.Now()
 	for range coldRequests {
-		w.call(t, "POST", "/once/x", "body")
+		w.send(t, "POST", "/once/x", "body")
 	}
 	w.eventually(t, func() bool {
-		w.call(t, "POST", "/once/x", "body")
+		w.send(t, "POST", "/once/x", "body")
 		return reached.len() > 0
 	})
 	assertColdLimits(t, &reached, start)
-	assert.Contains(t, w.call(t, "POST", "/once/x", "body").body, verdictCold)
-	store.Put("servers", r.ID, record(r, "ready"))
-	w.eventually(t, func() bool { return w.call(t, "POST", "/once/x", "body").status == http.StatusOK })
+	assert.Contains(t, w.send(t, "POST", "/once/x", "body").body, verdictRunnersCold)
+	store.Put("servers", r.ID, runnerRecord(r, "ready"))
+	w.eventually(t, func() bool { return w.send(t, "POST", "/once/x", "body").status == http.StatusOK })
 	for range coldRequests {
-		require.Equal(t, http.StatusOK, w.call(t, "POST", "/once/x", "body").status, "a warm runner accepts every request")
+		require.Equal(t, http.StatusOK, w.send(t, "POST", "/once/x", "body").status, "a warm runner accepts every request")
 	}
 }
 
@@ -126,17 +126,17 @@
 // cold. The prompts wait for permits of the engine's agent, which the entries share, and are served late rather than
 // refused.
 func TestColdEngineOverloaded(t *testing.T) {
-	s := beginShared(t)
+	s := startSharedSite(t)
 	var reached arrivals
 	s.engine.Handle = func(w http.ResponseWriter, req *http.Request) {
 		reached.add()
 		site.Answer(w, req, "sound")
 	}
 	config := defaultConfig()
-	config["routes"] = append(config["routes"].([]jsonMap), routeOf("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptLatencyTarget.Milliseconds(), "gap_aim_ms": 1000}))
-	config["services"] = append(config["services"].([]jsonMap), engineService())
+	config["routes"] = append(config["routes"].([]jsonMap), routeConfig("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptLatencyTarget.Milliseconds(), "gap_aim_ms": 1000}))
+	config["services"] = append(config["services"].([]jsonMap), engineServiceConfig())
 	s.store.Put("config", "main", withSlowStart(config, "e"))
-	first, second := s.entry(t, "entry-1"), s.entry(t, "entry-2")
+	first, second := s.startEntry(t, "entry-1"), s.startEntry(t, "entry-2")
 	listed := site.EngineRecordOf(s.engine.Address(), "ready", 1)
 	listed["cold_remaining_ms"] = coldDuration.Milliseconds()
 	s.store.Put("servers", s.engine.ID, listed)
@@ -150,7 +150,7 @@
 		w := []*world{first, second}[i%2]
 		wg.Go(func() {
 			time.Sleep(promptInterval * time.Duration(max(0, i-simultaneousPrompts)))
-			if read(t, w.prompt(t, fmt.Sprint("/prompt/", i)), "GET").status == http.StatusOK {
+			if readAnswer(t, w.sendPrompt(t, fmt.Sprint("/prompt/", i)), "GET").status == http.StatusOK {
 				served.add()
 			}
 		})
--- a/gateway/stores.go
+++ b/gateway/stores.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// aliveFor is how old the last word of a store's agent may be while the store is used.
-	aliveFor = 1200 * time.Millisecond
-	// savingFor is how long a part that was sent to a store counts as on its way there.
-	savingFor = 3 * time.Second
-	// linkShare is by how much this entry's own moves are multiplied to guess those of all entries on a link.
-	linkShare = 2
-	// sweepSaves is how many parts on their way are remembered before old ones are looked for.
-	sweepSaves = 512
+	// storeReportTTL is how old the last report of a store's agent may be while the store is used.
+	storeReportTTL = 1200 * time.Millisecond
+	// saveTimeout is how long the save of a part to a store is taken to be in progress.
+	saveTimeout = 3 * time.Second
+	// linkUseFactor multiplies this entry's own transfers on a link to estimate those of all entries.
+	linkUseFactor = 2
+	// saveSweepSize is the number of saves above which expired ones are removed.
+	saveSweepSize = 512
 )
 
-// storeBook is what the entry knows of the holders of KV cache.
-type storeBook struct {
+// cacheState is what the entry knows of the holders of KV cache.
+type cacheState struct {
 	index holdings.Index
-	clock runnersClock
+	clock runnerClock
 
 	mu     sync.Mutex
 	stores map[netip.AddrPort]*storeState
@@ -33,125 +33,127 @@
 
 type saveKey struct {
 	key   holdings.Key
-	place netip.AddrPort
+	store netip.AddrPort
 }
 
-// storeState is what is known of one store.
+// storeState is what the entry knows of one store.
 type storeState struct {
-	// agent looks after the store, and saidAt is its last word on the runners' clock, heardAt on ours.
-	agent   rillreach.InstanceID
-	saidAt  int64
-	heardAt time.Time
-	down    bool
-	// expired are the salts that any agent has called so: of two that believe they look after the store, one may already free
-	// what the other, whose list of runners is older, still tells of. Weights that were replaced never come back.
-	expired map[string]bool
-	// busyUntil is until when the link is taken by moves that this entry knows of or guesses.
-	busyUntil time.Time
+	// agent is the agent that is responsible for the store. reportedAt is when it sent its last report on the runners'
+	// clock, in milliseconds, and receivedAt when the report arrived on this entry's clock.
+	agent       rillreach.InstanceID
+	reportedAt  int64
+	receivedAt  time.Time
+	unreachable bool
+	// expiredSalts are the salts that any agent has reported as expiring. If two agents both believe that they are
+	// responsible for the store, one may already free parts that the other, whose list of runners is older, still
+	// reports. Replaced weights never come back, so salts are never removed.
+	expiredSalts map[string]bool
+	// linkBusyUntil is the estimated end of the transfers on the store's link.
+	linkBusyUntil time.Time
 }
 
-// applyRunner takes over what a run holds, as its agent says.
-func (b *storeBook) applyRunner(run rillreach.InstanceRun, h *bulletin.CacheUpdate) {
-	b.index.Update(holdings.Update{Address: h.Address, Run: run, Snapshot: h.Snapshot, Changes: h.Changes})
+// applyRunnerUpdate applies an agent's report of what a run holds.
+func (c *cacheState) applyRunnerUpdate(run rillreach.InstanceRun, update *bulletin.CacheUpdate) {
+	c.index.Update(holdings.Update{Address: update.Address, Run: run, Snapshot: update.Snapshot, Changes: update.Changes})
 }
 
-// apply takes over what an agent says of a store.
-func (b *storeBook) apply(agent rillreach.InstanceID, clock int64, h *bulletin.CacheUpdate, now time.Time) {
-	if !b.applyStore(agent, clock, h, now) {
+// applyStoreUpdate applies an agent's report of a store. Changes count only from the agent that is responsible for it.
+func (c *cacheState) applyStoreUpdate(agent rillreach.InstanceID, clock int64, update *bulletin.CacheUpdate, now time.Time) {
+	if !c.updateStore(agent, clock, update, now) {
 		return
 	}
-	if h.Snapshot {
-		b.index.Replace(h.Address, h.Changes)
+	if update.Snapshot {
+		c.index.Replace(update.Address, update.Changes)
 		return
 	}
-	b.index.Apply(h.Address, h.Changes)
+	c.index.Apply(update.Address, update.Changes)
 }
 
-// applyStore takes over the state of a store; it reports whether the agent is the one that looks after it: the last that
-// told everything anew.
-func (b *storeBook) applyStore(agent rillreach.InstanceID, clock int64, h *bulletin.CacheUpdate, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stores == nil {
-		b.stores = map[netip.AddrPort]*storeState{}
+// updateStore updates the state of a store, and reports whether the agent is the responsible one: the last that sent a
+// snapshot.
+func (c *cacheState) updateStore(agent rillreach.InstanceID, clock int64, update *bulletin.CacheUpdate, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.stores == nil {
+		c.stores = map[netip.AddrPort]*storeState{}
 	}
-	s := b.stores[h.Address]
+	s := c.stores[update.Address]
 	if s == nil {
-		s = &storeState{expired: map[string]bool{}}
-		b.stores[h.Address] = s
+		s = &storeState{expiredSalts: map[string]bool{}}
+		c.stores[update.Address] = s
 	}
-	for _, salt := range h.ExpiringSalts {
-		s.expired[salt] = true
+	for _, salt := range update.ExpiringSalts {
+		s.expiredSalts[salt] = true
 	}
-	if h.Snapshot {
+	if update.Snapshot {
 		s.agent = agent
 	}
 	if s.agent != agent {
 		return false
 	}
-	s.saidAt, s.heardAt, s.down = clock, now, h.Unreachable
+	s.reportedAt, s.receivedAt, s.unreachable = clock, now, update.Unreachable
 	return true
 }
 
-// usable reports whether parts under the salt may be fetched from the store, until when on the runners' clock that must
-// have ended, and how long its link is taken.
-func (b *storeBook) usable(place netip.AddrPort, salt string, now time.Time) (until time.Time, busy time.Duration, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stores[place]
-	if s == nil || s.down || s.saidAt == 0 || now.Sub(s.heardAt) > aliveFor || s.expired[salt] {
+// usable reports whether parts under the salt may be fetched from the store. It also returns the time on the runners'
+// clock by which such a fetch must have ended, and how long the store's link is busy.
+func (c *cacheState) usable(store netip.AddrPort, salt string, now time.Time) (deadline time.Time, busy time.Duration, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.stores[store]
+	if s == nil || s.unreachable || s.reportedAt == 0 || now.Sub(s.receivedAt) > storeReportTTL || s.expiredSalts[salt] {
 		return time.Time{}, 0, false
 	}
-	return time.UnixMilli(s.saidAt).Add(bulletin.FetchLease), max(0, s.busyUntil.Sub(now)), true
+	return time.UnixMilli(s.reportedAt).Add(bulletin.FetchLease), max(0, s.linkBusyUntil.Sub(now)), true
 }
 
-// count is how many stores may be asked now.
-func (b *storeBook) count(now time.Time) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// usableStores returns the number of stores that may be used now.
+func (c *cacheState) usableStores(now time.Time) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for _, s := range b.stores {
-		if !s.down && now.Sub(s.heardAt) <= aliveFor {
+	for _, s := range c.stores {
+		if !s.unreachable && now.Sub(s.receivedAt) <= storeReportTTL {
 			n++
 		}
 	}
 	return n
 }
 
-// book records that a move takes the link of a store.
-func (b *storeBook) book(place netip.AddrPort, took time.Duration, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.stores[place]
+// reserveLink records that a transfer takes the link of a store for the given time.
+func (c *cacheState) reserveLink(store netip.AddrPort, duration time.Duration, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.stores[store]
 	if s == nil {
 		return
 	}
-	if s.busyUntil.Before(now) {
-		s.busyUntil = now
+	if s.linkBusyUntil.Before(now) {
+		s.linkBusyUntil = now
 	}
-	s.busyUntil = s.busyUntil.Add(linkShare * took)
+	s.linkBusyUntil = s.linkBusyUntil.Add(linkUseFactor * duration)
 }
 
-// isSaving reports whether a part is on its way to a store.
-func (b *storeBook) isSaving(key holdings.Key, place netip.AddrPort, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return now.Before(b.saving[saveKey{key, place}])
+// isSaving reports whether a part is being saved to a store.
+func (c *cacheState) isSaving(key holdings.Key, store netip.AddrPort, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return now.Before(c.saving[saveKey{key, store}])
 }
 
-// save records that a part is on its way to a store.
-func (b *storeBook) save(key holdings.Key, place netip.AddrPort, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.saving == nil {
-		b.saving = map[saveKey]time.Time{}
+// recordSave records that a part is being saved to a store.
+func (c *cacheState) recordSave(key holdings.Key, store netip.AddrPort, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.saving == nil {
+		c.saving = map[saveKey]time.Time{}
 	}
-	if len(b.saving) > sweepSaves {
-		for k, until := range b.saving {
+	if len(c.saving) > saveSweepSize {
+		for k, until := range c.saving {
 			if now.After(until) {
-				delete(b.saving, k)
+				delete(c.saving, k)
 			}
 		}
 	}
-	b.saving[saveKey{key, place}] = now.Add(savingFor)
+	c.saving[saveKey{key, store}] = now.Add(saveTimeout)
 }
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -27,8 +27,8 @@
 	now := time.Now()
 	w.target.runner.RecordFirstToken(now, w.sentAt, w.target.prefillTokens)
 	if w.exchange.needsEngine() {
-		w.gateway.firsts.observe(w.exchange, w.target, now.Sub(w.sentAt))
-		w.gateway.firstWaits.observe(w.exchange.route.Name, now.Sub(w.sentAt)-w.gateway.unsharedPrefillTime(w.exchange))
+		w.gateway.ttft.observe(w.exchange, w.target, now.Sub(w.sentAt))
+		w.gateway.firstTokenDelays.observe(w.exchange.route.Name, now.Sub(w.sentAt)-w.gateway.unsharedPrefillTime(w.exchange))
 	}
 	w.gateway.recordTTFT(w.exchange, w.target, now.Sub(w.sentAt), now)
 }
@@ -40,14 +40,14 @@
 		w.target.runner.AbandonWait(w.sentAt, w.target.prefillTokens)
 	}
 	w.target.runner.EndRequest(w.target.tokens)
-	w.gateway.line.notify()
+	w.gateway.queue.notify()
 }
 
 // recordTTFT records how long the request waited at its runner for the first token. A request that starts on weights
 // that were replaced longer ago than the bound allows is logged, with the times that show whether it was sent too late
 // or waited too long.
 func (g *Gateway) recordTTFT(x *exchange, t *target, waited time.Duration, now time.Time) {
-	x.waited = waited
+	x.firstTokenWait = waited
 	if x.wire.Prompt == nil || x.service.Engine == nil {
 		return
 	}
