--- a/sidecar/collector_bench_test.go
+++ b/sidecar/collector_bench_test.go
@@ -30,6 +30,6 @@
 	s.state.SetConfig(config)
 	c := &collector{sidecar: s}
 	for b.Loop() {
-		c.mine()
+		c.ownedAddresses()
 	}
 }
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -8,11 +8,11 @@
 	"github.com/rillreach/rillreach/poison"
 )
 
-// takeCrashes takes an entry's report of crashes over, and has all followers told of what is new at once.
-func (s *Sidecar) takeCrashes(_ context.Context, from *peer.Conn, r poison.Report) (poison.Receipt, error) {
-	added := s.crashes.Record(s.now(), r.Crashes...)
+// handleCrashReport takes an entry's report of crashes over, and has all followers told of what is new at once.
+func (s *Sidecar) handleCrashReport(_ context.Context, from *peer.Conn, report poison.Report) (poison.Receipt, error) {
+	added := s.crashes.Record(s.now(), report.Crashes...)
 	if added > 0 {
-		s.Log.Info("crashes reported", "decision", "tell", "entry", from.Peer.ID, "crashes", len(r.Crashes), "new", added)
+		s.Log.Info("crashes reported", "decision", "tell", "entry", from.Peer.ID, "crashes", len(report.Crashes), "new", added)
 		s.publisher.urgent.Wake()
 	}
 	return poison.Receipt{New: added}, nil
--- a/sidecar/follower.go
+++ b/sidecar/follower.go
@@ -13,74 +13,74 @@
 )
 
 func newFollower(p *publisher) *follower {
-	return &follower{publisher: p, positions: map[*holder]uint64{}, untold: map[*holder]backlog{}}
+	return &follower{publisher: p, positions: map[*holder]uint64{}, unsent: map[*holder]backlog{}}
 }
 
 // follower is what one entry has been told.
 type follower struct {
 	publisher *publisher
-	// far says that the follower is in another zone, and is told seldomer.
-	far bool
-	// sparse says that it asked for little.
-	sparse bool
+	// otherZone says that the follower is in another zone, and is told seldomer.
+	otherZone bool
+	// loadOnly says that it asked for little.
+	loadOnly bool
 	// positions are how far it has been told of each holder; one that is followed anew is told of from its beginning.
 	positions map[*holder]uint64
-	// untold is what did not fit the last messages.
-	untold map[*holder]backlog
-	// crashes is how far it has been told of the crashes that the agent knows.
-	crashes uint64
-	// permits is what it has been allotted of what a cold runner bears.
-	permits permit.Share
-	// quotas are what it has been allotted of what runners take that name a limit.
-	quotas map[rillreach.InstanceID]*permit.Share
-	told   bulletin.Bulletin
-	toldAt time.Time
+	// unsent is what did not fit the last messages.
+	unsent map[*holder]backlog
+	// crashesVersion is how far it has been told of the crashesVersion that the agent knows.
+	crashesVersion uint64
+	// permitShare is what it has been allotted of what a cold runner bears.
+	permitShare permit.Share
+	// quotaShares are what it has been allotted of what runners take that name a limit.
+	quotaShares map[rillreach.InstanceID]*permit.Share
+	lastSent    bulletin.Bulletin
+	lastSentAt  time.Time
 }
 
 // next makes the next bulletin; worth says that it tells something new, or that the follower has heard nothing for long.
-func (f *follower) next() (b bulletin.Bulletin, worth bool) {
+func (f *follower) next() (b bulletin.Bulletin, due bool) {
 	s, now := f.publisher.sidecar, time.Now()
 	self := s.state.Roster.ByAddress(s.Settings.RunnerAddress)
-	load, at, next := f.publisher.get()
-	if self == nil || at.IsZero() {
+	load, reportedAt, weightLoad := f.publisher.latestReport()
+	if self == nil || reportedAt.IsZero() {
 		return b, false
 	}
 	run := self.Info().Run()
-	if !reports(run, load) {
-		load, next = unreported(load), rollout{}
+	if !generationMatches(run, load) {
+		load, weightLoad = unresponsiveLoad(load), weightLoadStatus{}
 	}
-	b = bulletin.Bulletin{Runner: run.ID, Generation: run.Generation, Load: loadOf(load, next)}
-	tellClock(&b, load.Clock, now.Sub(at), next, now)
+	b = bulletin.Bulletin{Runner: run.ID, Generation: run.Generation, Load: bulletinLoad(load, weightLoad)}
+	addClock(&b, load.Clock, now.Sub(reportedAt), weightLoad, now)
 	f.addState(&b)
 	f.addCrashes(&b, s.now())
-	limits := s.quotas.current(now)
-	changed := f.addHolders(&b)
-	if !changed && len(b.Crashes) == 0 && f.sameLimits(limits) && f.sameLoad(&b) && sameRevisions(f.told.Notices, b.Notices) && now.Sub(f.toldAt) < quietMost {
+	limits := s.quotas.active(now)
+	changed := f.addCacheUpdates(&b)
+	if !changed && len(b.Crashes) == 0 && f.sameLimits(limits) && f.sameLoad(&b) && sameNotices(f.lastSent.Notices, b.Notices) && now.Sub(f.lastSentAt) < maxBulletinInterval {
 		return b, false
 	}
-	b.Permits = f.allot()
-	b.Quotas = f.allotQuotas(now, limits)
-	slim := b.DeltaFrom(&f.told)
-	f.told, f.toldAt = b, now
-	return slim, true
+	b.Permits = f.allocatePermits()
+	b.Quotas = f.allocateQuotas(now, limits)
+	delta := b.DeltaFrom(&f.lastSent)
+	f.lastSent, f.lastSentAt = b, now
+	return delta, true
 }
 
-// loadOf is how the runner is, as followers are told.
-func loadOf(load deployment.Load, next rollout) bulletin.Load {
+// bulletinLoad is how the runner is, as followers are told.
+func bulletinLoad(load deployment.Load, weightLoad weightLoadStatus) bulletin.Load {
 	return bulletin.Load{
 		Running: load.Running, Waiting: load.Waiting, UsedTokens: load.UsedTokens, AwaitingFirstEvent: load.AwaitingFirstEvent, Unresponsive: load.Unresponsive,
-		LoadingWeights: next.loading, Leaving: load.Leaving, Weights: load.Weights,
+		LoadingWeights: weightLoad.loading, Leaving: load.Leaving, Weights: load.Weights,
 	}
 }
 
-// tellClock adds the runners' clock, as it was read some time ago, and the start of the next load by it; nothing where the clock is not known.
-func tellClock(b *bulletin.Bulletin, clock time.Time, ago time.Duration, next rollout, now time.Time) {
+// addClock adds the runners' clock, as it was read some time ago, and the start of the next load by it; nothing where the clock is not known.
+func addClock(b *bulletin.Bulletin, clock time.Time, age time.Duration, weightLoad weightLoadStatus, now time.Time) {
 	if clock.IsZero() {
 		return
 	}
-	b.Clock = clock.Add(ago).UnixMilli()
-	if !next.start.IsZero() {
-		b.Load.WeightLoadAt = b.Clock + next.start.Sub(now).Milliseconds()
+	b.Clock = clock.Add(age).UnixMilli()
+	if !weightLoad.scheduledAt.IsZero() {
+		b.Load.WeightLoadAt = b.Clock + weightLoad.scheduledAt.Sub(now).Milliseconds()
 	}
 }
 
@@ -89,55 +89,55 @@
 	s := f.publisher.sidecar
 	b.DesiredWeights, b.Followers = s.state.AllNamedWeights(), int(f.publisher.followers.Load())
 	if c := s.state.Config(); c != nil {
-		name := c.ConfigVersion()
-		b.Config = &name
+		version := c.ConfigVersion()
+		b.Config = &version
 	}
-	b.WeightsFirstSeen = f.publisher.namings(b.Clock)
+	b.WeightsFirstSeen = f.publisher.weightsFirstSeen(b.Clock)
 	b.Notices = f.publisher.notices()
 }
 
-// allot gives the follower its permits for the runner, whether that is cold or not: whoever sends to it knows that.
-func (f *follower) allot() int {
-	if f.sparse {
+// allocatePermits gives the follower its permits for the runner, whether that is cold or not: whoever sends to it knows that.
+func (f *follower) allocatePermits() int {
+	if f.loadOnly {
 		return 0
 	}
 	p := f.publisher
-	return p.permits.Allocate(time.Now(), &f.permits, int(p.sending.Load()), p.sidecar.slowStart().Rate())
+	return p.permits.Allocate(time.Now(), &f.permitShare, int(p.senders.Load()), p.sidecar.slowStartLimits().Rate())
 }
 
 // sameLoad reports that the runner is as the follower was told.
 func (f *follower) sameLoad(b *bulletin.Bulletin) bool {
-	was, is := f.told.Load, b.Load
-	return f.told.Run() == b.Run() && was.Running == is.Running && was.Waiting == is.Waiting && was.LoadingWeights == is.LoadingWeights &&
-		sameStart(was.WeightLoadAt, is.WeightLoadAt) &&
-		was.AwaitingFirstEvent == is.AwaitingFirstEvent && was.Unresponsive == is.Unresponsive &&
-		was.Leaving == is.Leaving && len(f.told.DesiredWeights) == len(b.DesiredWeights) && f.told.Followers == b.Followers
+	before, after := f.lastSent.Load, b.Load
+	return f.lastSent.Run() == b.Run() && before.Running == after.Running && before.Waiting == after.Waiting && before.LoadingWeights == after.LoadingWeights &&
+		sameWeightLoadAt(before.WeightLoadAt, after.WeightLoadAt) &&
+		before.AwaitingFirstEvent == after.AwaitingFirstEvent && before.Unresponsive == after.Unresponsive &&
+		before.Leaving == after.Leaving && len(f.lastSent.DesiredWeights) == len(b.DesiredWeights) && f.lastSent.Followers == b.Followers
 }
 
-// sameRevisions reports that notices tell of no other changes than those before.
-func sameRevisions(was, is []notify.Notice) bool {
-	return slices.EqualFunc(was, is, func(a, b notify.Notice) bool { return a.Kind == b.Kind && a.Revision == b.Revision })
+// sameNotices reports that notices tell of no other changes than those before.
+func sameNotices(before, after []notify.Notice) bool {
+	return slices.EqualFunc(before, after, func(a, b notify.Notice) bool { return a.Kind == b.Kind && a.Revision == b.Revision })
 }
 
-// sameStart reports that two starts on the runners' clock are one, which is worked out anew each time.
-func sameStart(was, is int64) bool {
-	return time.Duration(max(was, is)-min(was, is))*time.Millisecond < startMoved
+// sameWeightLoadAt reports that two starts on the runners' clock are one, which is worked out anew each time.
+func sameWeightLoadAt(before, after int64) bool {
+	return time.Duration(max(before, after)-min(before, after))*time.Millisecond < weightLoadAtTolerance
 }
 
 // addCrashes adds the crashes that the follower hasn't been told of, as many as one bulletin takes.
 func (f *follower) addCrashes(b *bulletin.Bulletin, now time.Time) {
-	b.Crashes, f.crashes = f.publisher.sidecar.crashes.Since(now, f.crashes, mostCrashes)
+	b.Crashes, f.crashesVersion = f.publisher.sidecar.crashes.Since(now, f.crashesVersion, maxCrashes)
 }
 
-func (f *follower) addHolders(b *bulletin.Bulletin) (changed bool) {
+func (f *follower) addCacheUpdates(b *bulletin.Bulletin) (changed bool) {
 	s := f.publisher.sidecar
 	// An entry of any zone may fetch from the runner: its link is faster than a store's, and reading a part again takes far longer
 	// than twice a move.
-	if !f.sparse && f.addHolder(b, s.own, nil) {
+	if !f.loadOnly && f.addCacheUpdate(b, s.runnerHolder, nil) {
 		changed = true
 	}
-	for _, k := range s.stores.owned(time.Now()) {
-		if f.addHolder(b, k.holder, k.expired.Salts()) {
+	for _, store := range s.collector.reportableStores(time.Now()) {
+		if f.addCacheUpdate(b, store.holder, store.expiredSalts.Salts()) {
 			changed = true
 		}
 	}
@@ -146,80 +146,80 @@
 
 // backlog is what a follower is still to be told of a holder.
 type backlog struct {
-	whole   bool
-	changes []holdings.Change
+	snapshot bool
+	changes  []holdings.Change
 }
 
 const (
-	// room is how many bytes of changes one bulletin takes: a message over 16 KB would be split on its way.
-	room = 12 << 10
-	// changeSize is what a change takes beside its two names, in bytes.
-	changeSize = 16
-	// mostCrashes is how many crashes one bulletin tells of, and crashSize what each takes in bytes.
-	mostCrashes = 64
-	crashSize   = 80
+	// maxPayloadSize is how many bytes of changes one bulletin takes: a message over 16 KB would be split on its way.
+	maxPayloadSize = 12 << 10
+	// changeOverhead is what a change takes beside its two names, in bytes.
+	changeOverhead = 16
+	// maxCrashes is how many crashes one bulletin tells of, and crashSize what each takes in bytes.
+	maxCrashes = 64
+	crashSize  = 80
 )
 
-// addHolder adds what is new of a holder, as far as there is room; it reports whether there is anything new.
-func (f *follower) addHolder(b *bulletin.Bulletin, h *holder, expired []string) bool {
-	if !h.listed.Load() {
+// addCacheUpdate adds what is new of a holder, as far as there is room; it reports whether there is anything new.
+func (f *follower) addCacheUpdate(b *bulletin.Bulletin, h *holder, expiringSalts []string) bool {
+	if !h.synced.Load() {
 		return false
 	}
-	told := bulletin.CacheUpdate{Address: h.place, Store: h.store, Unreachable: h.down.Load(), ExpiringSalts: expired}
-	rest, ok := f.unheard(h, b.Generation)
+	update := bulletin.CacheUpdate{Address: h.address, Store: h.store, Unreachable: h.unreachable.Load(), ExpiringSalts: expiringSalts}
+	unsent, ok := f.unsentChanges(h, b.Generation)
 	if !ok {
 		return false
 	}
-	news := rest.whole || len(rest.changes) > 0
-	if !news && !h.store {
+	changed := unsent.snapshot || len(unsent.changes) > 0
+	if !changed && !h.store {
 		return false // of a store it matters that its agent still speaks of it
 	}
-	if left := room - sizeOf(b); left > 0 {
-		n := fitting(rest.changes, left)
-		told.Snapshot, told.Changes = rest.whole, rest.changes[:n]
-		rest = backlog{changes: rest.changes[n:]}
+	if available := maxPayloadSize - payloadSize(b); available > 0 {
+		n := fittingCount(unsent.changes, available)
+		update.Snapshot, update.Changes = unsent.snapshot, unsent.changes[:n]
+		unsent = backlog{changes: unsent.changes[n:]}
 	}
-	f.untold[h] = rest
-	b.CacheUpdates = append(b.CacheUpdates, told)
-	return news
+	f.unsent[h] = unsent
+	b.CacheUpdates = append(b.CacheUpdates, update)
+	return changed
 }
 
-// unheard is what the follower has not been told of a holder; it reports whether that is of the run that the bulletin speaks for.
-func (f *follower) unheard(h *holder, generation rillreach.Generation) (backlog, bool) {
-	before, known := f.positions[h]
+// unsentChanges is what the follower has not been told of a holder; it reports whether that is of the run that the bulletin speaks for.
+func (f *follower) unsentChanges(h *holder, generation rillreach.Generation) (backlog, bool) {
+	position, known := f.positions[h]
 	if !known {
-		before = ^uint64(0) // a position that no tracker has reached, so that everything is told
+		position = ^uint64(0) // a position that no tracker has reached, so that everything is told
 	}
-	changes, next, whole, ok := h.since(before, generation)
+	changes, next, snapshot, ok := h.since(position, generation)
 	if !ok {
 		return backlog{}, false
 	}
 	f.positions[h] = next
-	if whole {
-		return backlog{whole: true, changes: changes}, true
+	if snapshot {
+		return backlog{snapshot: true, changes: changes}, true
 	}
-	rest := f.untold[h]
-	rest.changes = append(rest.changes, changes...)
-	return rest, true
+	unsent := f.unsent[h]
+	unsent.changes = append(unsent.changes, changes...)
+	return unsent, true
 }
 
-// fitting is how many of the changes fit.
-func fitting(changes []holdings.Change, room int) int {
+// fittingCount is how many of the changes fit.
+func fittingCount(changes []holdings.Change, available int) int {
 	for n := range changes {
-		room -= changeSize + len(changes[n].Key.Salt) + len(changes[n].Key.Part)
-		if room < 0 {
+		available -= changeOverhead + len(changes[n].Key.Salt) + len(changes[n].Key.Part)
+		if available < 0 {
 			return n
 		}
 	}
 	return len(changes)
 }
 
-// sizeOf is how many bytes the changes in a bulletin take.
-func sizeOf(b *bulletin.Bulletin) int {
+// payloadSize is how many bytes the changes in a bulletin take.
+func payloadSize(b *bulletin.Bulletin) int {
 	size := len(b.Crashes) * crashSize
-	for _, h := range b.CacheUpdates {
-		for _, c := range h.Changes {
-			size += changeSize + len(c.Key.Salt) + len(c.Key.Part)
+	for _, update := range b.CacheUpdates {
+		for _, c := range update.Changes {
+			size += changeOverhead + len(c.Key.Salt) + len(c.Key.Part)
 		}
 	}
 	return size
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -10,18 +10,18 @@
 func (s *Sidecar) gauges() []telemetry.Gauge {
 	return append(s.state.Gauges(), []telemetry.Gauge{
 		{Name: "rillreach.report.age", Description: "seconds since the runner's last report", Read: func() float64 {
-			_, at, _ := s.publisher.get()
-			return time.Since(at).Seconds()
+			_, reportedAt, _ := s.publisher.latestReport()
+			return time.Since(reportedAt).Seconds()
 		}},
 		{Name: "rillreach.runner.running", Description: "requests that run at the runner", Read: func() float64 {
-			load, _, _ := s.publisher.get()
+			load, _, _ := s.publisher.latestReport()
 			return float64(load.Running)
 		}},
 		{Name: "rillreach.runner.waiting", Description: "requests that wait at the runner", Read: func() float64 {
-			load, _, _ := s.publisher.get()
+			load, _, _ := s.publisher.latestReport()
 			return float64(load.Waiting)
 		}},
-		{Name: "rillreach.runner.holds", Description: "tokens of KV cache that the runner holds", Read: func() float64 { return float64(s.own.tracker.TotalTokens()) }},
+		{Name: "rillreach.runner.holds", Description: "tokens of KV cache that the runner holds", Read: func() float64 { return float64(s.runnerHolder.tracker.TotalTokens()) }},
 		{Name: "rillreach.followers", Description: "entries that follow the agent", Read: func() float64 { return float64(s.publisher.followers.Load()) }},
 		{Name: "rillreach.relay", Description: "1 where the agent is a relay, which watches the object store for the entries of its zone", Read: func() float64 {
 			if s.publisher.isRelay() {
@@ -29,17 +29,17 @@
 			}
 			return 0
 		}},
-		{Name: "rillreach.stores.kept", Description: "stores of KV cache that the agent looks after", Read: func() float64 { return float64(len(s.stores.all())) }},
-		{Name: "rillreach.stores.holds", Description: "tokens that these stores hold", Read: s.heldByStores},
+		{Name: "rillreach.stores.kept", Description: "stores of KV cache that the agent looks after", Read: func() float64 { return float64(len(s.collector.ownedStores())) }},
+		{Name: "rillreach.stores.holds", Description: "tokens that these stores hold", Read: s.storeTokens},
 		{Name: "rillreach.runners", Description: "runners that are listed", Read: func() float64 { return float64(s.state.Roster.Len()) }},
 		{Name: "rillreach.runners.age", Description: "seconds since the list of runners was known to be complete", Read: func() float64 { return time.Since(s.state.Roster.CompleteAt()).Seconds() }},
 	}...)
 }
 
-func (s *Sidecar) heldByStores() float64 {
+func (s *Sidecar) storeTokens() float64 {
 	total := 0
-	for _, k := range s.stores.all() {
-		total += k.tracker.TotalTokens()
+	for _, store := range s.collector.ownedStores() {
+		total += store.tracker.TotalTokens()
 	}
 	return float64(total)
 }
--- a/sidecar/holder.go
+++ b/sidecar/holder.go
@@ -17,74 +17,74 @@
 )
 
 const (
-	// eventsWait is the longest wait that a holder of KV cache takes.
-	eventsWait = time.Second
-	// gatherEvents is a pause between calls, so that changes in quick succession cost one call.
-	gatherEvents = 60 * time.Millisecond
-	// holderPause is a pause after a call that failed.
-	holderPause = 200 * time.Millisecond
+	// eventsTimeout is the longest wait that a holder of KV cache takes.
+	eventsTimeout = time.Second
+	// eventsCoalesceDelay is a pause between calls, so that changes in quick succession cost one call.
+	eventsCoalesceDelay = 60 * time.Millisecond
+	// holderRetryDelay is a pause after a call that failed.
+	holderRetryDelay = 200 * time.Millisecond
 )
 
 // holder follows what one runner or store holds.
 type holder struct {
-	place   netip.AddrPort
+	address netip.AddrPort
 	store   bool
 	client  *platform.Runner
 	log     logr.Logger
 	tracker holdings.Tracker
 
-	// observe is told of each run that the runner says it is; it is nil at a store.
-	observe func(rillreach.Generation)
+	// onGeneration is told of each run that the runner says it is; it is nil at a store.
+	onGeneration func(rillreach.Generation)
 
 	mu sync.Mutex
 	// generation is that of the run whose parts the tracker holds, unknown at a store.
 	generation rillreach.Generation
 
-	epoch atomic.Uint64
-	down  atomic.Bool
-	// listed says that the tracker holds everything that was there when following began.
-	listed atomic.Bool
+	epoch       atomic.Uint64
+	unreachable atomic.Bool
+	// synced says that the tracker holds everything that was there when following began.
+	synced atomic.Bool
 }
 
 // run follows the holder until the context ends.
 func (h *holder) run(ctx context.Context) {
 	var since uint64
 	for ctx.Err() == nil {
-		next, err := h.follow(ctx, since)
+		next, err := h.poll(ctx, since)
 		if err != nil {
-			h.lost(ctx, err)
-			pause.For(ctx, holderPause)
+			h.markLost(ctx, err)
+			pause.For(ctx, holderRetryDelay)
 			continue
 		}
 		since = next
-		h.regained()
-		pause.For(ctx, gatherEvents)
+		h.markRegained()
+		pause.For(ctx, eventsCoalesceDelay)
 	}
 }
 
-// follow takes the next changes over and returns where to go on from.
-func (h *holder) follow(ctx context.Context, since uint64) (uint64, error) {
-	if !h.listed.Load() && h.store {
+// poll takes the next changes over and returns where to go on from.
+func (h *holder) poll(ctx context.Context, since uint64) (uint64, error) {
+	if !h.synced.Load() && h.store {
 		return h.list(ctx)
 	}
-	events, err := h.client.Events(ctx, since, eventsWait)
+	events, err := h.client.Events(ctx, since, eventsTimeout)
 	if err != nil {
 		return since, err
 	}
-	h.tell(&events)
-	switch h.judge(&events) {
-	case pageLate:
+	h.reportGeneration(&events)
+	switch h.classify(&events) {
+	case pageOfEarlierRun:
 		return since, nil
-	case pageOfNewRun:
-		h.log.Info("holder started anew", "decision", "forget", "holder", h.place, "epoch", events.Epoch, "before", h.epoch.Load(), "generation", events.Generation)
-		h.renew(&events, nil)
+	case pageOfLaterRun:
+		h.log.Info("holder started anew", "decision", "forget", "holder", h.address, "epoch", events.Epoch, "before", h.epoch.Load(), "generation", events.Generation)
+		h.reset(&events, nil)
 		return 0, nil
 	}
 	h.epoch.Store(events.Epoch)
 	if events.Gap {
 		return h.list(ctx)
 	}
-	h.listed.Store(true)
+	h.synced.Store(true)
 	h.tracker.Apply(events.Changes)
 	return events.Next, nil
 }
@@ -95,25 +95,25 @@
 	if err != nil {
 		return 0, err
 	}
-	h.tell(&all)
-	if h.judge(&all) == pageLate {
+	h.reportGeneration(&all)
+	if h.classify(&all) == pageOfEarlierRun {
 		return 0, nil
 	}
-	h.renew(&all, all.Changes)
-	h.listed.Store(true)
-	h.log.Info("holder listed", "decision", "replace", "holder", h.place, "epoch", all.Epoch, "parts", len(all.Changes))
+	h.reset(&all, all.Changes)
+	h.synced.Store(true)
+	h.log.Info("holder listed", "decision", "replace", "holder", h.address, "epoch", all.Epoch, "parts", len(all.Changes))
 	return all.Next, nil
 }
 
-func (h *holder) lost(ctx context.Context, err error) {
-	if ctx.Err() == nil && !h.down.Swap(true) {
-		h.log.Error(err, "dependency lost", "dependency", "holder", "holder", h.place, "store", h.store)
+func (h *holder) markLost(ctx context.Context, err error) {
+	if ctx.Err() == nil && !h.unreachable.Swap(true) {
+		h.log.Error(err, "dependency lost", "dependency", "holder", "holder", h.address, "store", h.store)
 	}
 }
 
-func (h *holder) regained() {
-	if h.down.Swap(false) {
-		h.log.Info("dependency regained", "dependency", "holder", "holder", h.place, "store", h.store)
+func (h *holder) markRegained() {
+	if h.unreachable.Swap(false) {
+		h.log.Info("dependency regained", "dependency", "holder", "holder", h.address, "store", h.store)
 	}
 }
 
--- a/sidecar/holder_run.go
+++ b/sidecar/holder_run.go
@@ -6,36 +6,36 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// pageVerdict is what a page of a holder's changes is worth.
-type pageVerdict int
+// pageRun is what a page of a holder's changes is worth.
+type pageRun int
 
 const (
-	// pagePresent is of the run that is followed, pageOfNewRun of a later one, pageLate of an earlier one.
-	pagePresent pageVerdict = iota
-	pageOfNewRun
-	pageLate
+	// pageOfCurrentRun is of the run that is followed, pageOfNewRun of a later one, pageLate of an earlier one.
+	pageOfCurrentRun pageRun = iota
+	pageOfLaterRun
+	pageOfEarlierRun
 )
 
-// judge says which run a page is of. A page that tells no generation is known by its epoch alone.
-func (h *holder) judge(page *platform.CacheEvents) pageVerdict {
+// classify says which run a page is of. A page that tells no generation is known by its epoch alone.
+func (h *holder) classify(page *platform.CacheEvents) pageRun {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	known, told := rillreach.InstanceRun{Generation: h.generation}, rillreach.InstanceRun{Generation: page.Generation}
-	before := h.epoch.Load()
+	known, reported := rillreach.InstanceRun{Generation: h.generation}, rillreach.InstanceRun{Generation: page.Generation}
+	epoch := h.epoch.Load()
 	switch {
-	case known.Supersedes(told):
-		return pageLate
-	case told.Supersedes(known), before != 0 && before != page.Epoch:
-		return pageOfNewRun
+	case known.Supersedes(reported):
+		return pageOfEarlierRun
+	case reported.Supersedes(known), epoch != 0 && epoch != page.Epoch:
+		return pageOfLaterRun
 	}
 	if page.Generation != 0 {
 		h.generation = page.Generation
 	}
-	return pagePresent
+	return pageOfCurrentRun
 }
 
-// renew begins anew with the run that a page is of, which holds the parts.
-func (h *holder) renew(page *platform.CacheEvents, held []holdings.Change) {
+// reset begins anew with the run that a page is of, which holds the parts.
+func (h *holder) reset(page *platform.CacheEvents, held []holdings.Change) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.epoch.Swap(page.Epoch) != page.Epoch || page.Generation != 0 {
@@ -44,20 +44,20 @@
 	h.tracker.Replace(held)
 }
 
-// tell says which run the holder says it is.
-func (h *holder) tell(page *platform.CacheEvents) {
-	if h.observe != nil {
-		h.observe(page.Generation)
+// reportGeneration says which run the holder says it is.
+func (h *holder) reportGeneration(page *platform.CacheEvents) {
+	if h.onGeneration != nil {
+		h.onGeneration(page.Generation)
 	}
 }
 
 // since returns what has changed after a position at a run, as the tracker does; it reports whether the tracker is of that run.
-func (h *holder) since(position uint64, generation rillreach.Generation) (changes []holdings.Change, next uint64, whole, ok bool) {
+func (h *holder) since(position uint64, generation rillreach.Generation) (changes []holdings.Change, next uint64, snapshot, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if generation != 0 && h.generation != 0 && generation != h.generation {
 		return nil, position, false, false
 	}
-	changes, next, whole = h.tracker.Since(position)
-	return changes, next, whole, true
+	changes, next, snapshot = h.tracker.Since(position)
+	return changes, next, snapshot, true
 }
--- a/sidecar/order.go
+++ b/sidecar/order.go
@@ -10,9 +10,9 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// loadOrder is the order in which the runners of a service load a version, as it was when this agent learned of the version:
+// loadSequence is the order in which the runners of a service load a version, as it was when this agent learned of the version:
 // those with the oldest weights first, since theirs expire first.
-type loadOrder struct {
+type loadSequence struct {
 	mu      sync.Mutex
 	model   rillreach.ModelID
 	version deployment.WeightVersion
@@ -20,24 +20,24 @@
 }
 
 // rank is the runner's place among all of them; one that came later is the last.
-func (t *loadOrder) rank(group []*roster.Runner, named deployment.DesiredWeights, id rillreach.InstanceID) (rank, total int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.model != named.Model || t.version != named.Version {
-		t.model, t.version = named.Model, named.Version
-		t.ranks = ranksOf(group, named.Model)
+func (s *loadSequence) rank(runners []*roster.Runner, named deployment.DesiredWeights, id rillreach.InstanceID) (rank, total int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.model != named.Model || s.version != named.Version {
+		s.model, s.version = named.Model, named.Version
+		s.ranks = ranksOf(runners, named.Model)
 	}
-	total = max(len(t.ranks), 1)
-	rank, ok := t.ranks[id]
+	total = max(len(s.ranks), 1)
+	rank, ok := s.ranks[id]
 	if !ok {
 		rank = total - 1
 	}
 	return rank, total
 }
 
-func ranksOf(group []*roster.Runner, model rillreach.ModelID) map[rillreach.InstanceID]int {
-	infos := make([]deployment.Runner, len(group))
-	for i, r := range group {
+func ranksOf(runners []*roster.Runner, model rillreach.ModelID) map[rillreach.InstanceID]int {
+	infos := make([]deployment.Runner, len(runners))
+	for i, r := range runners {
 		infos[i] = r.Info()
 	}
 	slices.SortFunc(infos, func(a, b deployment.Runner) int {
--- a/sidecar/publisher.go
+++ b/sidecar/publisher.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// publishEvery is how often followers are told what has changed, and quietMost how long they hear nothing at the most.
-	publishEvery = 40 * time.Millisecond
-	quietMost    = 400 * time.Millisecond
-	// eachTakes is how much of a follower's time each agent takes for one bulletin, so that the smallest entries, with a
+	// publishInterval is how often followers are told what has changed, and quietMost how long they hear nothing at the most.
+	publishInterval     = 40 * time.Millisecond
+	maxBulletinInterval = 400 * time.Millisecond
+	// intervalPerAgent is how much of a follower's time each agent takes for one bulletin, so that the smallest entries, with a
 	// seventh of a core, spend a tenth of it on them; farSlower is by how much seldomer those of other zones are told.
-	eachTakes = time.Millisecond
-	farSlower = 2
-	// sparseEvery is how often a follower is told that asked for little.
-	sparseEvery = time.Second
-	// startMoved is how far the start of a load has to move for followers to be told: the runners' clock is read some milliseconds
+	intervalPerAgent = time.Millisecond
+	otherZoneFactor  = 2
+	// loadOnlyInterval is how often a follower is told that asked for little.
+	loadOnlyInterval = time.Second
+	// weightLoadAtTolerance is how far the start of a load has to move for followers to be told: the runners' clock is read some milliseconds
 	// early or late.
-	startMoved = 50 * time.Millisecond
+	weightLoadAtTolerance = 50 * time.Millisecond
 )
 
 // publisher tells the entries how the runner is and what the stores hold.
 type publisher struct {
 	sidecar   *Sidecar
 	followers atomic.Int64
-	// sending are the followers that send to the runner, and share the permits for it.
-	sending atomic.Int64
+	// senders are the followers that send to the runner, and share the permits for it.
+	senders atomic.Int64
 	permits permit.Allocator
 	// serving are the followers that the agent waits for when it ends, urgent wakes them.
 	serving followerGroup
 	urgent  broadcast.Signal
-	role    relayRole
+	relay   relayRole
 
-	mu      sync.Mutex
-	load    deployment.Load
-	loadAt  time.Time
-	rollout rollout
-	// named are the namings as they were told, and namedVersion is that of what the agent knew then.
-	named        []bulletin.WeightsFirstSeen
-	namedVersion uint64
+	mu         sync.Mutex
+	load       deployment.Load
+	loadAt     time.Time
+	weightLoad weightLoadStatus
+	// firstSeen are the namings as they were told, and namedVersion is that of what the agent knew then.
+	firstSeen         []bulletin.WeightsFirstSeen
+	firstSeenRevision uint64
 }
 
-// set takes the runner's newest report, and wakes the followers where the runner is no longer fit for new requests or is so again.
-func (p *publisher) set(load deployment.Load, next rollout) {
+// setReport takes the runner's newest report, and wakes the followers where the runner is no longer fit for new requests or is so again.
+func (p *publisher) setReport(load deployment.Load, weightLoad weightLoadStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if next.loading != p.rollout.loading || load.Leaving != p.load.Leaving || load.Unresponsive != p.load.Unresponsive {
+	if weightLoad.loading != p.weightLoad.loading || load.Leaving != p.load.Leaving || load.Unresponsive != p.load.Unresponsive {
 		p.urgent.Wake()
 	}
-	p.load, p.loadAt, p.rollout = load, time.Now(), next
+	p.load, p.loadAt, p.weightLoad = load, time.Now(), weightLoad
 }
 
-// silence records that the runner does not answer.
-func (p *publisher) silence() {
+// markUnresponsive records that the runner does not answer.
+func (p *publisher) markUnresponsive() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.load.Unresponsive {
@@ -70,10 +70,10 @@
 	p.load.Unresponsive = true
 }
 
-func (p *publisher) get() (load deployment.Load, at time.Time, next rollout) {
+func (p *publisher) latestReport() (load deployment.Load, reportedAt time.Time, weightLoad weightLoadStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.load, p.loadAt, p.rollout
+	return p.load, p.loadAt, p.weightLoad
 }
 
 // serve sends bulletins to one follower until it leaves.
@@ -91,16 +91,16 @@
 		p.sidecar.Log.Info("follower left", "decision", "end", "follower", follow.Name, "followers", p.followers.Add(-1))
 	}()
 	f := newFollower(p)
-	f.sparse = follow.LoadOnly
-	if !f.sparse {
-		p.sending.Add(1)
-		defer p.sending.Add(-1)
+	f.loadOnly = follow.LoadOnly
+	if !f.loadOnly {
+		p.senders.Add(1)
+		defer p.senders.Add(-1)
 	}
-	f.far = follow.Zone != "" && follow.Zone != p.sidecar.Settings.Zone
+	f.otherZone = follow.Zone != "" && follow.Zone != p.sidecar.Settings.Zone
 	var pacer pacer
 	for ctx.Err() == nil {
 		urgent := p.urgent.Wait()
-		if b, worth := f.next(); worth {
+		if b, due := f.next(); due {
 			body, err := peer.Encode(b)
 			if err != nil {
 				return err
@@ -109,61 +109,61 @@
 				return err
 			}
 		}
-		pacer.wait(ctx, p.pace(f), urgent)
+		pacer.wait(ctx, p.interval(f), urgent)
 	}
 	return nil
 }
 
-// pace is how often a follower is told: the more agents there are, the seldomer, so that what an entry hears from all of
+// interval is how often a follower is told: the more agents there are, the seldomer, so that what an entry hears from all of
 // them stays about the same; and seldomer in other zones, whose entries send fewer requests here. Who asked for little hears as often as the
 // stores need that the agent owns, which count as alive for as long as it speaks of them.
-func (p *publisher) pace(f *follower) time.Duration {
+func (p *publisher) interval(f *follower) time.Duration {
 	s := p.sidecar
 	switch {
-	case f.sparse && (len(s.stores.all()) > 0 || len(f.told.Quotas) > 0):
-		return quietMost
-	case f.sparse:
-		return sparseEvery
+	case f.loadOnly && (len(s.collector.ownedStores()) > 0 || len(f.lastSent.Quotas) > 0):
+		return maxBulletinInterval
+	case f.loadOnly:
+		return loadOnlyInterval
 	}
-	pace := p.ownZonePace()
-	if f.far {
-		pace *= farSlower
+	interval := p.ownZoneInterval()
+	if f.otherZone {
+		interval *= otherZoneFactor
 	}
-	return min(pace, quietMost)
+	return min(interval, maxBulletinInterval)
 }
 
-// ownZonePace is how often followers of the agent's own zone are told.
-func (p *publisher) ownZonePace() time.Duration {
+// ownZoneInterval is how often followers of the agent's own zone are told.
+func (p *publisher) ownZoneInterval() time.Duration {
 	s := p.sidecar
-	pace := publishEvery
+	interval := publishInterval
 	if self := s.state.Roster.ByAddress(s.Settings.RunnerAddress); self != nil {
-		pace = max(pace, eachTakes*time.Duration(len(s.state.Roster.ByService(self.Info().Service))))
+		interval = max(interval, intervalPerAgent*time.Duration(len(s.state.Roster.ByService(self.Info().Service))))
 	}
-	return min(pace, quietMost)
+	return min(interval, maxBulletinInterval)
 }
 
-// namings are the times at which versions of weights were named, on the runners' clock, which reads clock now. Each is worked out
+// weightsFirstSeen are the times at which versions of weights were named, on the runners' clock, which reads clock now. Each is worked out
 // once, so that bulletins differ only where something new is known.
-func (p *publisher) namings(clock int64) []bulletin.WeightsFirstSeen {
+func (p *publisher) weightsFirstSeen(clock int64) []bulletin.WeightsFirstSeen {
 	if clock == 0 {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	version := p.sidecar.state.NamedVersionsRevision()
-	if version == p.namedVersion {
-		return p.named
+	revision := p.sidecar.state.NamedVersionsRevision()
+	if revision == p.firstSeenRevision {
+		return p.firstSeen
 	}
-	known := p.sidecar.state.NamedVersions()
-	told := make([]bulletin.WeightsFirstSeen, 0, len(known))
-	for _, k := range known {
-		one := bulletin.WeightsFirstSeen{Model: k.Model, Version: k.Version, At: clock - time.Since(k.At).Milliseconds()}
-		i := slices.IndexFunc(p.named, func(w bulletin.WeightsFirstSeen) bool { return w.Model == one.Model && w.Version == one.Version })
+	versions := p.sidecar.state.NamedVersions()
+	firstSeen := make([]bulletin.WeightsFirstSeen, 0, len(versions))
+	for _, version := range versions {
+		seen := bulletin.WeightsFirstSeen{Model: version.Model, Version: version.Version, At: clock - time.Since(version.At).Milliseconds()}
+		i := slices.IndexFunc(p.firstSeen, func(w bulletin.WeightsFirstSeen) bool { return w.Model == seen.Model && w.Version == seen.Version })
 		if i >= 0 {
-			one = p.named[i]
+			seen = p.firstSeen[i]
 		}
-		told = append(told, one)
+		firstSeen = append(firstSeen, seen)
 	}
-	p.named, p.namedVersion = told, version
-	return told
+	p.firstSeen, p.firstSeenRevision = firstSeen, revision
+	return firstSeen
 }
--- a/sidecar/quotas.go
+++ b/sidecar/quotas.go
@@ -24,72 +24,72 @@
 
 // quota is the limit of one runner.
 type quota struct {
-	run      rillreach.InstanceRun
-	allotter permit.Allocator
+	run       rillreach.InstanceRun
+	allocator permit.Allocator
 
-	// observed is by the runners' clock, and until when the lease ends.
-	observed backpressure.Observation
-	until    time.Time
+	// observation is by the runners' clock, and until when the lease ends.
+	observation backpressure.Observation
+	expiresAt   time.Time
 }
 
-// report takes over what an entry knows of a limit, and reports whether another one holds now.
-func (q *quotas) report(now time.Time, l *bulletin.RunnerLimit) (changed bool) {
+// observe takes over what an entry knows of a limit, and reports whether another one holds now.
+func (q *quotas) observe(now time.Time, reported *bulletin.RunnerLimit) (changed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.byRunner == nil {
 		q.byRunner = map[rillreach.InstanceID]*quota{}
 	}
-	known := q.byRunner[l.Runner]
+	known := q.byRunner[reported.Runner]
 	switch {
-	case known == nil || l.Run().Supersedes(known.run):
-		known = &quota{run: l.Run()}
-		known.allotter.Start(now)
-		q.byRunner[l.Runner] = known
-	case known.run.Supersedes(l.Run()):
+	case known == nil || reported.Run().Supersedes(known.run):
+		known = &quota{run: reported.Run()}
+		known.allocator.Start(now)
+		q.byRunner[reported.Runner] = known
+	case known.run.Supersedes(reported.Run()):
 		return false
 	}
-	was := known.observed.Limit
-	known.observed = backpressure.Merge(known.observed, l.Observation())
-	known.until = now.Add(quotaLease)
-	return known.observed.Limit != was
+	before := known.observation.Limit
+	known.observation = backpressure.Merge(known.observation, reported.Observation())
+	known.expiresAt = now.Add(quotaLease)
+	return known.observation.Limit != before
 }
 
-// current are the limits whose lease goes on.
-func (q *quotas) current(now time.Time) []currentQuota {
+// active are the limits whose lease goes on.
+func (q *quotas) active(now time.Time) []activeQuota {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var all []currentQuota
+	var active []activeQuota
 	for id, known := range q.byRunner {
-		if now.After(known.until) {
+		if now.After(known.expiresAt) {
 			delete(q.byRunner, id)
 			continue
 		}
-		all = append(all, currentQuota{run: known.run, observed: known.observed, allotter: &known.allotter})
+		active = append(active, activeQuota{run: known.run, observation: known.observation, allocator: &known.allocator})
 	}
-	return all
+	return active
 }
 
-// currentQuota is the limit of one runner at a moment.
-type currentQuota struct {
-	run      rillreach.InstanceRun
-	observed backpressure.Observation
-	allotter *permit.Allocator
+// activeQuota is the limit of one runner at a moment.
+type activeQuota struct {
+	run         rillreach.InstanceRun
+	observation backpressure.Observation
+	allocator   *permit.Allocator
 }
 
-// limit is the limit as followers are told of it.
-func (q *currentQuota) limit() bulletin.RunnerLimit {
+// runnerLimit is the runnerLimit as followers are told of it.
+func (q *activeQuota) runnerLimit() bulletin.RunnerLimit {
 	return bulletin.RunnerLimit{
-		Runner: q.run.ID, Generation: q.run.Generation, Limit: q.observed.Limit,
-		SentAt: q.observed.Sent.UnixMilli(), ReceivedAt: q.observed.Received.UnixMilli(),
+		Runner: q.run.ID, Generation: q.run.Generation, Limit: q.observation.Limit,
+		SentAt: q.observation.Sent.UnixMilli(), ReceivedAt: q.observation.Received.UnixMilli(),
 	}
 }
 
-// takeLimits takes an entry's report of limits over, and has all followers told of what is new at once.
-func (s *Sidecar) takeLimits(_ context.Context, from *peer.Conn, r bulletin.LimitReport) (bulletin.LimitReceipt, error) {
+// handleLimitReport takes an entry's report of limits over, and has all followers told of what is new at once.
+func (s *Sidecar) handleLimitReport(_ context.Context, from *peer.Conn, report bulletin.LimitReport) (bulletin.LimitReceipt, error) {
 	now, changed := time.Now(), 0
-	for i := range r.Limits {
-		l := &r.Limits[i]
-		if !s.quotas.report(now, l) {
+	for i := range report.Limits {
+		l := &report.Limits[i]
+		if !s.quotas.observe(now, l) {
 			continue
 		}
 		changed++
@@ -101,30 +101,30 @@
 	return bulletin.LimitReceipt{Changed: changed}, nil
 }
 
-// allotQuotas gives the follower its permits for the runners whose limits the agent shares out. Those for the agent's own runner are for the followers
+// allocateQuotas gives the follower its permits for the runners whose limits the agent shares out. Those for the agent's own runner are for the followers
 // that send to it.
-func (f *follower) allotQuotas(now time.Time, current []currentQuota) []bulletin.Quota {
+func (f *follower) allocateQuotas(now time.Time, active []activeQuota) []bulletin.Quota {
 	p, own := f.publisher, f.publisher.ownRunner()
-	shares := make(map[rillreach.InstanceID]*permit.Share, len(current))
-	var given []bulletin.Quota
-	for i := range current {
-		q := &current[i]
-		share := f.quotas[q.run.ID]
+	shares := make(map[rillreach.InstanceID]*permit.Share, len(active))
+	var allocated []bulletin.Quota
+	for i := range active {
+		q := &active[i]
+		share := f.quotaShares[q.run.ID]
 		if share == nil {
 			share = &permit.Share{}
 		}
 		shares[q.run.ID] = share
-		one := bulletin.Quota{RunnerLimit: q.limit()}
+		allocation := bulletin.Quota{RunnerLimit: q.runnerLimit()}
 		switch {
 		case q.run.ID != own:
-			one.Permits = q.allotter.Allocate(now, share, int(p.followers.Load()), q.observed.Limit.Rate())
-		case !f.sparse:
-			one.Permits = q.allotter.Allocate(now, share, int(p.sending.Load()), q.observed.Limit.Rate())
+			allocation.Permits = q.allocator.Allocate(now, share, int(p.followers.Load()), q.observation.Limit.Rate())
+		case !f.loadOnly:
+			allocation.Permits = q.allocator.Allocate(now, share, int(p.senders.Load()), q.observation.Limit.Rate())
 		}
-		given = append(given, one)
+		allocated = append(allocated, allocation)
 	}
-	f.quotas = shares
-	return given
+	f.quotaShares = shares
+	return allocated
 }
 
 // ownRunner is the runner beside the agent, empty where none is listed.
@@ -136,16 +136,16 @@
 }
 
 // sameLimits reports that the follower has been told of the limits as they are.
-func (f *follower) sameLimits(current []currentQuota) bool {
-	if len(current) != len(f.told.Quotas) {
+func (f *follower) sameLimits(active []activeQuota) bool {
+	if len(active) != len(f.lastSent.Quotas) {
 		return false
 	}
-	told := make(map[rillreach.InstanceID]backpressure.Limit, len(current))
-	for _, q := range f.told.Quotas {
-		told[q.RunnerLimit.Runner] = q.RunnerLimit.Limit
+	sent := make(map[rillreach.InstanceID]backpressure.Limit, len(active))
+	for _, q := range f.lastSent.Quotas {
+		sent[q.RunnerLimit.Runner] = q.RunnerLimit.Limit
 	}
-	for i := range current {
-		if limit, ok := told[current[i].run.ID]; !ok || limit != current[i].observed.Limit {
+	for i := range active {
+		if limit, ok := sent[active[i].run.ID]; !ok || limit != active[i].observation.Limit {
 			return false
 		}
 	}
--- a/sidecar/readers_test.go
+++ b/sidecar/readers_test.go
@@ -20,21 +20,21 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// freeing is an agent that looks after a store with a part of replaced weights, which everybody has been told of for long enough.
-type freeing struct {
+// collectorFixture is an agent that looks after a store with a part of replaced weights, which everybody has been told of for long enough.
+type collectorFixture struct {
 	collector *collector
-	kept      *kept
-	frees     atomic.Int64
+	store     *ownedStore
+	freeCalls atomic.Int64
 }
 
 const expiredSalt = "1/m"
 
-func newFreeing(t *testing.T, runners ...netip.AddrPort) *freeing {
+func newCollectorFixture(t *testing.T, runners ...netip.AddrPort) *collectorFixture {
 	t.Helper()
-	f := &freeing{}
+	f := &collectorFixture{}
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/kv-free" {
-			f.frees.Add(1)
+			f.freeCalls.Add(1)
 		}
 		w.WriteHeader(http.StatusOK)
 	}))
@@ -42,97 +42,97 @@
 	s := &Sidecar{Log: testr.New(t)}
 	s.state.Log = s.Log
 	s.state.SetWeights(deployment.DesiredWeights{Model: "m", Version: 2, Revision: rillreach.Revision{Number: 2}})
-	for _, at := range runners {
+	for _, address := range runners {
 		s.state.Roster.Put(deployment.Runner{
-			ID: rillreach.InstanceID(at.String()), Service: "s", Address: at, Weights: map[rillreach.ModelID]deployment.WeightVersion{"m": 2},
+			ID: rillreach.InstanceID(address.String()), Service: "s", Address: address, Weights: map[rillreach.ModelID]deployment.WeightVersion{"m": 2},
 		})
 	}
 	f.collector = &collector{sidecar: s}
-	f.kept = &kept{holder: &holder{place: addressOf(store.URL), store: true, client: platform.NewRunner(addressOf(store.URL)), log: s.Log}}
-	f.kept.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: expiredSalt, Part: "p"}, Tokens: 10}})
-	f.kept.expired.MayFree(expiredSalt, time.Now().Add(-time.Hour), 0)
+	f.store = &ownedStore{holder: &holder{address: addressOf(store.URL), store: true, client: platform.NewRunner(addressOf(store.URL)), log: s.Log}}
+	f.store.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: expiredSalt, Part: "p"}, Tokens: 10}})
+	f.store.expiredSalts.MayFree(expiredSalt, time.Now().Add(-time.Hour), 0)
 	return f
 }
 
-// unlist takes a runner off the list, after it has been noted, and has perhaps said that it leaves.
-func (f *freeing) unlist(at netip.AddrPort, leaving bool) {
+// unlistRunner takes a runner off the list, after it has been noted, and has perhaps said that it leaves.
+func (f *collectorFixture) unlistRunner(address netip.AddrPort, leaving bool) {
 	roster := &f.collector.sidecar.state.Roster
-	info := roster.ByAddress(at).Info()
+	info := roster.ByAddress(address).Info()
 	info.Leaving = leaving
 	roster.Put(info)
-	f.collector.noteRuns(time.Now())
+	f.collector.updateEngineRuns(time.Now())
 	roster.Remove(time.Now(), info.ID, time.Time{})
 }
 
-// look looks at the store several times.
-func (f *freeing) look(t *testing.T) {
+// collect looks at the store several times.
+func (f *collectorFixture) collect(t *testing.T) {
 	t.Helper()
 	for range 3 {
-		f.collector.noteRuns(time.Now())
-		f.collector.free(context.Background(), f.kept)
+		f.collector.updateEngineRuns(time.Now())
+		f.collector.freeObsolete(context.Background(), f.store)
 	}
 }
 
 // TestFreeingWaitsForReaders: a runner that stands still may end a fetch long after the time that this was given.
 func TestFreeingWaitsForReaders(t *testing.T) {
-	well := func(t *testing.T) netip.AddrPort {
+	healthy := func(t *testing.T) netip.AddrPort {
 		t.Helper()
-		runner := httptest.NewServer(&engine{version: 2})
+		runner := httptest.NewServer(&fakeEngine{version: 2})
 		t.Cleanup(runner.Close)
 		return addressOf(runner.URL)
 	}
-	silent := func(t *testing.T) netip.AddrPort {
+	unresponsive := func(t *testing.T) netip.AddrPort {
 		t.Helper()
-		still, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		t.Cleanup(func() { _ = still.Close() })
-		return netip.MustParseAddrPort(still.Addr().String())
+		t.Cleanup(func() { _ = listener.Close() })
+		return netip.MustParseAddrPort(listener.Addr().String())
 	}
 	t.Run("parts are freed where every runner answers", func(t *testing.T) {
-		f := newFreeing(t, well(t), well(t))
-		f.look(t)
-		assert.Equal(t, int64(1), f.frees.Load())
+		f := newCollectorFixture(t, healthy(t), healthy(t))
+		f.collect(t)
+		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
 	t.Run("a runner that stands still is waited for", func(t *testing.T) {
-		f := newFreeing(t, well(t), silent(t))
-		f.look(t)
-		assert.Zero(t, f.frees.Load())
+		f := newCollectorFixture(t, healthy(t), unresponsive(t))
+		f.collect(t)
+		assert.Zero(t, f.freeCalls.Load())
 	})
 	t.Run("also one whose record has lapsed since", func(t *testing.T) {
-		at := silent(t)
-		f := newFreeing(t, well(t), at)
-		f.unlist(at, false)
-		f.look(t)
-		assert.Zero(t, f.frees.Load())
+		address := unresponsive(t)
+		f := newCollectorFixture(t, healthy(t), address)
+		f.unlistRunner(address, false)
+		f.collect(t)
+		assert.Zero(t, f.freeCalls.Load())
 	})
 	t.Run("one whose record lapsed long ago is not waited for", func(t *testing.T) {
-		at := silent(t)
-		f := newFreeing(t, well(t), at)
-		f.unlist(at, false)
-		f.collector.runs[rillreach.InstanceID(at.String())].last = time.Now().Add(-readersMost)
-		f.look(t)
-		assert.Equal(t, int64(1), f.frees.Load())
+		address := unresponsive(t)
+		f := newCollectorFixture(t, healthy(t), address)
+		f.unlistRunner(address, false)
+		f.collector.engineRuns[rillreach.InstanceID(address.String())].lastListedAt = time.Now().Add(-readerTimeout)
+		f.collect(t)
+		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
 	t.Run("one that has left as it said reads nothing any more", func(t *testing.T) {
-		at := silent(t)
-		f := newFreeing(t, well(t), at)
-		f.unlist(at, true)
-		f.look(t)
-		assert.Equal(t, int64(1), f.frees.Load())
+		address := unresponsive(t)
+		f := newCollectorFixture(t, healthy(t), address)
+		f.unlistRunner(address, true)
+		f.collect(t)
+		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
 	t.Run("nor is one whose address another process has taken", func(t *testing.T) {
 		other := httptest.NewServer(http.NotFoundHandler())
 		t.Cleanup(other.Close)
-		f := newFreeing(t, well(t), addressOf(other.URL))
-		f.look(t)
-		assert.Equal(t, int64(1), f.frees.Load())
+		f := newCollectorFixture(t, healthy(t), addressOf(other.URL))
+		f.collect(t)
+		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
 	t.Run("one that has ended reads nothing any more", func(t *testing.T) {
-		ended := httptest.NewServer(&engine{version: 2})
-		at := addressOf(ended.URL)
+		ended := httptest.NewServer(&fakeEngine{version: 2})
+		address := addressOf(ended.URL)
 		ended.Close()
-		f := newFreeing(t, well(t), at)
-		f.look(t)
-		assert.Equal(t, int64(1), f.frees.Load())
+		f := newCollectorFixture(t, healthy(t), address)
+		f.collect(t)
+		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
 }
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -17,40 +17,40 @@
 const (
 	// relaysPerZone is how many agents of a zone watch the object store for its entries: one more than is needed.
 	relaysPerZone = 2
-	// relaysFrom is how many runners a service has at the least where agents are relays: before some ten entries, as stand before fewer runners,
+	// minRunnersForRelays is how many runners a service has at the least where agents are relays: before some ten entries, as stand before fewer runners,
 	// relays make more calls to the store than they save the entries, some 50 each in the first minute.
-	relaysFrom = 64
-	// leastRelayWait and mostRelayWait bound how long one watch of a relay waits. It is drawn anew each time: watches that a change has ended
+	minRunnersForRelays = 64
+	// minRelayWatchTimeout and mostRelayWait bound how long one watch of a relay waits. It is drawn anew each time: watches that a change has ended
 	// together would end together from then on, and entries would hear of nobody between.
-	leastRelayWait = time.Second
-	mostRelayWait  = 3 * time.Second
-	// relayGather is a pause between a relay's watches of the runners, whose records change in quick succession.
-	relayGather = 300 * time.Millisecond
-	// roleEvery is how often an agent looks whether it is a relay.
-	roleEvery = 500 * time.Millisecond
+	minRelayWatchTimeout = time.Second
+	maxRelayWatchTimeout = 3 * time.Second
+	// relayCoalesceDelay is a pause between a relay's watches of the runners, whose records change in quick succession.
+	relayCoalesceDelay = 300 * time.Millisecond
+	// relayCheckInterval is how often an agent looks whether it is a relay.
+	relayCheckInterval = 500 * time.Millisecond
 )
 
 // relayRole remembers whether the agent is a relay; its zero value has not looked.
 type relayRole struct {
-	mu     sync.Mutex
-	relay  bool
-	looked time.Time
+	mu        sync.Mutex
+	isRelay   bool
+	checkedAt time.Time
 }
 
 // relayPace is the pace of a relay, and reports whether this agent is one.
 func (p *publisher) relayPace() (follow.Pace, bool) {
-	wait := leastRelayWait + rand.N(mostRelayWait-leastRelayWait)
-	return follow.Pace{WatchTimeout: wait, CoalesceDelay: relayGather}, p.isRelay()
+	timeout := minRelayWatchTimeout + rand.N(maxRelayWatchTimeout-minRelayWatchTimeout)
+	return follow.Pace{WatchTimeout: timeout, CoalesceDelay: relayCoalesceDelay}, p.isRelay()
 }
 
 // isRelay reports whether this agent is a relay.
 func (p *publisher) isRelay() bool {
-	p.role.mu.Lock()
-	defer p.role.mu.Unlock()
-	if now := time.Now(); now.Sub(p.role.looked) >= roleEvery {
-		p.role.relay, p.role.looked = p.ranksAsRelay(), now
+	p.relay.mu.Lock()
+	defer p.relay.mu.Unlock()
+	if now := time.Now(); now.Sub(p.relay.checkedAt) >= relayCheckInterval {
+		p.relay.isRelay, p.relay.checkedAt = p.ranksAsRelay(), now
 	}
-	return p.role.relay
+	return p.relay.isRelay
 }
 
 // ranksAsRelay reports that this agent's runner is among the first of its zone by a hash of their identifiers.
@@ -61,14 +61,14 @@
 		return false
 	}
 	info := self.Info()
-	group := s.state.Roster.ByService(info.Service)
-	return len(group) >= relaysFrom && slices.Contains(relaysOf(group, info.Zone), info.ID)
+	runners := s.state.Roster.ByService(info.Service)
+	return len(runners) >= minRunnersForRelays && slices.Contains(relaysOf(runners, info.Zone), info.ID)
 }
 
 // relaysOf are the relays among the runners of a service in a zone.
-func relaysOf(group []*roster.Runner, zone rillreach.ZoneID) []rillreach.InstanceID {
+func relaysOf(runners []*roster.Runner, zone rillreach.ZoneID) []rillreach.InstanceID {
 	var ids []rillreach.InstanceID
-	for _, r := range group {
+	for _, r := range runners {
 		if info := r.Info(); info.Zone == zone && !info.Leaving {
 			ids = append(ids, info.ID)
 		}
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -13,8 +13,8 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// zonesOf lists so many runners in two zones.
-func zonesOf(runners int) *roster.Roster {
+// rosterInTwoZones lists so many runners in two zones.
+func rosterInTwoZones(runners int) *roster.Roster {
 	var r roster.Roster
 	for i := range runners {
 		r.Put(deployment.Runner{
@@ -25,9 +25,9 @@
 	return &r
 }
 
-// sixRunners lists six, some of which leave.
-func sixRunners(leaving ...int) *roster.Roster {
-	r := zonesOf(6)
+// rosterOfSix lists six, some of which leave.
+func rosterOfSix(leaving ...int) *roster.Roster {
+	r := rosterInTwoZones(6)
 	for _, i := range leaving {
 		info := r.Find(rillreach.InstanceID(fmt.Sprint("r", i))).Info()
 		info.Leaving = true
@@ -37,26 +37,26 @@
 }
 
 func TestRelays(t *testing.T) {
-	all := relaysOf(sixRunners().ByService("s"), "z0")
+	relays := relaysOf(rosterOfSix().ByService("s"), "z0")
 	t.Run("a zone has a few, all its own", func(t *testing.T) {
-		require.Len(t, all, relaysPerZone)
-		assert.Subset(t, []rillreach.InstanceID{"r0", "r2", "r4"}, all)
+		require.Len(t, relays, relaysPerZone)
+		assert.Subset(t, []rillreach.InstanceID{"r0", "r2", "r4"}, relays)
 	})
 	t.Run("one that leaves is none, and another takes its place", func(t *testing.T) {
 		var i int
-		_, err := fmt.Sscanf(string(all[0]), "r%d", &i)
+		_, err := fmt.Sscanf(string(relays[0]), "r%d", &i)
 		require.NoError(t, err)
-		rest := relaysOf(sixRunners(i).ByService("s"), "z0")
-		assert.Len(t, rest, relaysPerZone)
-		assert.NotContains(t, rest, all[0])
-		assert.Contains(t, rest, all[1])
+		remaining := relaysOf(rosterOfSix(i).ByService("s"), "z0")
+		assert.Len(t, remaining, relaysPerZone)
+		assert.NotContains(t, remaining, relays[0])
+		assert.Contains(t, remaining, relays[1])
 	})
 	t.Run("a zone without runners has none", func(t *testing.T) {
-		assert.Empty(t, relaysOf(sixRunners().ByService("s"), "z9"))
+		assert.Empty(t, relaysOf(rosterOfSix().ByService("s"), "z9"))
 	})
 	t.Run("an agent is one only where there are many", func(t *testing.T) {
-		for _, c := range []struct{ runners, relays int }{{relaysFrom - 1, 0}, {relaysFrom, 2 * relaysPerZone}} {
-			all := zonesOf(c.runners)
+		for _, c := range []struct{ runners, relays int }{{minRunnersForRelays - 1, 0}, {minRunnersForRelays, 2 * relaysPerZone}} {
+			all := rosterInTwoZones(c.runners)
 			relays := 0
 			for _, r := range all.All() {
 				s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: r.Info().Address}}
--- a/sidecar/restart_test.go
+++ b/sidecar/restart_test.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	earlier = 1_790_000_000_000
-	later   = earlier + 5000
+	earlierGeneration = 1_790_000_000_000
+	laterGeneration   = earlierGeneration + 5000
 )
 
-// beside is an agent beside an engine that may start again.
-type beside struct {
+// restartFixture is an agent restartFixture an engine that may start again.
+type restartFixture struct {
 	store  *site.Store
 	engine *site.Engine
 	agent  *Sidecar
@@ -38,11 +38,11 @@
 	orders []site.Order
 }
 
-// beginBeside starts an engine with weights of version 1 and an agent beside it.
-func beginBeside(t *testing.T) *beside {
+// newRestartFixture starts an engine with weights of version 1 and an agent beside it.
+func newRestartFixture(t *testing.T) *restartFixture {
 	t.Helper()
-	b := &beside{store: site.NewStore()}
-	b.engine = &site.Engine{Model: site.Model, Version: 1, LoadTime: time.Hour, Born: earlier}
+	b := &restartFixture{store: site.NewStore()}
+	b.engine = &site.Engine{Model: site.Model, Version: 1, LoadTime: time.Hour, Born: earlierGeneration}
 	b.engine.ID = "r1"
 	b.engine.Ordered = func(o site.Order) bool {
 		b.mu.Lock()
@@ -54,154 +54,154 @@
 	t.Cleanup(b.engine.Stop)
 	b.store.Put("config", "main", map[string]any{"version": 1})
 	b.store.Put("servers", "r1", b.engine.Record("ready"))
-	b.agent = beginAgent(t, b.store, b.engine.Address())
+	b.agent = startAgent(t, b.store, b.engine.Address())
 	return b
 }
 
-func (b *beside) given() []site.Order {
+func (b *restartFixture) receivedOrders() []site.Order {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]site.Order(nil), b.orders...)
 }
 
-// busy reports whether the agent believes that its runner carries out an order.
-func (b *beside) busy() bool {
-	load, _, _ := b.agent.publisher.get()
+// loadingWeights reports whether the agent believes that its runner carries out an order.
+func (b *restartFixture) loadingWeights() bool {
+	load, _, _ := b.agent.publisher.latestReport()
 	return load.LoadingWeights
 }
 
-// known is the run that the agent believes to be beside it.
-func (b *beside) known() rillreach.Generation {
-	self := b.agent.state.Roster.Find("r1")
-	if self == nil {
+// knownGeneration is the run that the agent believes to be beside it.
+func (b *restartFixture) knownGeneration() rillreach.Generation {
+	runner := b.agent.state.Roster.Find("r1")
+	if runner == nil {
 		return 0
 	}
-	return self.Info().Generation
+	return runner.Info().Generation
 }
 
-func unknownIn(l *startLog, source telemetry.StartSource) bool {
+func generationMissing(l *missingGenerationTracker, source telemetry.StartSource) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.unknown[source]
+	return l.bySource[source]
 }
 
-func eventually(t *testing.T, holds func() bool) {
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, holds, wait, 5*time.Millisecond)
+	require.Eventually(t, condition, waitTimeout, 5*time.Millisecond)
 }
 
-func TestRunnerStartsAgainDuringLoad(t *testing.T) {
-	b := beginBeside(t)
+func TestRunnerRestartsDuringWeightLoad(t *testing.T) {
+	b := newRestartFixture(t)
 	b.store.Put("versions", site.Model, site.WeightsOf(2))
-	eventually(t, func() bool { return len(b.given()) == 1 && b.busy() })
+	eventually(t, func() bool { return len(b.receivedOrders()) == 1 && b.loadingWeights() })
 	b.store.Fail(http.StatusServiceUnavailable) // the store cannot tell of the new start
-	b.engine.Restart(later)
-	eventually(t, func() bool { return len(b.given()) == 2 })
-	given := b.given()
-	assert.Zero(t, given[1].Expected, "the orders of the earlier run are forgotten")
-	assert.Equal(t, uint64(2), given[1].Version)
-	assert.Equal(t, given[0].Fence, given[1].Fence)
-	assert.Equal(t, rillreach.Generation(later), b.known())
-	eventually(t, b.busy)
-	assert.Len(t, b.given(), 2, "one order is enough")
+	b.engine.Restart(laterGeneration)
+	eventually(t, func() bool { return len(b.receivedOrders()) == 2 })
+	orders := b.receivedOrders()
+	assert.Zero(t, orders[1].Expected, "the orders of the earlier run are forgotten")
+	assert.Equal(t, uint64(2), orders[1].Version)
+	assert.Equal(t, orders[0].Fence, orders[1].Fence)
+	assert.Equal(t, rillreach.Generation(laterGeneration), b.knownGeneration())
+	eventually(t, b.loadingWeights)
+	assert.Len(t, b.receivedOrders(), 2, "one order is enough")
 }
 
-// TestOrderOfAnEarlierRun: the order went with the run that had it, and is not waited for.
-func TestOrderOfAnEarlierRun(t *testing.T) {
-	ordered := func(t *testing.T, runs ...rillreach.Generation) []order {
+// TestOrderOfEarlierRunIsNotWaitedFor: the order went with the run that had it, and is not waited for.
+func TestOrderOfEarlierRunIsNotWaitedFor(t *testing.T) {
+	ordersTo := func(t *testing.T, runs ...rillreach.Generation) []receivedOrder {
 		t.Helper()
-		e := &engine{version: 1}
+		e := &fakeEngine{version: 1}
 		runner := httptest.NewServer(e)
 		t.Cleanup(runner.Close)
 		s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t)}
 		l := &loader{sidecar: s}
 		for i, generation := range runs {
-			self := deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: generation}
-			l.decide(t.Context(), self, deployment.Load{OrdersTaken: uint64(i)}, deployment.DesiredWeights{Model: "m", Version: 2, Revision: rillreach.Revision{Number: 5}}, 1, time.Hour)
+			runner := deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: generation}
+			l.decide(t.Context(), runner, deployment.Load{OrdersTaken: uint64(i)}, deployment.DesiredWeights{Model: "m", Version: 2, Revision: rillreach.Revision{Number: 5}}, 1, time.Hour)
 		}
-		return e.given()
+		return e.receivedOrders()
 	}
 	t.Run("a later run is ordered at once, by its own count of orders", func(t *testing.T) {
-		given := ordered(t, earlier, later)
-		if assert.Len(t, given, 2) {
-			assert.Equal(t, uint64(1), given[1].Expected)
+		orders := ordersTo(t, earlierGeneration, laterGeneration)
+		if assert.Len(t, orders, 2) {
+			assert.Equal(t, uint64(1), orders[1].Expected)
 		}
 	})
 }
 
-// TestAnswerToAnOrder has a runner answer an order with a later start than is known.
-func TestAnswerToAnOrder(t *testing.T) {
-	known := func(t *testing.T, status int) rillreach.Generation {
+// TestGenerationInOrderResponse has a runner answer an order with a later start than is known.
+func TestGenerationInOrderResponse(t *testing.T) {
+	knownAfter := func(t *testing.T, status int) rillreach.Generation {
 		t.Helper()
 		runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
-			_, _ = fmt.Fprintf(w, `{"born":%d}`, later)
+			_, _ = fmt.Fprintf(w, `{"born":%d}`, laterGeneration)
 		}))
 		t.Cleanup(runner.Close)
 		s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t)}
-		self := deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: earlier}
-		s.state.Roster.Put(self)
-		(&loader{sidecar: s}).order(t.Context(), self, deployment.Load{}, deployment.DesiredWeights{Model: "m", Version: 2})
+		record := deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: earlierGeneration}
+		s.state.Roster.Put(record)
+		(&loader{sidecar: s}).sendOrder(t.Context(), record, deployment.Load{}, deployment.DesiredWeights{Model: "m", Version: 2})
 		return s.state.Roster.Find("r1").Info().Generation
 	}
 	for _, status := range []int{http.StatusOK, http.StatusAccepted, http.StatusConflict} {
 		t.Run("it tells the new start: "+http.StatusText(status), func(t *testing.T) {
-			assert.Equal(t, rillreach.Generation(later), known(t, status))
+			assert.Equal(t, rillreach.Generation(laterGeneration), knownAfter(t, status))
 		})
 	}
 	t.Run("a refusal may be another runner's and tells none", func(t *testing.T) {
-		assert.Equal(t, rillreach.Generation(earlier), known(t, http.StatusMisdirectedRequest))
+		assert.Equal(t, rillreach.Generation(earlierGeneration), knownAfter(t, http.StatusMisdirectedRequest))
 	})
 }
 
-func TestRunnerWithoutAStart(t *testing.T) {
-	b := beginBeside(t)
-	eventually(t, func() bool { return b.known() == earlier })
-	self := b.agent.state.Roster.Find("r1")
+func TestRestartedRunnerWithoutGeneration(t *testing.T) {
+	b := newRestartFixture(t)
+	eventually(t, func() bool { return b.knownGeneration() == earlierGeneration })
+	runner := b.agent.state.Roster.Find("r1")
 	b.engine.Restart(0)
-	eventually(t, func() bool { return unknownIn(&b.agent.starts, telemetry.StartInReport) })
-	assert.Same(t, self, b.agent.state.Roster.Find("r1"), "it is not known to have started anew")
-	assert.Equal(t, rillreach.Generation(earlier), b.known())
+	eventually(t, func() bool { return generationMissing(&b.agent.missingGenerations, telemetry.StartInReport) })
+	assert.Same(t, runner, b.agent.state.Roster.Find("r1"), "it is not known to have started anew")
+	assert.Equal(t, rillreach.Generation(earlierGeneration), b.knownGeneration())
 }
 
-// TestHoldingsOfAnEarlierRun has a runner that holds a part start again: entries must not hear of the part any more, whoever was
+// TestPartsOfEarlierRunAreDropped has a runner that holds a part start again: entries must not hear of the part any more, whoever was
 // the first to tell the agent of the new start.
-func TestHoldingsOfAnEarlierRun(t *testing.T) {
-	b := beginBeside(t)
-	eventually(t, func() bool { return b.known() == earlier })
+func TestPartsOfEarlierRunAreDropped(t *testing.T) {
+	b := newRestartFixture(t)
+	eventually(t, func() bool { return b.knownGeneration() == earlierGeneration })
 	b.engine.Keep("1/m", "old", 800)
 	b.engine.Keep("1/m", "older", 400)
-	eventually(t, func() bool { return b.agent.own.tracker.TotalTokens() == 1200 })
-	b.engine.Restart(later)
+	eventually(t, func() bool { return b.agent.runnerHolder.tracker.TotalTokens() == 1200 })
+	b.engine.Restart(laterGeneration)
 	b.engine.Keep("1/m", "fresh", 300)
-	eventually(t, func() bool { return b.agent.own.tracker.TotalTokens() == 300 })
-	assert.Equal(t, rillreach.Generation(later), b.known())
+	eventually(t, func() bool { return b.agent.runnerHolder.tracker.TotalTokens() == 300 })
+	assert.Equal(t, rillreach.Generation(laterGeneration), b.knownGeneration())
 }
 
-// TestBulletinIsOfOneRun has an agent hear of a new start when the last report and the followed parts are still the earlier run's.
-func TestBulletinIsOfOneRun(t *testing.T) {
-	place := netip.MustParseAddrPort("10.0.0.1:1")
-	s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: place}, Log: testr.New(t)}
-	s.publisher, s.stores = &publisher{sidecar: s}, &collector{sidecar: s}
-	s.own = &holder{place: place, log: s.Log}
-	s.own.listed.Store(true)
+// TestBulletinDescribesOneRun has an agent hear of a new start when the last report and the followed parts are still the earlier run's.
+func TestBulletinDescribesOneRun(t *testing.T) {
+	address := netip.MustParseAddrPort("10.0.0.1:1")
+	s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: address}, Log: testr.New(t)}
+	s.publisher, s.collector = &publisher{sidecar: s}, &collector{sidecar: s}
+	s.runnerHolder = &holder{address: address, log: s.Log}
+	s.runnerHolder.synced.Store(true)
 	page := func(epoch uint64, generation rillreach.Generation) *platform.CacheEvents {
 		return &platform.CacheEvents{Epoch: epoch, Generation: generation}
 	}
-	s.own.renew(page(1, earlier), []holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "old"}, Tokens: 800}})
-	s.state.Roster.Put(deployment.Runner{ID: "r1", Address: place, Generation: earlier})
-	s.publisher.set(deployment.Load{Generation: earlier, Running: 7, Clock: time.UnixMilli(5000)}, rollout{loading: true})
+	s.runnerHolder.reset(page(1, earlierGeneration), []holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "old"}, Tokens: 800}})
+	s.state.Roster.Put(deployment.Runner{ID: "r1", Address: address, Generation: earlierGeneration})
+	s.publisher.setReport(deployment.Load{Generation: earlierGeneration, Running: 7, Clock: time.UnixMilli(5000)}, weightLoadStatus{loading: true})
 	f := newFollower(s.publisher)
 	before, _ := f.next()
 	require.Len(t, before.CacheUpdates, 1)
 	require.Equal(t, 7, before.Load.Running)
 
-	s.own.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "late"}, Tokens: 400}})
-	s.state.Roster.Put(deployment.Runner{ID: "r1", Address: place, Generation: later})
-	b, worth := f.next()
+	s.runnerHolder.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "late"}, Tokens: 400}})
+	s.state.Roster.Put(deployment.Runner{ID: "r1", Address: address, Generation: laterGeneration})
+	b, due := f.next()
 	t.Run("the new start is told at once", func(t *testing.T) {
-		assert.True(t, worth)
-		assert.Equal(t, rillreach.InstanceRun{ID: "r1", Generation: later}, b.Run())
+		assert.True(t, due)
+		assert.Equal(t, rillreach.InstanceRun{ID: "r1", Generation: laterGeneration}, b.Run())
 	})
 	t.Run("nothing of the earlier run is told with it", func(t *testing.T) {
 		assert.Equal(t, bulletin.Load{Unresponsive: true}, b.Load)
@@ -209,8 +209,8 @@
 		assert.GreaterOrEqual(t, b.Clock, int64(5000), "the clock is common to all runners")
 	})
 	t.Run("what the later run holds is told as everything", func(t *testing.T) {
-		s.own.renew(page(2, later), nil)
-		s.own.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "fresh"}, Tokens: 300}})
+		s.runnerHolder.reset(page(2, laterGeneration), nil)
+		s.runnerHolder.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "fresh"}, Tokens: 300}})
 		b, _ := f.next()
 		if assert.Len(t, b.CacheUpdates, 1) {
 			assert.True(t, b.CacheUpdates[0].Snapshot)
@@ -219,83 +219,83 @@
 	})
 }
 
-func TestPageOfEvents(t *testing.T) {
-	follow := func(t *testing.T, epoch uint64, generation rillreach.Generation) *holder {
+func TestClassifyPage(t *testing.T) {
+	newHolder := func(t *testing.T, epoch uint64, generation rillreach.Generation) *holder {
 		t.Helper()
 		h := &holder{}
-		h.renew(&platform.CacheEvents{Epoch: epoch, Generation: generation}, nil)
+		h.reset(&platform.CacheEvents{Epoch: epoch, Generation: generation}, nil)
 		return h
 	}
 	for name, c := range map[string]struct {
 		epoch      uint64
 		generation rillreach.Generation
-		want       pageVerdict
+		want       pageRun
 	}{
-		"of the same run":                            {1, earlier, pagePresent},
-		"of the same run that tells no start":        {1, 0, pagePresent},
-		"of a later run":                             {2, later, pageOfNewRun},
-		"of a later run with the same epoch":         {1, later, pageOfNewRun},
-		"of a run of another epoch that tells none":  {2, 0, pageOfNewRun},
-		"of an earlier run":                          {2, earlier - 1, pageLate},
-		"of an earlier run with the epoch of before": {1, earlier - 1, pageLate},
+		"of the same run":                            {1, earlierGeneration, pageOfCurrentRun},
+		"of the same run that tells no start":        {1, 0, pageOfCurrentRun},
+		"of a later run":                             {2, laterGeneration, pageOfLaterRun},
+		"of a later run with the same epoch":         {1, laterGeneration, pageOfLaterRun},
+		"of a run of another epoch that tells none":  {2, 0, pageOfLaterRun},
+		"of an earlier run":                          {2, earlierGeneration - 1, pageOfEarlierRun},
+		"of an earlier run with the epoch of before": {1, earlierGeneration - 1, pageOfEarlierRun},
 	} {
 		t.Run("a page "+name, func(t *testing.T) {
-			h := follow(t, 1, earlier)
-			assert.Equal(t, c.want, h.judge(&platform.CacheEvents{Epoch: c.epoch, Generation: c.generation}))
+			h := newHolder(t, 1, earlierGeneration)
+			assert.Equal(t, c.want, h.classify(&platform.CacheEvents{Epoch: c.epoch, Generation: c.generation}))
 		})
 	}
 	t.Run("a list of the same run that tells no start is of that run", func(t *testing.T) {
-		h := follow(t, 1, earlier)
-		h.renew(&platform.CacheEvents{Epoch: 1}, nil)
-		_, _, _, ok := h.since(0, later)
+		h := newHolder(t, 1, earlierGeneration)
+		h.reset(&platform.CacheEvents{Epoch: 1}, nil)
+		_, _, _, ok := h.since(0, laterGeneration)
 		assert.False(t, ok, "a bulletin of the later run does not tell of it")
 	})
 	t.Run("a start that becomes known is no new one", func(t *testing.T) {
-		assert.Equal(t, pagePresent, follow(t, 1, 0).judge(&platform.CacheEvents{Epoch: 1, Generation: later}))
+		assert.Equal(t, pageOfCurrentRun, newHolder(t, 1, 0).classify(&platform.CacheEvents{Epoch: 1, Generation: laterGeneration}))
 	})
 }
 
-// TestReaderThatStartsAgain: the run that was asked to end its fetch is over, and nobody need wait for it.
-func TestReaderThatStartsAgain(t *testing.T) {
-	still, err := net.Listen("tcp", "127.0.0.1:0")
+// TestRestartedReaderIsNotWaitedFor: the run that was asked to end its fetch is over, and nobody need wait for it.
+func TestRestartedReaderIsNotWaitedFor(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = still.Close() })
-	at := netip.MustParseAddrPort(still.Addr().String())
-	waitFor := func(t *testing.T, before, after rillreach.Generation) int64 {
+	t.Cleanup(func() { _ = listener.Close() })
+	address := netip.MustParseAddrPort(listener.Addr().String())
+	freedAfterRestart := func(t *testing.T, before, after rillreach.Generation) int64 {
 		t.Helper()
-		f := newFreeing(t, at)
+		f := newCollectorFixture(t, address)
 		roster := &f.collector.sidecar.state.Roster
-		info := roster.ByAddress(at).Info()
+		info := roster.ByAddress(address).Info()
 		info.Generation = before
 		roster.Put(info)
-		f.look(t)
-		require.Zero(t, f.frees.Load(), "it stands still")
+		f.collect(t)
+		require.Zero(t, f.freeCalls.Load(), "it stands still")
 		info.Generation = after
 		roster.Put(info)
-		f.look(t)
-		return f.frees.Load()
+		f.collect(t)
+		return f.freeCalls.Load()
 	}
 	t.Run("an earlier run is waited for no longer once a later one is known", func(t *testing.T) {
-		assert.Equal(t, int64(1), waitFor(t, earlier, later))
+		assert.Equal(t, int64(1), freedAfterRestart(t, earlierGeneration, laterGeneration))
 	})
 	t.Run("a run whose start becomes known is still waited for", func(t *testing.T) {
-		assert.Zero(t, waitFor(t, 0, later))
+		assert.Zero(t, freedAfterRestart(t, 0, laterGeneration))
 	})
 	t.Run("so is one whose start is no longer told", func(t *testing.T) {
-		assert.Zero(t, waitFor(t, earlier, 0))
+		assert.Zero(t, freedAfterRestart(t, earlierGeneration, 0))
 	})
 }
 
-// TestLateReport has the agent of a runner get the answer of an earlier run, which must not be told as the later one's.
-func TestLateReport(t *testing.T) {
-	e := &site.Engine{Model: site.Model, Version: 1, Born: earlier}
+// TestReportOfEarlierRunIsIgnored has the agent of a runner get the answer of an earlier run, which must not be told as the later one's.
+func TestReportOfEarlierRunIsIgnored(t *testing.T) {
+	e := &site.Engine{Model: site.Model, Version: 1, Born: earlierGeneration}
 	runner := httptest.NewServer(e)
 	t.Cleanup(runner.Close)
 	s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t)}
 	s.publisher = &publisher{sidecar: s}
-	s.state.Roster.Put(deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: later})
-	(&loader{sidecar: s}).look(t.Context())
-	_, at, _ := s.publisher.get()
-	assert.True(t, at.IsZero())
-	assert.Equal(t, rillreach.Generation(later), s.state.Roster.Find("r1").Info().Generation)
+	s.state.Roster.Put(deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: laterGeneration})
+	(&loader{sidecar: s}).reconcile(t.Context())
+	_, reportedAt, _ := s.publisher.latestReport()
+	assert.True(t, reportedAt.IsZero())
+	assert.Equal(t, rillreach.Generation(laterGeneration), s.state.Roster.Find("r1").Info().Generation)
 }
--- a/sidecar/rollout.go
+++ b/sidecar/rollout.go
@@ -6,27 +6,27 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// rollout is what entries should know of the load of weights that a runner has before it.
-type rollout struct {
+// weightLoadStatus is what entries should know of the load of weights that a runner has before it.
+type weightLoadStatus struct {
 	// loading says that the runner loads or is about to, and takes nothing.
 	loading bool
-	// start is when the load is scheduled, the zero time where none is.
-	start time.Time
+	// scheduledAt is when the load is scheduled, the zero time where none is.
+	scheduledAt time.Time
 }
 
-// rolloutOf is what an action for one model means to entries, where its load has the start.
-func rolloutOf(action weights.Action, start time.Time) rollout {
+// weightLoadStatusOf is what an action for one model means to entries, where its load has the start.
+func weightLoadStatusOf(action weights.Action, scheduledAt time.Time) weightLoadStatus {
 	if action == weights.ActionNone {
-		return rollout{}
+		return weightLoadStatus{}
 	}
-	return rollout{loading: action != weights.ActionWait, start: start}
+	return weightLoadStatus{loading: action != weights.ActionWait, scheduledAt: scheduledAt}
 }
 
-// and joins the rollouts of two models at one runner: the earlier start counts.
-func (r rollout) and(other rollout) rollout {
+// merge joins the rollouts of two models at one runner: the earlier start counts.
+func (r weightLoadStatus) merge(other weightLoadStatus) weightLoadStatus {
 	r.loading = r.loading || other.loading
-	if r.start.IsZero() || !other.start.IsZero() && other.start.Before(r.start) {
-		r.start = other.start
+	if r.scheduledAt.IsZero() || !other.scheduledAt.IsZero() && other.scheduledAt.Before(r.scheduledAt) {
+		r.scheduledAt = other.scheduledAt
 	}
 	return r
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// configWait, runnersWait and weightsWait are how long one watch of the store waits; one that hangs is noticed after
+	// configWatchTimeout, runnersWait and weightsWait are how long one watch of the store waits; one that hangs is noticed after
 	// that time. Of the configuration an agent needs the stores alone, and new weights have to be loaded within some ten
 	// seconds.
-	configWait  = 25 * time.Second
-	runnersWait = 6 * time.Second
-	weightsWait = 5 * time.Second
-	// gatherRunners is a pause between watches of the runners, of which an agent needs ranks, and its own runner's name: it
+	configWatchTimeout  = 25 * time.Second
+	runnersWatchTimeout = 6 * time.Second
+	weightsWatchTimeout = 5 * time.Second
+	// runnersCoalesceDelay is a pause between watches of the runners, of which an agent needs ranks, and its own runner's name: it
 	// does not wait for that once its runner has been started anew.
-	gatherRunners = 5 * time.Second
+	runnersCoalesceDelay = 5 * time.Second
 )
 
 // Sidecar is one agent; exported fields are set before Run.
@@ -51,40 +51,40 @@
 	Log     logr.Logger
 	Metrics *telemetry.Metrics
 
-	state     localstate.State
-	publisher *publisher
-	own       *holder
-	stores    *collector
-	pool      *peer.Pool
-	starts    startLog
+	state              localstate.State
+	publisher          *publisher
+	runnerHolder       *holder
+	collector          *collector
+	pool               *peer.Pool
+	missingGenerations missingGenerationTracker
 	// crashes are what entries have reported; the agent tells those that follow it.
 	crashes poison.Tracker
 	// quotas are the limits of runners that the agent shares out.
 	quotas quotas
-	// restarted is told when the runner beside the agent may be another run.
-	restarted chan struct{}
+	// relist is told when the runner beside the agent may be another run.
+	relist chan struct{}
 }
 
 // Run works until the context ends.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.state.Log, s.state.Metrics = s.Log, s.Metrics
 	s.state.SuspendedTime = node.Suspended
-	s.restarted = make(chan struct{}, 1)
+	s.relist = make(chan struct{}, 1)
 	if s.Clock == nil {
 		s.Clock = node.SystemClock()
 	}
 	s.publisher = &publisher{sidecar: s}
 	s.publisher.permits.Start(time.Now())
 	s.state.RelayPace = s.publisher.relayPace
-	s.own = &holder{
-		place: s.Settings.RunnerAddress, client: s.Runner, log: s.Log,
-		observe: func(generation rillreach.Generation) { s.observe(telemetry.StartInEvents, generation) },
+	s.runnerHolder = &holder{
+		address: s.Settings.RunnerAddress, client: s.Runner, log: s.Log,
+		onGeneration: func(generation rillreach.Generation) { s.observeRun(telemetry.StartInEvents, generation) },
 	}
-	s.stores = &collector{sidecar: s}
+	s.collector = &collector{sidecar: s}
 	mux := &peer.Mux{Log: s.Log}
 	mux.Handle(peer.MethodFollow, s.publisher.serve)
-	peer.Answer(mux, peer.MethodCrashes, s.takeCrashes)
-	peer.Answer(mux, peer.MethodLimits, s.takeLimits)
+	peer.Answer(mux, peer.MethodCrashes, s.handleCrashReport)
+	peer.Answer(mux, peer.MethodLimits, s.handleLimitReport)
 	self, err := fleet.Self(rillreach.RoleAgent, s.Settings)
 	if err != nil {
 		return err
@@ -98,27 +98,27 @@
 	defer end()
 	s.pool.Start(ctx)
 	return controller.Run(ctx, s.Log,
-		s.state.ConfigFollower(s.Configs, configWait),
-		s.state.RunnersFollower(s.Runners, runnersWait, gatherRunners, s.restarted),
-		s.state.WeightsFollower(s.Weights, weightsWait),
+		s.state.ConfigFollower(s.Configs, configWatchTimeout),
+		s.state.RunnersFollower(s.Runners, runnersWatchTimeout, runnersCoalesceDelay, s.relist),
+		s.state.WeightsFollower(s.Weights, weightsWatchTimeout),
 		s.state.Expirer(),
 		&loader{sidecar: s},
-		s.stores,
+		s.collector,
 		s.pool,
-		&ownHolder{s.own},
+		&holderController{s.runnerHolder},
 		&peerServer{s},
 	)
 }
 
-// ownHolder follows what the runner beside the agent holds.
-type ownHolder struct{ holder *holder }
+// holderController follows what the runner beside the agent holds.
+type holderController struct{ holder *holder }
 
 // Name is the controller's name.
-func (o *ownHolder) Name() string { return "follow-runner" }
+func (c *holderController) Name() string { return "follow-runner" }
 
 // Run follows until the context ends.
-func (o *ownHolder) Run(ctx context.Context) error {
-	o.holder.run(ctx)
+func (c *holderController) Run(ctx context.Context) error {
+	c.holder.run(ctx)
 	return nil
 }
 
--- a/sidecar/slow_start.go
+++ b/sidecar/slow_start.go
@@ -2,8 +2,8 @@
 
 import "github.com/rillreach/rillreach/slowstart"
 
-// slowStart are the limits on what the runner beside the agent gets while it is cold, none before the first configuration.
-func (s *Sidecar) slowStart() slowstart.Limits {
+// slowStartLimits are the limits on what the runner beside the agent gets while it is cold, none before the first configuration.
+func (s *Sidecar) slowStartLimits() slowstart.Limits {
 	config := s.state.Config()
 	if config == nil {
 		return slowstart.Limits{}
