--- a/sidecar/collector.go
+++ b/sidecar/collector.go
@@ -19,62 +19,68 @@
 )
 
 const (
-	// collectInterval is how often it is looked at who follows which store, and what can be freed.
+	// collectInterval is how often the agent checks which stores it owns and what can be freed.
 	collectInterval = 200 * time.Millisecond
-	// freeMargin is added to the longest fetch before parts are freed.
+	// freeMargin is a safety margin on top of the longest fetch before parts are freed.
 	freeMargin = 300 * time.Millisecond
-	// freeBatchSize is how many parts one call frees.
+	// freeBatchSize is the number of parts that one call frees.
 	freeBatchSize = 250
-	// maxListAge is how old an agent's list of runners may be while it speaks for stores: a round of asking for it takes
-	// gatherRunners and runnersWait, 11 s. Where the object store is away for longer than the rest, nobody speaks for them.
+	// maxListAge is the greatest age of the list of runners at which an agent still reports on stores. A cycle of
+	// watching the list takes up to runnersCoalesceDelay plus runnersWatchTimeout, that is, 11 s. While the object
+	// store is unavailable for longer than the remaining 5 s, no agent reports on stores.
 	maxListAge = 16 * time.Second
-	// takeoverDelay is how long an agent that takes a store over frees nothing: the one before, whose list is older than the
-	// change that took the store from it, may speak for the parts until that list is listMost old, and fetches last on.
+	// takeoverDelay is how long an agent frees nothing after it has taken over a store. The previous owner may not yet
+	// have seen the change of the list that moved the store, and reports the parts as alive until its list is
+	// maxListAge old. Fetches that it allowed may run for bulletin.FetchLease longer.
 	takeoverDelay = maxListAge + bulletin.FetchLease + freeMargin
-	// maxReplacedAge is how long parts of replaced weights are kept, where runners do not change sooner.
+	// maxReplacedAge is how long parts of replaced weights are kept if the runners have not loaded newer ones by then.
 	maxReplacedAge = 6 * time.Second
 )
 
-// collector is the garbage collector of the stores that are this agent's to look after: it follows them, and frees what was made by weights that are replaced.
-// Each store has one such agent, by rank among the listed runners; an agent that takes a store over frees nothing before
-// every fetch that another may have allowed has ended.
+// collector is the garbage collector of the cache stores that this agent owns. It follows their contents and frees the
+// parts that were made with replaced weights. Each store is owned by one agent, chosen by rendezvous hashing over the
+// listed runners. An agent that takes over a store frees nothing until every fetch that the previous owner may have
+// allowed has ended.
 type collector struct {
 	sidecar *Sidecar
 	wg      conc.WaitGroup
-	// engineRuns are those that may read from stores; only look and what it calls use them.
+	// engineRuns are the runs of engines that may read from stores. Only reconcile and its callees use the map, so it
+	// needs no lock.
 	engineRuns map[rillreach.InstanceID]*listedRun
 
 	mu     sync.Mutex
 	stores map[netip.AddrPort]*ownedStore
 }
 
-// ownedStore is one store that this agent looks after.
+// ownedStore is a cache store that this agent owns.
 type ownedStore struct {
 	*holder
 	stop         context.CancelFunc
 	expiredSalts holdings.ExpiredSalts
-	// readers are those who may still read parts under a expired salt.
+	// readers are the engine runs that may still read parts under an expired salt, by salt.
 	readers map[string]*pendingReaders
-	// takenOverAt is when this agent took the store over.
+	// takenOverAt is when this agent became the owner.
 	takenOverAt time.Time
 }
 
-// mayFree reports whether the parts under a salt of replaced weights may be freed now.
+// mayFree reports whether every fetch of parts under an expired salt has had time to end, both since the expiry was
+// first announced and since the takeover.
 func (s *ownedStore) mayFree(salt string, now time.Time) bool {
 	announced := s.expiredSalts.MayFree(salt, now, bulletin.FetchLease+freeMargin)
 	return announced && now.Sub(s.takenOverAt) >= takeoverDelay
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *collector) Name() string { return "look-after-stores" }
 
-// Run looks after stores until the context ends.
+// Run collects garbage until the context is cancelled.
 func (c *collector) Run(ctx context.Context) error {
 	pause.Every(ctx, collectInterval, c.reconcile)
 	c.wg.Wait()
 	return nil
 }
 
+// reconcile takes over and gives up stores as their owners change, and then frees obsolete parts.
 func (c *collector) reconcile(ctx context.Context) {
 	owned := c.ownedAddresses()
 	c.mu.Lock()
@@ -100,6 +106,7 @@
 	}
 }
 
+// takeStore starts to follow a store that this agent now owns.
 func (c *collector) takeStore(ctx context.Context, address netip.AddrPort) *ownedStore {
 	c.sidecar.Log.Info("store is this agent's", "decision", "follow", "store", address)
 	ctx, stop := context.WithCancel(ctx)
@@ -112,15 +119,15 @@
 	return store
 }
 
-// reportableStores are the stores that this agent may speak for.
+// reportableStores returns the stores that this agent may report on.
 func (c *collector) reportableStores(now time.Time) []*ownedStore {
 	if now.Sub(c.sidecar.state.Roster.CompleteAt()) > maxListAge {
-		return nil // another agent may have them by now
+		return nil // another agent may own them by now
 	}
 	return c.ownedStores()
 }
 
-// ownedStores are the stores that this agent looks after.
+// ownedStores returns the stores that this agent owns.
 func (c *collector) ownedStores() []*ownedStore {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +138,7 @@
 	return stores
 }
 
-// ownedAddresses are the addresses of the stores whose first rank this agent's runner has.
+// ownedAddresses returns the addresses of the managed stores for which this agent's runner ranks highest.
 func (c *collector) ownedAddresses() map[netip.AddrPort]bool {
 	s := c.sidecar
 	config, self := s.state.Config(), s.state.Roster.ByAddress(s.Settings.RunnerAddress)
@@ -149,13 +156,13 @@
 	return owned
 }
 
-// ownerCandidate is a runner whose agent may own stores.
+// ownerCandidate is a runner whose agent may own stores, with the hash of the runner's identifier.
 type ownerCandidate struct {
 	address netip.AddrPort
 	hash    uint64
 }
 
-// ownerCandidates are the runners of a service that don't leave, hashed once for all stores.
+// ownerCandidates returns the runners of a service that are not leaving. Their hashes are computed once for all stores.
 func (c *collector) ownerCandidates(service rillreach.ServiceID) []ownerCandidate {
 	group := c.sidecar.state.Roster.ByService(service)
 	candidates := make([]ownerCandidate, 0, len(group))
@@ -167,7 +174,7 @@
 	return candidates
 }
 
-// ownerOf is the runner whose agent looks after the store, by rank.
+// ownerOf returns the address of the runner whose agent owns the store, by rendezvous hashing.
 func ownerOf(store netip.AddrPort, candidates []ownerCandidate) netip.AddrPort {
 	storeHash := hash.String(store.String())
 	var owner netip.AddrPort
@@ -180,7 +187,7 @@
 	return owner
 }
 
-// freeObsolete frees the salts of replaced weights, once entries have been told long enough that they are expired.
+// freeObsolete frees the parts under obsolete salts that nobody should be reading any more.
 func (c *collector) freeObsolete(ctx context.Context, store *ownedStore) {
 	now := time.Now()
 	for salt := range store.tracker.TokensBySalt() {
@@ -188,15 +195,16 @@
 			continue
 		}
 		if err := c.freeParts(ctx, store, store.tracker.KeysUnder(salt)); err != nil {
-			c.sidecar.Log.Error(err, "parts not freed", "decision", "retry", "store", store.address, "salt", salt)
+			c.sidecar.Log.Error(err, "failed to free parts", "decision", "retry", "store", store.address, "salt", salt)
 			continue
 		}
 		c.sidecar.Log.Info("parts freed", "decision", "free", "store", store.address, "salt", salt)
 	}
 }
 
-// readersDone reports that nobody may read the parts under a salt of replaced weights any more: all who fetch have been told for long enough, and
-// all runners that may have begun a fetch before go on.
+// readersDone reports whether nobody should be reading the parts under an expired salt any more: the expiry was
+// announced long enough ago, and since then every runner that may have started a fetch before has responded, ended or
+// exceeded readerTimeout. The first call announces the expiry.
 func (c *collector) readersDone(ctx context.Context, store *ownedStore, salt string, now time.Time) bool {
 	if store.readers == nil {
 		store.readers = map[string]*pendingReaders{}
@@ -214,6 +222,7 @@
 	return readers.poll(ctx, now, c.engineRuns)
 }
 
+// freeParts frees parts of a store in batches.
 func (c *collector) freeParts(ctx context.Context, store *ownedStore, parts []holdings.Key) error {
 	for batch := range slices.Chunk(parts, freeBatchSize) {
 		if err := store.free(ctx, batch); err != nil {
@@ -224,7 +233,8 @@
 	return nil
 }
 
-// forgetParts takes freed parts off at once, so that they are not freed again before the store tells of them.
+// forgetParts removes freed parts from the tracker at once, so that they are not freed again before the store's events
+// report them as gone.
 func (c *collector) forgetParts(store *ownedStore, parts []holdings.Key) {
 	changes := make([]holdings.Change, len(parts))
 	for i, p := range parts {
@@ -233,8 +243,9 @@
 	store.tracker.Apply(changes)
 }
 
-// obsolete reports that the weights of a salt are no longer worth keeping parts for: newer ones are named, and two thirds of
-// the runners have them, or enough time has passed.
+// obsolete reports whether the parts under a salt are no longer worth keeping: newer weights are named, and either two
+// thirds of the model's runners have loaded weights newer than the salt's, or the newest were named more than
+// maxReplacedAge ago.
 func (c *collector) obsolete(saltText string, now time.Time) bool {
 	salt, ok := deployment.ParseSalt(saltText)
 	if !ok {
--- a/sidecar/collector_bench_test.go
+++ b/sidecar/collector_bench_test.go
@@ -11,7 +11,8 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// BenchmarkOwnedStores is one look of an agent at which stores are its own, which it takes five times a second.
+// BenchmarkOwnedStores measures how long an agent takes to determine which stores it owns, which it does every
+// collectInterval.
 func BenchmarkOwnedStores(b *testing.B) {
 	const runners, stores = 180, 42
 	address := func(net, i byte) netip.AddrPort {
--- a/sidecar/crashes.go
+++ b/sidecar/crashes.go
@@ -8,7 +8,7 @@
 	"github.com/rillreach/rillreach/poison"
 )
 
-// handleCrashReport takes an entry's report of crashes over, and has all followers told of what is new at once.
+// handleCrashReport records the crashes that an entry reports, and wakes all followers if any of them are new.
 func (s *Sidecar) handleCrashReport(_ context.Context, from *peer.Conn, report poison.Report) (poison.Receipt, error) {
 	added := s.crashes.Record(s.now(), report.Crashes...)
 	if added > 0 {
@@ -18,7 +18,7 @@
 	return poison.Receipt{New: added}, nil
 }
 
-// now is the time by which crashes grow old; before Run there is none.
+// now returns the time by which the age of crashes is measured, or the zero time before Run.
 func (s *Sidecar) now() time.Time {
 	if s.Clock == nil {
 		return time.Time{}
--- a/sidecar/follower.go
+++ b/sidecar/follower.go
@@ -12,32 +12,36 @@
 	"github.com/rillreach/rillreach/permit"
 )
 
+// newFollower returns a follower that has been sent nothing yet.
 func newFollower(p *publisher) *follower {
 	return &follower{publisher: p, positions: map[*holder]uint64{}, unsent: map[*holder]backlog{}}
 }
 
-// follower is what one entry has been told.
+// follower is the state of the bulletins to one entry: what it has been sent and what is pending.
 type follower struct {
 	publisher *publisher
-	// otherZone says that the follower is in another zone, and is told seldomer.
+	// otherZone is set if the follower is in another zone, and so receives bulletins less often.
 	otherZone bool
-	// loadOnly says that it asked for little.
+	// loadOnly is set if the follower asked for the runner's load only; see bulletin.FollowRequest.
 	loadOnly bool
-	// positions are how far it has been told of each holder; one that is followed anew is told of from its beginning.
+	// positions are the tracker positions up to which the follower has been sent each holder's changes. A store that
+	// was taken over again has a new holder, so that its contents are sent again in full.
 	positions map[*holder]uint64
-	// unsent is what did not fit the last messages.
+	// unsent are the changes of each holder that did not fit into the bulletins so far.
 	unsent map[*holder]backlog
-	// crashesVersion is how far it has been told of the crashesVersion that the agent knows.
+	// crashesVersion is the version up to which the follower has been sent crashes.
 	crashesVersion uint64
-	// permitShare is what it has been allotted of what a cold runner bears.
+	// permitShare is the follower's share of the permits for the agent's runner while that is cold.
 	permitShare permit.Share
-	// quotaShares are what it has been allotted of what runners take that name a limit.
+	// quotaShares are the follower's shares of the permits for runners with a rate limit.
 	quotaShares map[rillreach.InstanceID]*permit.Share
-	lastSent    bulletin.Bulletin
-	lastSentAt  time.Time
+	// lastSent is the last bulletin in full, and lastSentAt when it was created.
+	lastSent   bulletin.Bulletin
+	lastSentAt time.Time
 }
 
-// next makes the next bulletin; worth says that it tells something new, or that the follower has heard nothing for long.
+// next returns the next bulletin, without what the follower already knows. It is due if it contains anything new or the
+// last one is older than maxBulletinInterval.
 func (f *follower) next() (b bulletin.Bulletin, due bool) {
 	s, now := f.publisher.sidecar, time.Now()
 	self := s.state.Roster.ByAddress(s.Settings.RunnerAddress)
@@ -65,7 +69,7 @@
 	return delta, true
 }
 
-// bulletinLoad is how the runner is, as followers are told.
+// bulletinLoad converts the runner's report and the status of its next weight load.
 func bulletinLoad(load deployment.Load, weightLoad weightLoadStatus) bulletin.Load {
 	return bulletin.Load{
 		Running: load.Running, Waiting: load.Waiting, UsedTokens: load.UsedTokens, AwaitingFirstEvent: load.AwaitingFirstEvent, Unresponsive: load.Unresponsive,
@@ -73,7 +77,8 @@
 	}
 }
 
-// addClock adds the runners' clock, as it was read some time ago, and the start of the next load by it; nothing where the clock is not known.
+// addClock sets the runners' clock, extrapolated from a reading of the given age, and the time of the next weight load
+// on that clock. It sets neither if the clock is unknown.
 func addClock(b *bulletin.Bulletin, clock time.Time, age time.Duration, weightLoad weightLoadStatus, now time.Time) {
 	if clock.IsZero() {
 		return
@@ -84,7 +89,7 @@
 	}
 }
 
-// addState adds what the agent knows of the object store.
+// addState adds what the agent knows from the object store, and the number of followers.
 func (f *follower) addState(b *bulletin.Bulletin) {
 	s := f.publisher.sidecar
 	b.DesiredWeights, b.Followers = s.state.AllNamedWeights(), int(f.publisher.followers.Load())
@@ -96,7 +101,8 @@
 	b.Notices = f.publisher.notices()
 }
 
-// allocatePermits gives the follower its permits for the runner, whether that is cold or not: whoever sends to it knows that.
+// allocatePermits returns the number of slow-start permits for the follower. They are allocated whether the runner is
+// cold or not: the sender knows, and uses them only while it is.
 func (f *follower) allocatePermits() int {
 	if f.loadOnly {
 		return 0
@@ -105,7 +111,7 @@
 	return p.permits.Allocate(time.Now(), &f.permitShare, int(p.senders.Load()), p.sidecar.slowStartLimits().Rate())
 }
 
-// sameLoad reports that the runner is as the follower was told.
+// sameLoad reports whether the follower already knows the runner's state in the bulletin.
 func (f *follower) sameLoad(b *bulletin.Bulletin) bool {
 	before, after := f.lastSent.Load, b.Load
 	return f.lastSent.Run() == b.Run() && before.Running == after.Running && before.Waiting == after.Waiting && before.LoadingWeights == after.LoadingWeights &&
@@ -114,25 +120,28 @@
 		before.Leaving == after.Leaving && len(f.lastSent.DesiredWeights) == len(b.DesiredWeights) && f.lastSent.Followers == b.Followers
 }
 
-// sameNotices reports that notices tell of no other changes than those before.
+// sameNotices reports whether two lists of notices name the same revisions.
 func sameNotices(before, after []notify.Notice) bool {
 	return slices.EqualFunc(before, after, func(a, b notify.Notice) bool { return a.Kind == b.Kind && a.Revision == b.Revision })
 }
 
-// sameWeightLoadAt reports that two starts on the runners' clock are one, which is worked out anew each time.
+// sameWeightLoadAt reports whether two times on the runners' clock, in milliseconds, stand for the same scheduled load.
+// The time is computed anew for each bulletin and varies slightly.
 func sameWeightLoadAt(before, after int64) bool {
 	return time.Duration(max(before, after)-min(before, after))*time.Millisecond < weightLoadAtTolerance
 }
 
-// addCrashes adds the crashes that the follower hasn't been told of, as many as one bulletin takes.
+// addCrashes adds the next crashes that the follower has not been sent, up to maxCrashes.
 func (f *follower) addCrashes(b *bulletin.Bulletin, now time.Time) {
 	b.Crashes, f.crashesVersion = f.publisher.sidecar.crashes.Since(now, f.crashesVersion, maxCrashes)
 }
 
+// addCacheUpdates adds the changes of the agent's runner and of the stores that it may report on. It reports whether
+// there are any changes to send.
 func (f *follower) addCacheUpdates(b *bulletin.Bulletin) (changed bool) {
 	s := f.publisher.sidecar
-	// An entry of any zone may fetch from the runner: its link is faster than a store's, and reading a part again takes far longer
-	// than twice a move.
+	// Other zones need the runner's contents too: an entry of any zone may have parts fetched from it. The runner's
+	// link is faster than a store's, and recomputing a part takes far longer than transferring it twice.
 	if !f.loadOnly && f.addCacheUpdate(b, s.runnerHolder, nil) {
 		changed = true
 	}
@@ -144,23 +153,26 @@
 	return changed
 }
 
-// backlog is what a follower is still to be told of a holder.
+// backlog are the changes of a holder that a follower has still to be sent; snapshot is set if they are the holder's
+// whole contents.
 type backlog struct {
 	snapshot bool
 	changes  []holdings.Change
 }
 
 const (
-	// maxPayloadSize is how many bytes of changes one bulletin takes: a message over 16 KB would be split on its way.
+	// maxPayloadSize bounds the crashes and changes in one bulletin, in bytes: a message over 16 KiB would be split by
+	// the connection.
 	maxPayloadSize = 12 << 10
-	// changeOverhead is what a change takes beside its two names, in bytes.
+	// changeOverhead is the encoded size of a change without its salt and part, in bytes.
 	changeOverhead = 16
-	// maxCrashes is how many crashes one bulletin tells of, and crashSize what each takes in bytes.
+	// maxCrashes is the most crashes in one bulletin, and crashSize the greatest encoded size of one, in bytes.
 	maxCrashes = 64
 	crashSize  = 80
 )
 
-// addCacheUpdate adds what is new of a holder, as far as there is room; it reports whether there is anything new.
+// addCacheUpdate adds the pending changes of a holder as far as they fit, and reports whether there are any. A store
+// gets an update even without changes: it counts as alive only while its agent reports it.
 func (f *follower) addCacheUpdate(b *bulletin.Bulletin, h *holder, expiringSalts []string) bool {
 	if !h.synced.Load() {
 		return false
@@ -172,7 +184,7 @@
 	}
 	changed := unsent.snapshot || len(unsent.changes) > 0
 	if !changed && !h.store {
-		return false // of a store it matters that its agent still speaks of it
+		return false
 	}
 	if available := maxPayloadSize - payloadSize(b); available > 0 {
 		n := fittingCount(unsent.changes, available)
@@ -184,11 +196,12 @@
 	return changed
 }
 
-// unsentChanges is what the follower has not been told of a holder; it reports whether that is of the run that the bulletin speaks for.
+// unsentChanges returns the changes of a holder that the follower has not been sent, and whether they belong to the run
+// with the bulletin's generation.
 func (f *follower) unsentChanges(h *holder, generation rillreach.Generation) (backlog, bool) {
 	position, known := f.positions[h]
 	if !known {
-		position = ^uint64(0) // a position that no tracker has reached, so that everything is told
+		position = ^uint64(0) // no tracker has reached this position, so everything is sent
 	}
 	changes, next, snapshot, ok := h.since(position, generation)
 	if !ok {
@@ -203,7 +216,7 @@
 	return unsent, true
 }
 
-// fittingCount is how many of the changes fit.
+// fittingCount returns how many of the changes, from the first, fit into the available bytes.
 func fittingCount(changes []holdings.Change, available int) int {
 	for n := range changes {
 		available -= changeOverhead + len(changes[n].Key.Salt) + len(changes[n].Key.Part)
@@ -214,7 +227,7 @@
 	return len(changes)
 }
 
-// payloadSize is how many bytes the changes in a bulletin take.
+// payloadSize returns the estimated encoded size of the crashes and changes in a bulletin, in bytes.
 func payloadSize(b *bulletin.Bulletin) int {
 	size := len(b.Crashes) * crashSize
 	for _, update := range b.CacheUpdates {
--- a/sidecar/follower_group.go
+++ b/sidecar/follower_group.go
@@ -2,14 +2,15 @@
 
 import "sync"
 
-// followerGroup counts the followers that are being served, so that an agent that ends can wait for them; its zero value is ready.
+// followerGroup counts the followers that are being served, so that an agent that shuts down can wait for them. The
+// zero value is ready to use.
 type followerGroup struct {
 	mu     sync.Mutex
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// enter counts a follower; it reports false where none is served any more.
+// enter adds a follower. It returns false if the group is closed.
 func (g *followerGroup) enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -19,10 +20,10 @@
 	return !g.closed
 }
 
-// leave counts a follower that is served no more.
+// leave removes a follower.
 func (g *followerGroup) leave() { g.wg.Done() }
 
-// close lets no follower in any more, and waits for those that are served.
+// close makes enter refuse further followers, and waits until all followers have left.
 func (g *followerGroup) close() {
 	g.mu.Lock()
 	g.closed = true
--- a/sidecar/gauges.go
+++ b/sidecar/gauges.go
@@ -6,7 +6,7 @@
 	"github.com/rillreach/rillreach/telemetry"
 )
 
-// gauges are what the agent knows of its runner and of the stores that it looks after, and how old that is.
+// gauges returns the gauges of the agent's runner, its followers, the stores that it owns and the list of runners.
 func (s *Sidecar) gauges() []telemetry.Gauge {
 	return append(s.state.Gauges(), []telemetry.Gauge{
 		{Name: "rillreach.report.age", Description: "seconds since the runner's last report", Read: func() float64 {
@@ -36,6 +36,7 @@
 	}...)
 }
 
+// storeTokens returns the number of tokens that all owned stores hold together.
 func (s *Sidecar) storeTokens() float64 {
 	total := 0
 	for _, store := range s.collector.ownedStores() {
--- a/sidecar/holder.go
+++ b/sidecar/holder.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// eventsTimeout is the longest wait that a holder of KV cache takes.
+	// eventsTimeout is how long a call for events waits for a change, the most that holders of KV cache accept.
 	eventsTimeout = time.Second
-	// eventsCoalesceDelay is a pause between calls, so that changes in quick succession cost one call.
+	// eventsCoalesceDelay is the pause between calls, so that changes in quick succession cost one call.
 	eventsCoalesceDelay = 60 * time.Millisecond
-	// holderRetryDelay is a pause after a call that failed.
+	// holderRetryDelay is the pause after a failed call.
 	holderRetryDelay = 200 * time.Millisecond
 )
 
-// holder follows what one runner or store holds.
+// holder keeps track of the KV cache that one runner or cache store holds.
 type holder struct {
 	address netip.AddrPort
 	store   bool
@@ -33,20 +33,20 @@
 	log     logr.Logger
 	tracker holdings.Tracker
 
-	// onGeneration is told of each run that the runner says it is; it is nil at a store.
+	// onGeneration is called with the generation in each response of a runner; it is nil for a store.
 	onGeneration func(rillreach.Generation)
 
 	mu sync.Mutex
-	// generation is that of the run whose parts the tracker holds, unknown at a store.
+	// generation is that of the run whose parts the tracker holds; unknown for a store.
 	generation rillreach.Generation
 
 	epoch       atomic.Uint64
 	unreachable atomic.Bool
-	// synced says that the tracker holds everything that was there when following began.
+	// synced is set once the tracker has everything that the holder held when following began.
 	synced atomic.Bool
 }
 
-// run follows the holder until the context ends.
+// run follows the holder until the context is cancelled.
 func (h *holder) run(ctx context.Context) {
 	var since uint64
 	for ctx.Err() == nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// poll takes the next changes over and returns where to go on from.
+// poll applies the changes after a position, and returns the position to continue from.
 func (h *holder) poll(ctx context.Context, since uint64) (uint64, error) {
 	if !h.synced.Load() && h.store {
 		return h.list(ctx)
@@ -76,7 +76,7 @@
 	case pageOfEarlierRun:
 		return since, nil
 	case pageOfLaterRun:
-		h.log.Info("holder started anew", "decision", "forget", "holder", h.address, "epoch", events.Epoch, "before", h.epoch.Load(), "generation", events.Generation)
+		h.log.Info("holder restarted", "decision", "forget", "holder", h.address, "epoch", events.Epoch, "before", h.epoch.Load(), "generation", events.Generation)
 		h.reset(&events, nil)
 		return 0, nil
 	}
@@ -89,7 +89,7 @@
 	return events.Next, nil
 }
 
-// list asks for everything, since changes are missing.
+// list replaces the tracker's contents with a full listing, and returns the position to continue from.
 func (h *holder) list(ctx context.Context) (uint64, error) {
 	all, err := h.client.List(ctx)
 	if err != nil {
@@ -101,27 +101,29 @@
 	}
 	h.reset(&all, all.Changes)
 	h.synced.Store(true)
-	h.log.Info("holder listed", "decision", "replace", "holder", h.address, "epoch", all.Epoch, "parts", len(all.Changes))
+	h.log.Info("holder listed in full", "decision", "replace", "holder", h.address, "epoch", all.Epoch, "parts", len(all.Changes))
 	return all.Next, nil
 }
 
+// markLost records a failed call, and logs the first of several in a row.
 func (h *holder) markLost(ctx context.Context, err error) {
 	if ctx.Err() == nil && !h.unreachable.Swap(true) {
 		h.log.Error(err, "dependency lost", "dependency", "holder", "holder", h.address, "store", h.store)
 	}
 }
 
+// markRegained records a successful call, and logs the first after a failure.
 func (h *holder) markRegained() {
 	if h.unreachable.Swap(false) {
 		h.log.Info("dependency regained", "dependency", "holder", "holder", h.address, "store", h.store)
 	}
 }
 
-// free has the store free parts; what it no longer holds is told by its events.
+// free has the store free parts. The store reports the freed parts in its events.
 func (h *holder) free(ctx context.Context, parts []holdings.Key) error {
 	err := h.client.Free(ctx, h.epoch.Load(), parts)
 	if errors.Is(err, platform.ErrRestarted) {
-		return nil // the parts went with the run that held them
+		return nil // the run that held the parts has ended
 	}
 	return err
 }
--- a/sidecar/holder_run.go
+++ b/sidecar/holder_run.go
@@ -6,17 +6,19 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// pageRun is what a page of a holder's changes is worth.
+// pageRun says which run of a holder a page of its changes belongs to.
 type pageRun int
 
 const (
-	// pageOfCurrentRun is of the run that is followed, pageOfNewRun of a later one, pageLate of an earlier one.
+	// pageOfCurrentRun is a page of the run that is being followed, pageOfLaterRun one of a run that has replaced it,
+	// and pageOfEarlierRun one of a run that it has replaced.
 	pageOfCurrentRun pageRun = iota
 	pageOfLaterRun
 	pageOfEarlierRun
 )
 
-// classify says which run a page is of. A page that tells no generation is known by its epoch alone.
+// classify determines which run a page belongs to, and records its generation if it is of the current run. A page
+// without a generation is identified by its epoch only.
 func (h *holder) classify(page *platform.CacheEvents) pageRun {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -34,24 +36,25 @@
 	return pageOfCurrentRun
 }
 
-// reset begins anew with the run that a page is of, which holds the parts.
+// reset switches to the run that a page belongs to, which holds the given parts.
 func (h *holder) reset(page *platform.CacheEvents, held []holdings.Change) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.epoch.Swap(page.Epoch) != page.Epoch || page.Generation != 0 {
-		h.generation = page.Generation // of the same epoch it is known from other pages where this one does not tell it
+		h.generation = page.Generation // a page of the same epoch without a generation leaves the known one in place
 	}
 	h.tracker.Replace(held)
 }
 
-// reportGeneration says which run the holder says it is.
+// reportGeneration calls onGeneration with the generation of a page.
 func (h *holder) reportGeneration(page *platform.CacheEvents) {
 	if h.onGeneration != nil {
 		h.onGeneration(page.Generation)
 	}
 }
 
-// since returns what has changed after a position at a run, as the tracker does; it reports whether the tracker is of that run.
+// since returns the changes after a position, like holdings.Tracker.Since, and whether the tracker belongs to the run
+// with the given generation. An unknown generation on either side counts as the same run.
 func (h *holder) since(position uint64, generation rillreach.Generation) (changes []holdings.Change, next uint64, snapshot, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/sidecar/loader.go
+++ b/sidecar/loader.go
@@ -13,31 +13,35 @@
 )
 
 const (
-	// minPollInterval is how often the runner is asked how it is; on the same instance that costs nothing but processor time.
+	// minPollInterval is the shortest interval at which the runner's report is polled. The runner is on the same
+	// instance, so that a poll costs processor time only.
 	minPollInterval = 40 * time.Millisecond
-	// maxPollInterval bounds the interval where entries are told seldomer than that: a load of weights is announced 300 ms ahead.
+	// maxPollInterval bounds the interval where bulletins are sent less often: a weight load is announced only 300 ms
+	// ahead.
 	maxPollInterval = 100 * time.Millisecond
 )
 
-// loader brings the runner to the newest weights.
+// loader polls the runner's report, and has the runner load the newest named weights.
 type loader struct {
 	sidecar  *Sidecar
 	sequence loadSequence
-	// schedules are the starts that the runner's loads were given, by model.
+	// schedules hold the start time of the runner's next weight load, by model.
 	schedules map[rillreach.ModelID]*weights.Schedule
 
-	// lastOrder is the last order, for the runner's run that it was meant for.
+	// lastOrder is the last order, lastOrderRun the run that it was sent to, and lastOrderAt when it was sent.
 	lastOrder    platform.Order
 	lastOrderRun rillreach.InstanceRun
 	lastOrderAt  time.Time
-	lastAction   weights.Action
-	runnerLost   bool
+	// lastAction is the last action that was logged.
+	lastAction weights.Action
+	// runnerLost is set while the runner does not answer.
+	runnerLost bool
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (l *loader) Name() string { return "load-weights" }
 
-// Run looks at the runner until the context ends.
+// Run polls the runner until the context is cancelled.
 func (l *loader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, pollInterval(l.sidecar.publisher.ownZoneInterval()))
@@ -46,13 +50,14 @@
 	return nil
 }
 
-// pollInterval is how often the runner is asked where entries of its zone are told of it at a pace: twice for each time, since who hears of
-// it later has no use for more. Among 180 agents that is 11 times a second for 25.
+// pollInterval returns the interval at which the runner is polled, given the interval of bulletins to its own zone:
+// half of that, since more frequent reports would not reach any entry. With 180 agents, the runner is polled 11 times a
+// second rather than 25.
 func pollInterval(bulletinInterval time.Duration) time.Duration {
 	return min(max(minPollInterval, bulletinInterval/2), maxPollInterval)
 }
 
-// reconcile compares what the runner has with what is wanted, and acts on the difference.
+// reconcile fetches the runner's report, orders newer weights if it is time to load them, and publishes the report.
 func (l *loader) reconcile(ctx context.Context) {
 	s := l.sidecar
 	if s.state.Roster.ByAddress(s.Settings.RunnerAddress) == nil {
@@ -61,28 +66,29 @@
 	load, err := s.Runner.Report(ctx)
 	l.logAvailability(ctx, err)
 	if err != nil {
-		if ctx.Err() == nil { // it is the runner that did not answer, not this agent that stopped asking
+		if ctx.Err() == nil { // otherwise the agent is shutting down, which says nothing about the runner
 			s.publisher.markUnresponsive()
 		}
 		return
 	}
 	runner := s.observeRun(telemetry.StartInReport, load.Generation)
 	if runner == nil {
-		return // it is an earlier run's
+		return // the report is an earlier run's, or the runner is no longer listed
 	}
 	info := runner.Info()
 	weightLoad := weightLoadStatus{loading: load.LoadingWeights}
 	for model, loaded := range load.Weights {
 		named, since := s.state.NamedWeights(model)
 		if named.Version == 0 {
-			continue // nobody has named weights yet
+			continue // no weights of the model are named yet
 		}
 		weightLoad = weightLoad.merge(l.decide(ctx, info, load, named, loaded, time.Since(since)))
 	}
 	s.publisher.setReport(load, weightLoad)
 }
 
-// requestRelist has the list of runners asked for at once, and again a little later, since a new run is listed only then.
+// requestRelist has the list of runners fetched at once and again after relistDelay and twice that, since a new run is
+// not listed immediately.
 func (l *loader) requestRelist() {
 	for _, delay := range []time.Duration{0, relistDelay, 2 * relistDelay} {
 		time.AfterFunc(delay, func() {
@@ -94,10 +100,11 @@
 	}
 }
 
-// relistDelay is how long a new run takes to be listed: about a heartbeat.
+// relistDelay is how long it takes until a new run is listed: about one heartbeat.
 const relistDelay = 1200 * time.Millisecond
 
-// logAvailability logs the loss and the return of the runner.
+// logAvailability logs when the runner stops answering and when it answers again. In the latter case it may have
+// restarted, so the list of runners is fetched again.
 func (l *loader) logAvailability(ctx context.Context, err error) {
 	if lost := err != nil; lost != l.runnerLost && ctx.Err() == nil {
 		l.runnerLost = lost
@@ -110,7 +117,8 @@
 	}
 }
 
-// decide acts on one model's weights, and returns what entries should know of it.
+// decide decides whether the runner loads the named weights of one model now and sends the order if so. It returns the
+// status of the load for entries.
 func (l *loader) decide(ctx context.Context, runner deployment.Runner, load deployment.Load, named deployment.DesiredWeights, loaded deployment.WeightVersion, knownFor time.Duration) weightLoadStatus {
 	rank, total := l.sequence.rank(l.sidecar.state.Roster.ByService(runner.Service), named, runner.ID)
 	input := weights.Input{
@@ -135,7 +143,7 @@
 	return weightLoadStatusOf(action, start)
 }
 
-// scheduleFor is the one of a model.
+// scheduleFor returns the schedule of a model's weight load.
 func (l *loader) scheduleFor(model rillreach.ModelID) *weights.Schedule {
 	if l.schedules == nil {
 		l.schedules = map[rillreach.ModelID]*weights.Schedule{}
@@ -146,6 +154,7 @@
 	return l.schedules[model]
 }
 
+// sendOrder orders the runner to load the named weights.
 func (l *loader) sendOrder(ctx context.Context, runner deployment.Runner, load deployment.Load, named deployment.DesiredWeights) {
 	l.lastOrder = platform.Order{
 		Runner: runner.ID, Model: named.Model, Weights: named.Version,
@@ -154,12 +163,12 @@
 	l.lastOrderRun, l.lastOrderAt = runner.Run(), time.Now()
 	answer, err := l.sidecar.Runner.Order(ctx, l.lastOrder)
 	if err != nil {
-		l.sidecar.Log.Error(err, "order without answer", "decision", "wait", "runner", runner.ID, "weights", named.Version, "after", load.OrdersTaken)
+		l.sidecar.Log.Error(err, "no response to order", "decision", "wait", "runner", runner.ID, "weights", named.Version, "after", load.OrdersTaken)
 		return
 	}
-	l.sidecar.Log.Info("order given", "decision", answer.Verdict, "runner", runner.ID, "generation", answer.Generation, "model", named.Model, "weights", named.Version,
+	l.sidecar.Log.Info("order sent", "decision", answer.Verdict, "runner", runner.ID, "generation", answer.Generation, "model", named.Model, "weights", named.Version,
 		"fence", named.FencingToken(), "after", load.OrdersTaken)
-	if answer.Verdict != platform.OrderRefused { // a refusal may be another runner's at the address
+	if answer.Verdict != platform.OrderRefused { // a refusal may come from another runner that has the address now
 		l.sidecar.state.ObserveRun(rillreach.InstanceRun{ID: runner.ID, Generation: answer.Generation})
 	}
 }
--- a/sidecar/order.go
+++ b/sidecar/order.go
@@ -10,8 +10,8 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// loadSequence is the order in which the runners of a service load a version, as it was when this agent learned of the version:
-// those with the oldest weights first, since theirs expire first.
+// loadSequence is the sequence in which the runners of a service load a version of a model's weights. Runners with the
+// oldest weights come first, since theirs expire first. The sequence is fixed when this agent first sees the version.
 type loadSequence struct {
 	mu      sync.Mutex
 	model   rillreach.ModelID
@@ -19,7 +19,8 @@
 	ranks   map[rillreach.InstanceID]int
 }
 
-// rank is the runner's place among all of them; one that came later is the last.
+// rank returns the runner's position in the sequence, from zero, and the length of the sequence. A runner that was
+// listed later ranks last.
 func (s *loadSequence) rank(runners []*roster.Runner, named deployment.DesiredWeights, id rillreach.InstanceID) (rank, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,6 +36,7 @@
 	return rank, total
 }
 
+// ranksOf returns the position of each runner in the sequence for a model.
 func ranksOf(runners []*roster.Runner, model rillreach.ModelID) map[rillreach.InstanceID]int {
 	infos := make([]deployment.Runner, len(runners))
 	for i, r := range runners {
--- a/sidecar/publisher.go
+++ b/sidecar/publisher.go
@@ -15,42 +15,48 @@
 )
 
 const (
-	// publishInterval is how often followers are told what has changed, and quietMost how long they hear nothing at the most.
+	// publishInterval is the shortest interval of bulletins to a follower, and maxBulletinInterval the longest time
+	// between two of them, unless the follower asked for the load only.
 	publishInterval     = 40 * time.Millisecond
 	maxBulletinInterval = 400 * time.Millisecond
-	// intervalPerAgent is how much of a follower's time each agent takes for one bulletin, so that the smallest entries, with a
-	// seventh of a core, spend a tenth of it on them; farSlower is by how much seldomer those of other zones are told.
+	// intervalPerAgent times the number of agents is the interval of bulletins, so that the smallest entries, with a
+	// seventh of a core, spend a tenth of it on the bulletins of all agents. otherZoneFactor multiplies the interval
+	// for followers in other zones.
 	intervalPerAgent = time.Millisecond
 	otherZoneFactor  = 2
-	// loadOnlyInterval is how often a follower is told that asked for little.
+	// loadOnlyInterval is the interval for followers that asked for the load only.
 	loadOnlyInterval = time.Second
-	// weightLoadAtTolerance is how far the start of a load has to move for followers to be told: the runners' clock is read some milliseconds
-	// early or late.
+	// weightLoadAtTolerance is the difference below which two start times of a weight load count as equal: readings of
+	// the runners' clock vary by a few milliseconds.
 	weightLoadAtTolerance = 50 * time.Millisecond
 )
 
-// publisher tells the entries how the runner is and what the stores hold.
+// publisher sends bulletins to the followers of the agent, with the load of its runner and what the runner and the
+// stores hold.
 type publisher struct {
 	sidecar   *Sidecar
 	followers atomic.Int64
-	// senders are the followers that send to the runner, and share the permits for it.
+	// senders counts the followers that send requests to the runner and so share the permits for it.
 	senders atomic.Int64
 	permits permit.Allocator
-	// serving are the followers that the agent waits for when it ends, urgent wakes them.
+	// serving counts the followers that the agent waits for on shutdown.
 	serving followerGroup
-	urgent  broadcast.Signal
-	relay   relayRole
+	// urgent wakes all followers for an urgent change.
+	urgent broadcast.Signal
+	relay  relayRole
 
 	mu         sync.Mutex
 	load       deployment.Load
 	loadAt     time.Time
 	weightLoad weightLoadStatus
-	// firstSeen are the namings as they were told, and namedVersion is that of what the agent knew then.
+	// firstSeen is the last result of weightsFirstSeen, and firstSeenRevision the revision of the named versions that
+	// it was computed from.
 	firstSeen         []bulletin.WeightsFirstSeen
 	firstSeenRevision uint64
 }
 
-// setReport takes the runner's newest report, and wakes the followers where the runner is no longer fit for new requests or is so again.
+// setReport records the runner's newest report, and wakes the followers if the runner stops or resumes accepting
+// requests.
 func (p *publisher) setReport(load deployment.Load, weightLoad weightLoadStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +66,7 @@
 	p.load, p.loadAt, p.weightLoad = load, time.Now(), weightLoad
 }
 
-// markUnresponsive records that the runner does not answer.
+// markUnresponsive records that the runner does not answer, and wakes the followers if that is new.
 func (p *publisher) markUnresponsive() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,13 +76,15 @@
 	p.load.Unresponsive = true
 }
 
+// latestReport returns the runner's newest report, when it arrived, and the status of the next weight load. The time is
+// zero before the first report.
 func (p *publisher) latestReport() (load deployment.Load, reportedAt time.Time, weightLoad weightLoadStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.load, p.loadAt, p.weightLoad
 }
 
-// serve sends bulletins to one follower until it leaves.
+// serve sends bulletins to one follower until it disconnects.
 func (p *publisher) serve(ctx context.Context, call *peer.Call) error {
 	follow, err := peer.Decode[bulletin.FollowRequest](call.Body)
 	if err != nil {
@@ -86,9 +94,9 @@
 		return nil
 	}
 	defer p.serving.leave()
-	p.sidecar.Log.Info("follower came", "decision", "send", "follower", follow.Name, "followers", p.followers.Add(1))
+	p.sidecar.Log.Info("follower connected", "decision", "send", "follower", follow.Name, "followers", p.followers.Add(1))
 	defer func() {
-		p.sidecar.Log.Info("follower left", "decision", "end", "follower", follow.Name, "followers", p.followers.Add(-1))
+		p.sidecar.Log.Info("follower disconnected", "decision", "end", "follower", follow.Name, "followers", p.followers.Add(-1))
 	}()
 	f := newFollower(p)
 	f.loadOnly = follow.LoadOnly
@@ -114,9 +122,10 @@
 	return nil
 }
 
-// interval is how often a follower is told: the more agents there are, the seldomer, so that what an entry hears from all of
-// them stays about the same; and seldomer in other zones, whose entries send fewer requests here. Who asked for little hears as often as the
-// stores need that the agent owns, which count as alive for as long as it speaks of them.
+// interval returns the interval of bulletins to a follower. It grows with the number of agents, so that the rate at
+// which an entry receives bulletins from all of them stays about the same, and is longer for other zones, whose entries
+// send fewer requests to this runner. A follower that asked for the load only gets bulletins at maxBulletinInterval if
+// the agent owns stores, since they count as alive only while it reports on them, or if the follower was sent quotas.
 func (p *publisher) interval(f *follower) time.Duration {
 	s := p.sidecar
 	switch {
@@ -132,7 +141,7 @@
 	return min(interval, maxBulletinInterval)
 }
 
-// ownZoneInterval is how often followers of the agent's own zone are told.
+// ownZoneInterval returns the interval of bulletins to followers in the agent's own zone.
 func (p *publisher) ownZoneInterval() time.Duration {
 	s := p.sidecar
 	interval := publishInterval
@@ -142,8 +151,8 @@
 	return min(interval, maxBulletinInterval)
 }
 
-// weightsFirstSeen are the times at which versions of weights were named, on the runners' clock, which reads clock now. Each is worked out
-// once, so that bulletins differ only where something new is known.
+// weightsFirstSeen returns when each version of weights was named, on the runners' clock, whose current reading is
+// given. Each time is computed only once, so that bulletins differ only if something new is known.
 func (p *publisher) weightsFirstSeen(clock int64) []bulletin.WeightsFirstSeen {
 	if clock == 0 {
 		return nil
--- a/sidecar/quotas.go
+++ b/sidecar/quotas.go
@@ -12,27 +12,28 @@
 	"github.com/rillreach/rillreach/permit"
 )
 
-// quotaLease is for how long the agent allots permits for a runner after an entry has last reported its limit, longer than the time between two
-// answers under the lowest limit: entries report each answer that names one.
+// quotaLease is how long the agent allocates permits under a runner's limit after an entry last reported the limit.
+// Entries report a limit with each response that states one, so the lease is longer than the time between two responses
+// under the lowest limit.
 const quotaLease = 15 * time.Second
 
-// quotas are the limits that the agent shares out among its followers; the zero value has none.
+// quotas are the rate limits of runners that the agent divides among its followers. The zero value has none.
 type quotas struct {
 	mu       sync.Mutex
 	byRunner map[rillreach.InstanceID]*quota
 }
 
-// quota is the limit of one runner.
+// quota is the rate limit of one run of a runner.
 type quota struct {
 	run       rillreach.InstanceRun
 	allocator permit.Allocator
 
-	// observation is by the runners' clock, and until when the lease ends.
+	// observation has times on the runners' clock; expiresAt is when the lease ends, on the agent's clock.
 	observation backpressure.Observation
 	expiresAt   time.Time
 }
 
-// observe takes over what an entry knows of a limit, and reports whether another one holds now.
+// observe merges a limit that an entry reports, renews its lease, and reports whether the limit in force has changed.
 func (q *quotas) observe(now time.Time, reported *bulletin.RunnerLimit) (changed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -54,7 +55,7 @@
 	return known.observation.Limit != before
 }
 
-// active are the limits whose lease goes on.
+// active returns the limits whose lease has not expired, and removes the others.
 func (q *quotas) active(now time.Time) []activeQuota {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -69,14 +70,14 @@
 	return active
 }
 
-// activeQuota is the limit of one runner at a moment.
+// activeQuota is a snapshot of a quota.
 type activeQuota struct {
 	run         rillreach.InstanceRun
 	observation backpressure.Observation
 	allocator   *permit.Allocator
 }
 
-// runnerLimit is the runnerLimit as followers are told of it.
+// runnerLimit returns the limit as it is sent to followers.
 func (q *activeQuota) runnerLimit() bulletin.RunnerLimit {
 	return bulletin.RunnerLimit{
 		Runner: q.run.ID, Generation: q.run.Generation, Limit: q.observation.Limit,
@@ -84,7 +85,7 @@
 	}
 }
 
-// handleLimitReport takes an entry's report of limits over, and has all followers told of what is new at once.
+// handleLimitReport records the limits that an entry reports, and wakes all followers if any of them has changed.
 func (s *Sidecar) handleLimitReport(_ context.Context, from *peer.Conn, report bulletin.LimitReport) (bulletin.LimitReceipt, error) {
 	now, changed := time.Now(), 0
 	for i := range report.Limits {
@@ -101,8 +102,8 @@
 	return bulletin.LimitReceipt{Changed: changed}, nil
 }
 
-// allocateQuotas gives the follower its permits for the runners whose limits the agent shares out. Those for the agent's own runner are for the followers
-// that send to it.
+// allocateQuotas returns the follower's permits for the runners with a limit. Permits for the agent's own runner are
+// allocated only to followers that send requests to it.
 func (f *follower) allocateQuotas(now time.Time, active []activeQuota) []bulletin.Quota {
 	p, own := f.publisher, f.publisher.ownRunner()
 	shares := make(map[rillreach.InstanceID]*permit.Share, len(active))
@@ -127,7 +128,7 @@
 	return allocated
 }
 
-// ownRunner is the runner beside the agent, empty where none is listed.
+// ownRunner returns the identifier of the agent's own runner, or "" if it is not listed.
 func (p *publisher) ownRunner() rillreach.InstanceID {
 	if self := p.sidecar.state.Roster.ByAddress(p.sidecar.Settings.RunnerAddress); self != nil {
 		return self.Info().ID
@@ -135,7 +136,7 @@
 	return ""
 }
 
-// sameLimits reports that the follower has been told of the limits as they are.
+// sameLimits reports whether the follower already knows the active limits.
 func (f *follower) sameLimits(active []activeQuota) bool {
 	if len(active) != len(f.lastSent.Quotas) {
 		return false
--- a/sidecar/readers.go
+++ b/sidecar/readers.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	// readerPollInterval is how often runners that have not answered are asked again.
+	// readerPollInterval is how often runners that have not responded are polled again.
 	readerPollInterval = time.Second
-	// readerTimeout is how long an agent waits for a runner that does not answer, from when it was asked first, and from when it was listed last:
-	// the longest stall that has been seen is 12 s, and parts that nobody may fetch any more take the place of others meanwhile.
+	// readerTimeout is how long the agent waits for runners that do not respond, after the first poll, and how long it
+	// waits for a run after that was last listed. It covers stalls of up to 12 s; longer would leave parts that may no
+	// longer be fetched in the place of others.
 	readerTimeout = 12 * time.Second
 )
 
-// pendingReaders are the runs of engines that may still read parts of replaced weights. Each has to answer once after the end of the last fetch that
-// was allowed: one that stands still ends its fetch only when it goes on.
+// pendingReaders are the engine runs that may still read parts of replaced weights. Each has to respond once after the
+// last allowed fetch should have ended: a stalled run ends its fetch only once it resumes.
 type pendingReaders struct {
 	pending map[rillreach.InstanceID]reader
-	// firstPolledAt is when they were asked first, and askedLast when they were last.
+	// firstPolledAt is when the runs were first polled, and lastPolledAt when they were last.
 	firstPolledAt time.Time
 	lastPolledAt  time.Time
 }
 
-// reader is a run that is waited for.
+// reader is a run that has not responded yet.
 type reader struct {
 	address    netip.AddrPort
 	generation rillreach.Generation
 }
 
-// add has the runs be waited for as well.
+// add adds runs to wait for.
 func (r *pendingReaders) add(runs map[rillreach.InstanceID]*listedRun) {
 	if r.pending == nil {
 		r.pending = map[rillreach.InstanceID]reader{}
@@ -48,7 +49,7 @@
 	}
 }
 
-// poll asks those of the runs that have not answered, and reports whether nobody is waited for any more.
+// poll polls the runs that have not responded, and reports whether there are none left to wait for.
 func (r *pendingReaders) poll(ctx context.Context, now time.Time, runs map[rillreach.InstanceID]*listedRun) bool {
 	maps.DeleteFunc(r.pending, func(id rillreach.InstanceID, pending reader) bool { return hasEnded(id, pending, runs[id]) })
 	if len(r.pending) == 0 {
@@ -74,7 +75,8 @@
 	return len(r.pending) == 0
 }
 
-// hasEnded reports that a run that is waited for reads no more: it is off the list for good, or a later run of the same runner is there.
+// hasEnded reports whether a pending run can no longer be reading: it is no longer tracked, or a later run of the same
+// runner has replaced it.
 func hasEnded(id rillreach.InstanceID, pending reader, listed *listedRun) bool {
 	if listed == nil {
 		return true
@@ -83,16 +85,19 @@
 	return later.Supersedes(rillreach.InstanceRun{ID: id, Generation: pending.generation})
 }
 
-// listedRun is a run of an engine that is listed, or was until lately: the record of one that stands still lapses after some seconds.
+// listedRun is an engine run that is listed, or was until recently: the record of a stalled run expires after a few
+// seconds.
 type listedRun struct {
 	address    netip.AddrPort
 	generation rillreach.Generation
-	// lastListedAt is when it was lastListedAt listed, and leaving that it had said that it ends: once it is off the list, it has.
+	// lastListedAt is when the run was last listed. If leaving is set, it had announced its shutdown, so that it has
+	// ended once it is no longer listed.
 	lastListedAt time.Time
 	leaving      bool
 }
 
-// updateEngineRuns keeps the runs of engines that are listed now, and those that were while a fetch of theirs may be waited for.
+// updateEngineRuns records the engine runs that are listed now, and removes those that have ended or were last listed
+// more than readerTimeout ago.
 func (c *collector) updateEngineRuns(now time.Time) {
 	if c.engineRuns == nil {
 		c.engineRuns = map[rillreach.InstanceID]*listedRun{}
@@ -100,7 +105,7 @@
 	for _, runner := range c.sidecar.state.Roster.All() {
 		info := runner.Info()
 		if len(info.Weights) == 0 {
-			continue // no engine
+			continue // not an engine
 		}
 		c.engineRuns[info.ID] = &listedRun{address: info.Address, generation: info.Generation, lastListedAt: now, leaving: info.Leaving}
 	}
@@ -111,8 +116,8 @@
 	}
 }
 
-// responds reports that the run at the address goes on or has ended: whatever comes back, be it a refusal or another process's answer, does
-// not come from a run that stands still.
+// responds reports whether the run at the address is running or has ended. Any result other than a timeout counts, even
+// a refused connection or the response of another process: none of them comes from a stalled run.
 func responds(ctx context.Context, address netip.AddrPort) bool {
 	runner := platform.NewRunner(address)
 	defer runner.Close()
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -15,29 +15,32 @@
 )
 
 const (
-	// relaysPerZone is how many agents of a zone watch the object store for its entries: one more than is needed.
+	// relaysPerZone is how many agents of a zone watch the object store on behalf of its entries: one more than needed.
 	relaysPerZone = 2
-	// minRunnersForRelays is how many runners a service has at the least where agents are relays: before some ten entries, as stand before fewer runners,
-	// relays make more calls to the store than they save the entries, some 50 each in the first minute.
+	// minRunnersForRelays is the least number of runners of a service for which agents act as relays. Fewer runners
+	// have only about ten entries, and relays would then make more calls to the object store than they save the
+	// entries, about 50 each in the first minute.
 	minRunnersForRelays = 64
-	// minRelayWatchTimeout and mostRelayWait bound how long one watch of a relay waits. It is drawn anew each time: watches that a change has ended
-	// together would end together from then on, and entries would hear of nobody between.
+	// minRelayWatchTimeout and maxRelayWatchTimeout bound the watch timeout of a relay, which is drawn at random for
+	// each watch. Otherwise watches that a change has ended at the same time would go on ending at the same time, and
+	// no relay would send entries a notice in between.
 	minRelayWatchTimeout = time.Second
 	maxRelayWatchTimeout = 3 * time.Second
-	// relayCoalesceDelay is a pause between a relay's watches of the runners, whose records change in quick succession.
+	// relayCoalesceDelay is the pause between a relay's watches, so that changes of runners' records in quick
+	// succession cost one call.
 	relayCoalesceDelay = 300 * time.Millisecond
-	// relayCheckInterval is how often an agent looks whether it is a relay.
+	// relayCheckInterval is how often an agent checks whether it is a relay.
 	relayCheckInterval = 500 * time.Millisecond
 )
 
-// relayRole remembers whether the agent is a relay; its zero value has not looked.
+// relayRole caches whether the agent is a relay. The zero value is ready to use.
 type relayRole struct {
 	mu        sync.Mutex
 	isRelay   bool
 	checkedAt time.Time
 }
 
-// relayPace is the pace of a relay, and reports whether this agent is one.
+// relayPace returns the pace at which a relay follows the object store, and whether this agent is a relay.
 func (p *publisher) relayPace() (follow.Pace, bool) {
 	timeout := minRelayWatchTimeout + rand.N(maxRelayWatchTimeout-minRelayWatchTimeout)
 	return follow.Pace{WatchTimeout: timeout, CoalesceDelay: relayCoalesceDelay}, p.isRelay()
@@ -53,7 +56,8 @@
 	return p.relay.isRelay
 }
 
-// ranksAsRelay reports that this agent's runner is among the first of its zone by a hash of their identifiers.
+// ranksAsRelay reports whether the service has enough runners for relays and this agent's runner is among those of its
+// zone.
 func (p *publisher) ranksAsRelay() bool {
 	s := p.sidecar
 	self := s.state.Roster.ByAddress(s.Settings.RunnerAddress)
@@ -65,7 +69,8 @@
 	return len(runners) >= minRunnersForRelays && slices.Contains(relaysOf(runners, info.Zone), info.ID)
 }
 
-// relaysOf are the relays among the runners of a service in a zone.
+// relaysOf returns the runners in a zone whose agents are relays: those that come first by the hash of their
+// identifiers, out of the given runners of a service that are not leaving.
 func relaysOf(runners []*roster.Runner, zone rillreach.ZoneID) []rillreach.InstanceID {
 	var ids []rillreach.InstanceID
 	for _, r := range runners {
@@ -79,7 +84,7 @@
 	return ids[:min(len(ids), relaysPerZone)]
 }
 
-// notices are what the agent tells as a relay; nothing where it is none.
+// notices returns the notices that the agent sends as a relay, or nil if it is not one.
 func (p *publisher) notices() []notify.Notice {
 	if !p.isRelay() {
 		return nil
--- a/sidecar/rollout.go
+++ b/sidecar/rollout.go
@@ -6,15 +6,16 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// weightLoadStatus is what entries should know of the load of weights that a runner has before it.
+// weightLoadStatus is what entries are told about the next weight load of a runner.
 type weightLoadStatus struct {
-	// loading says that the runner loads or is about to, and takes nothing.
+	// loading is set if the runner is loading weights or about to, and must get no new requests.
 	loading bool
-	// scheduledAt is when the load is scheduled, the zero time where none is.
+	// scheduledAt is when the load is scheduled to start, or zero if none is scheduled.
 	scheduledAt time.Time
 }
 
-// weightLoadStatusOf is what an action for one model means to entries, where its load has the start.
+// weightLoadStatusOf returns the status that follows from the action for one model, whose load is scheduled for the
+// given time.
 func weightLoadStatusOf(action weights.Action, scheduledAt time.Time) weightLoadStatus {
 	if action == weights.ActionNone {
 		return weightLoadStatus{}
@@ -22,7 +23,7 @@
 	return weightLoadStatus{loading: action != weights.ActionWait, scheduledAt: scheduledAt}
 }
 
-// merge joins the rollouts of two models at one runner: the earlier start counts.
+// merge combines the statuses of two models at one runner: the load that starts earlier counts.
 func (r weightLoadStatus) merge(other weightLoadStatus) weightLoadStatus {
 	r.loading = r.loading || other.loading
 	if r.scheduledAt.IsZero() || !other.scheduledAt.IsZero() && other.scheduledAt.Before(r.scheduledAt) {
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	// configWatchTimeout, runnersWait and weightsWait are how long one watch of the store waits; one that hangs is noticed after
-	// that time. Of the configuration an agent needs the stores alone, and new weights have to be loaded within some ten
-	// seconds.
+	// The watch timeouts are how long one watch of the object store waits for a change, and so how long a watch that
+	// hangs goes unnoticed. An agent needs little of the configuration: its cache stores, the limits of cold runners
+	// and its version. New weights must be loaded within about ten seconds.
 	configWatchTimeout  = 25 * time.Second
 	runnersWatchTimeout = 6 * time.Second
 	weightsWatchTimeout = 5 * time.Second
-	// runnersCoalesceDelay is a pause between watches of the runners, of which an agent needs ranks, and its own runner's name: it
-	// does not wait for that once its runner has been started anew.
+	// runnersCoalesceDelay is the pause between watches of the list of runners. An agent needs the list mainly to
+	// rank runners and to look up its own runner's identifier; a restart of its own runner ends the pause early.
 	runnersCoalesceDelay = 5 * time.Second
 )
 
-// Sidecar is one agent; exported fields are set before Run.
+// Sidecar is one agent. Exported fields must be set before Run.
 type Sidecar struct {
-	// Settings are the platform's.
+	// Settings are the process settings from the platform.
 	Settings *deployment.Settings
-	// Runners and Weights are what the platform's store holds.
+	// Runners and Weights are the sources of the runners' records and of the named weights in the object store.
 	Runners rillreach.Source[*deployment.Runner]
 	Weights rillreach.Source[deployment.DesiredWeights]
-	// Configs is what the platform's store holds of the configuration.
+	// Configs is the source of the configuration in the object store.
 	Configs rillreach.Source[*deployment.Config]
-	// Runner is the runner beside the agent.
+	// Runner is the client for the agent's own runner.
 	Runner *platform.Runner
-	// Listener takes the connections of entries.
+	// Listener accepts the connections of entries.
 	Listener net.Listener
-	// Clock counts the time for which the machine was suspended; nil means the system's.
+	// Clock must also advance while the machine is suspended; nil means the system clock.
 	Clock rillreach.Clock
-	// Log takes decisions; Metrics count them.
+	// Log receives the agent's decisions and failures; Metrics holds the instruments of the process.
 	Log     logr.Logger
 	Metrics *telemetry.Metrics
 
@@ -57,15 +57,15 @@
 	collector          *collector
 	pool               *peer.Pool
 	missingGenerations missingGenerationTracker
-	// crashes are what entries have reported; the agent tells those that follow it.
+	// crashes are those that entries have reported; the agent forwards them to all followers.
 	crashes poison.Tracker
-	// quotas are the limits of runners that the agent shares out.
+	// quotas are the rate limits of runners that the agent divides among its followers.
 	quotas quotas
-	// relist is told when the runner beside the agent may be another run.
+	// relist receives a value when the agent's runner may have restarted, to have the list of runners fetched at once.
 	relist chan struct{}
 }
 
-// Run works until the context ends.
+// Run runs the agent until the context is cancelled.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.state.Log, s.state.Metrics = s.Log, s.Metrics
 	s.state.SuspendedTime = node.Suspended
@@ -110,25 +110,25 @@
 	)
 }
 
-// holderController follows what the runner beside the agent holds.
+// holderController keeps track of the KV cache that the agent's own runner holds.
 type holderController struct{ holder *holder }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *holderController) Name() string { return "follow-runner" }
 
-// Run follows until the context ends.
+// Run follows the holder until the context is cancelled.
 func (c *holderController) Run(ctx context.Context) error {
 	c.holder.run(ctx)
 	return nil
 }
 
-// peerServer takes the connections of entries.
+// peerServer accepts the connections of entries.
 type peerServer struct{ sidecar *Sidecar }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (p *peerServer) Name() string { return "peers" }
 
-// Run accepts connections until the context ends.
+// Run accepts connections until the context is cancelled.
 func (p *peerServer) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.Handle(peer.Path, p.sidecar.pool)
--- a/sidecar/slow_start.go
+++ b/sidecar/slow_start.go
@@ -2,7 +2,8 @@
 
 import "github.com/rillreach/rillreach/slowstart"
 
-// slowStartLimits are the limits on what the runner beside the agent gets while it is cold, none before the first configuration.
+// slowStartLimits returns the limits on requests to the agent's runner while it is cold. There are none before the
+// first configuration.
 func (s *Sidecar) slowStartLimits() slowstart.Limits {
 	config := s.state.Config()
 	if config == nil {
--- a/sidecar/wake.go
+++ b/sidecar/wake.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// minUrgentInterval is how often an urgent change tells a follower ahead of its pace at the most, so that a runner that changes over and over
-// does not flood the smallest entries.
+// minUrgentInterval is the least time between two bulletins that urgent changes bring forward, so that a runner whose
+// state flaps does not flood the smallest entries.
 const minUrgentInterval = maxBulletinInterval
 
-// pacer spaces the bulletins to one follower.
+// pacer spaces out the bulletins to one follower.
 type pacer struct {
 	lastUrgentAt time.Time
 }
 
-// wait ends after the pace, or earlier with an urgent change or the context.
+// wait returns after the interval, or earlier on an urgent change or when the context is cancelled. Urgent changes are
+// ignored for minUrgentInterval after one that had an effect.
 func (p *pacer) wait(ctx context.Context, interval time.Duration, urgent <-chan struct{}) {
 	if time.Since(p.lastUrgentAt) < minUrgentInterval {
 		urgent = nil
