--- a/sidecar/publisher_test.go
+++ b/sidecar/publisher_test.go
@@ -17,8 +17,8 @@
 	"github.com/rillreach/rillreach/poison"
 )
 
-// TestSnapshotSentAfterStoreIsRetaken has an agent look after a store, leave it and get it back: what it tells then must be everything, or
-// entries would go on trusting the agent in between.
+// An agent that takes over a store that it has owned before must send a snapshot. Otherwise entries would keep what the
+// owner in between reported.
 func TestSnapshotSentAfterStoreIsRetaken(t *testing.T) {
 	address := netip.MustParseAddrPort("10.0.0.1:1")
 	follower := newFollower(nil)
@@ -30,7 +30,7 @@
 		return b.CacheUpdates[0]
 	}
 	first.tracker.Replace(nil)
-	assert.True(t, send(first).Snapshot, "a new follower is told everything")
+	assert.True(t, send(first).Snapshot, "a new follower gets a snapshot")
 	assert.False(t, send(first).Snapshot)
 	again := &holder{address: address, store: true}
 	again.tracker.Replace([]holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "p"}, Tokens: 5}})
@@ -39,8 +39,8 @@
 	assert.Len(t, update.Changes, 1)
 }
 
-// TestLargeSnapshotIsSplitAcrossBulletins has a store with more parts than fit one message: a message that the connection splits cannot be
-// decoded, and its reader would come back for the same one for ever.
+// A snapshot may not fit into one message. A message that the connection splits cannot be decoded, and a follower would
+// request the same one again and again.
 func TestLargeSnapshotIsSplitAcrossBulletins(t *testing.T) {
 	const parts = 3000
 	h := &holder{address: netip.MustParseAddrPort("10.0.0.1:1"), store: true}
@@ -53,14 +53,14 @@
 	follower := newFollower(nil)
 	var index holdings.Index
 	for messages := 0; index.TotalTokens(h.address) != parts*(parts+1)/2; messages++ {
-		require.Less(t, messages, parts, "everything is told in the end")
+		require.Less(t, messages, parts, "the whole snapshot is sent eventually")
 		b := bulletin.Bulletin{Runner: "r"}
 		assert.True(t, follower.addCacheUpdate(&b, h, nil))
 		body, err := peer.Encode(b)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(body), 16<<10)
 		update := b.CacheUpdates[0]
-		assert.Equal(t, messages == 0, update.Snapshot, "only the first replaces what was known")
+		assert.Equal(t, messages == 0, update.Snapshot, "only the first bulletin replaces what was known")
 		if update.Snapshot {
 			index.Replace(update.Address, update.Changes)
 			continue
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestCrashesAreSplitAcrossBulletins: a follower is told of all crashes, each in a message that the connection doesn't split.
+// A follower is sent all crashes, in messages that the connection does not split.
 func TestCrashesAreSplitAcrossBulletins(t *testing.T) {
 	s := &Sidecar{collector: &collector{}}
 	now := time.Unix(1_800_000_000, 0)
@@ -85,7 +85,7 @@
 		body, err := peer.Encode(b)
 		require.NoError(t, err)
 		assert.LessOrEqual(t, len(body), payloadSize(&b)+emptyBulletinSize)
-		assert.LessOrEqual(t, payloadSize(&b), maxPayloadSize/2, "room is left for what the runner holds")
+		assert.LessOrEqual(t, payloadSize(&b), maxPayloadSize/2, "there is space for what the runner holds")
 		decoded, err := peer.Decode[bulletin.Bulletin](body)
 		require.NoError(t, err)
 		received.Record(now, decoded.Crashes...)
@@ -93,10 +93,10 @@
 	assert.Equal(t, s.crashes.Version(), received.Version())
 	var b bulletin.Bulletin
 	follower.addCrashes(&b, now)
-	assert.Empty(t, b.Crashes, "each is told once")
+	assert.Empty(t, b.Crashes, "each crash is sent once")
 }
 
-// emptyBulletinSize is what a bulletin takes that tells nothing, in bytes.
+// emptyBulletinSize bounds the encoded size of a bulletin without content, in bytes.
 const emptyBulletinSize = 64
 
 func TestBulletinInterval(t *testing.T) {
@@ -111,22 +111,22 @@
 		s.collector = &collector{sidecar: s}
 		return &publisher{sidecar: s}
 	}
-	t.Run("a few agents tell at once", func(t *testing.T) {
+	t.Run("few agents use the shortest interval", func(t *testing.T) {
 		assert.Equal(t, publishInterval, agentOf(18).interval(&follower{}))
 	})
-	t.Run("what an entry hears from all agents does not grow with them", func(t *testing.T) {
+	t.Run("the rate of bulletins to an entry does not grow with the number of agents", func(t *testing.T) {
 		for _, runners := range []int{100, 200, 400} {
 			perSecond := float64(runners) / agentOf(runners).interval(&follower{}).Seconds()
 			assert.InDelta(t, 1000, perSecond, 1)
 		}
 	})
-	t.Run("nobody waits so long that the agent seems to be lost", func(t *testing.T) {
+	t.Run("the interval is bounded, so that the agent is not taken for lost", func(t *testing.T) {
 		assert.Equal(t, maxBulletinInterval, agentOf(5000).interval(&follower{otherZone: true}))
 	})
-	t.Run("entries of other zones are told seldomer", func(t *testing.T) {
+	t.Run("entries in other zones get bulletins less often", func(t *testing.T) {
 		assert.Equal(t, otherZoneFactor*publishInterval, agentOf(18).interval(&follower{otherZone: true}))
 	})
-	t.Run("who asked for little is told seldom, but for stores, which have to be spoken of to count as alive", func(t *testing.T) {
+	t.Run("load-only followers get bulletins rarely, but often enough to keep the agent's stores alive", func(t *testing.T) {
 		loadOnly := &follower{otherZone: true, loadOnly: true}
 		p := agentOf(180)
 		assert.Equal(t, loadOnlyInterval, p.interval(loadOnly))
@@ -163,23 +163,24 @@
 		return addresses
 	}
 	assert.Equal(t, []netip.AddrPort{s.runnerHolder.address, store.address}, sentAddresses(false, false))
-	assert.Equal(t, []netip.AddrPort{s.runnerHolder.address, store.address}, sentAddresses(true, false), "a runner's link serves other zones as well")
-	assert.Equal(t, []netip.AddrPort{store.address}, sentAddresses(true, true), "who asked for little hears of stores alone")
+	assert.Equal(t, []netip.AddrPort{s.runnerHolder.address, store.address}, sentAddresses(true, false), "runners are fetched from across zones")
+	assert.Equal(t, []netip.AddrPort{store.address}, sentAddresses(true, true), "a load-only follower gets the stores only")
 }
 
-// TestTakeoverDelaysFreeing has an agent take a store over from one whose list of runners is older.
+// An agent that takes over a store must not free parts that the previous owner, with an older list of runners, may
+// still report as alive.
 func TestTakeoverDelaysFreeing(t *testing.T) {
 	start := time.Unix(0, 0)
 	store := &ownedStore{takenOverAt: start}
-	assert.False(t, store.mayFree("1/m", start), "the first question only begins to tell")
-	assert.False(t, store.mayFree("1/m", start.Add(runnersCoalesceDelay)), "the agent before may still tell that the parts live")
-	assert.False(t, store.mayFree("1/m", start.Add(maxListAge)), "also one that was frozen or cut off for long")
+	assert.False(t, store.mayFree("1/m", start), "the first call only announces the expiry")
+	assert.False(t, store.mayFree("1/m", start.Add(runnersCoalesceDelay)), "the previous owner may still report the parts as alive")
+	assert.False(t, store.mayFree("1/m", start.Add(maxListAge)), "even one that was stalled or disconnected for long")
 	assert.True(t, store.mayFree("1/m", start.Add(takeoverDelay)))
-	assert.False(t, store.mayFree("2/m", start.Add(takeoverDelay)), "each salt is told of first")
+	assert.False(t, store.mayFree("2/m", start.Add(takeoverDelay)), "each salt is announced separately")
 	assert.True(t, store.mayFree("2/m", start.Add(takeoverDelay+bulletin.FetchLease+freeMargin)))
 }
 
-// TestStaleRunnerListReportsNoStores has an agent that was frozen or cut off wake with an old list of runners.
+// An agent that was stalled or disconnected resumes with an old list of runners, and may no longer own its stores.
 func TestStaleRunnerListReportsNoStores(t *testing.T) {
 	s := &Sidecar{collector: &collector{stores: map[netip.AddrPort]*ownedStore{}}}
 	s.collector.sidecar = s
@@ -188,6 +189,6 @@
 	s.state.Roster.MarkComplete(now)
 	assert.Len(t, s.collector.reportableStores(now.Add(maxListAge)), 1)
 	assert.Empty(t, s.collector.reportableStores(now.Add(maxListAge+time.Millisecond)))
-	assert.Greater(t, maxListAge, runnersCoalesceDelay+runnersWatchTimeout+time.Second, "a list that is asked for in turn is never that old")
-	assert.Greater(t, takeoverDelay, maxListAge+bulletin.FetchLease, "whoever takes the store over waits for longer than that")
+	assert.Greater(t, maxListAge, runnersCoalesceDelay+runnersWatchTimeout+time.Second, "a list that is watched without failures is never that old")
+	assert.Greater(t, takeoverDelay, maxListAge+bulletin.FetchLease, "the next owner waits for longer than that")
 }
--- a/sidecar/readers_test.go
+++ b/sidecar/readers_test.go
@@ -20,7 +20,8 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// collectorFixture is an agent that looks after a store with a part of replaced weights, which everybody has been told of for long enough.
+// collectorFixture is an agent that owns a store with one part under an expired salt, whose expiry was announced long
+// enough ago.
 type collectorFixture struct {
 	collector *collector
 	store     *ownedStore
@@ -54,7 +55,7 @@
 	return f
 }
 
-// unlistRunner takes a runner off the list, after it has been noted, and has perhaps said that it leaves.
+// unlistRunner removes a runner from the roster after the collector has recorded its run, leaving or not.
 func (f *collectorFixture) unlistRunner(address netip.AddrPort, leaving bool) {
 	roster := &f.collector.sidecar.state.Roster
 	info := roster.ByAddress(address).Info()
@@ -64,7 +65,7 @@
 	roster.Remove(time.Now(), info.ID, time.Time{})
 }
 
-// collect looks at the store several times.
+// collect runs the garbage collection three times.
 func (f *collectorFixture) collect(t *testing.T) {
 	t.Helper()
 	for range 3 {
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestFreeingWaitsForReaders: a runner that stands still may end a fetch long after the time that this was given.
+// A stalled runner may end a fetch long after the fetch should have ended, so its parts must not be freed before it
+// resumes or ends.
 func TestFreeingWaitsForReaders(t *testing.T) {
 	healthy := func(t *testing.T) netip.AddrPort {
 		t.Helper()
@@ -88,24 +90,24 @@
 		t.Cleanup(func() { _ = listener.Close() })
 		return netip.MustParseAddrPort(listener.Addr().String())
 	}
-	t.Run("parts are freed where every runner answers", func(t *testing.T) {
+	t.Run("parts are freed if every runner responds", func(t *testing.T) {
 		f := newCollectorFixture(t, healthy(t), healthy(t))
 		f.collect(t)
 		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
-	t.Run("a runner that stands still is waited for", func(t *testing.T) {
+	t.Run("a stalled runner is waited for", func(t *testing.T) {
 		f := newCollectorFixture(t, healthy(t), unresponsive(t))
 		f.collect(t)
 		assert.Zero(t, f.freeCalls.Load())
 	})
-	t.Run("also one whose record has lapsed since", func(t *testing.T) {
+	t.Run("a stalled runner whose record has expired is waited for", func(t *testing.T) {
 		address := unresponsive(t)
 		f := newCollectorFixture(t, healthy(t), address)
 		f.unlistRunner(address, false)
 		f.collect(t)
 		assert.Zero(t, f.freeCalls.Load())
 	})
-	t.Run("one whose record lapsed long ago is not waited for", func(t *testing.T) {
+	t.Run("a runner whose record expired long ago is not waited for", func(t *testing.T) {
 		address := unresponsive(t)
 		f := newCollectorFixture(t, healthy(t), address)
 		f.unlistRunner(address, false)
@@ -113,21 +115,21 @@
 		f.collect(t)
 		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
-	t.Run("one that has left as it said reads nothing any more", func(t *testing.T) {
+	t.Run("a runner that has shut down as announced is not waited for", func(t *testing.T) {
 		address := unresponsive(t)
 		f := newCollectorFixture(t, healthy(t), address)
 		f.unlistRunner(address, true)
 		f.collect(t)
 		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
-	t.Run("nor is one whose address another process has taken", func(t *testing.T) {
+	t.Run("a runner whose address another process has taken is not waited for", func(t *testing.T) {
 		other := httptest.NewServer(http.NotFoundHandler())
 		t.Cleanup(other.Close)
 		f := newCollectorFixture(t, healthy(t), addressOf(other.URL))
 		f.collect(t)
 		assert.Equal(t, int64(1), f.freeCalls.Load())
 	})
-	t.Run("one that has ended reads nothing any more", func(t *testing.T) {
+	t.Run("a runner that has ended is not waited for", func(t *testing.T) {
 		ended := httptest.NewServer(&fakeEngine{version: 2})
 		address := addressOf(ended.URL)
 		ended.Close()
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// rosterInTwoZones lists so many runners in two zones.
+// rosterInTwoZones returns a roster of runners that alternate between zones z0 and z1.
 func rosterInTwoZones(runners int) *roster.Roster {
 	var r roster.Roster
 	for i := range runners {
@@ -25,7 +25,7 @@
 	return &r
 }
 
-// rosterOfSix lists six, some of which leave.
+// rosterOfSix returns a roster of six runners in two zones, of which those with the given numbers are leaving.
 func rosterOfSix(leaving ...int) *roster.Roster {
 	r := rosterInTwoZones(6)
 	for _, i := range leaving {
@@ -38,11 +38,11 @@
 
 func TestRelays(t *testing.T) {
 	relays := relaysOf(rosterOfSix().ByService("s"), "z0")
-	t.Run("a zone has a few, all its own", func(t *testing.T) {
+	t.Run("the relays of a zone are among its own runners", func(t *testing.T) {
 		require.Len(t, relays, relaysPerZone)
 		assert.Subset(t, []rillreach.InstanceID{"r0", "r2", "r4"}, relays)
 	})
-	t.Run("one that leaves is none, and another takes its place", func(t *testing.T) {
+	t.Run("another runner replaces a relay that is leaving", func(t *testing.T) {
 		var i int
 		_, err := fmt.Sscanf(string(relays[0]), "r%d", &i)
 		require.NoError(t, err)
@@ -51,10 +51,10 @@
 		assert.NotContains(t, remaining, relays[0])
 		assert.Contains(t, remaining, relays[1])
 	})
-	t.Run("a zone without runners has none", func(t *testing.T) {
+	t.Run("a zone without runners has no relays", func(t *testing.T) {
 		assert.Empty(t, relaysOf(rosterOfSix().ByService("s"), "z9"))
 	})
-	t.Run("an agent is one only where there are many", func(t *testing.T) {
+	t.Run("there are relays only if the service has enough runners", func(t *testing.T) {
 		for _, c := range []struct{ runners, relays int }{{minRunnersForRelays - 1, 0}, {minRunnersForRelays, 2 * relaysPerZone}} {
 			all := rosterInTwoZones(c.runners)
 			relays := 0
--- a/sidecar/restart_test.go
+++ b/sidecar/restart_test.go
@@ -23,12 +23,13 @@
 	"github.com/rillreach/rillreach/telemetry"
 )
 
+// The generations of the runs before and after a restart.
 const (
 	earlierGeneration = 1_790_000_000_000
 	laterGeneration   = earlierGeneration + 5000
 )
 
-// restartFixture is an agent restartFixture an engine that may start again.
+// restartFixture is an agent with an engine that can be restarted.
 type restartFixture struct {
 	store  *site.Store
 	engine *site.Engine
@@ -38,7 +39,7 @@
 	orders []site.Order
 }
 
-// newRestartFixture starts an engine with weights of version 1 and an agent beside it.
+// newRestartFixture starts an engine with weights of version 1, and its agent.
 func newRestartFixture(t *testing.T) *restartFixture {
 	t.Helper()
 	b := &restartFixture{store: site.NewStore()}
@@ -64,13 +65,14 @@
 	return append([]site.Order(nil), b.orders...)
 }
 
-// loadingWeights reports whether the agent believes that its runner carries out an order.
+// loadingWeights reports whether the agent believes that its runner is loading weights.
 func (b *restartFixture) loadingWeights() bool {
 	load, _, _ := b.agent.publisher.latestReport()
 	return load.LoadingWeights
 }
 
-// knownGeneration is the run that the agent believes to be beside it.
+// knownGeneration returns the generation of the agent's own runner as the agent knows it, or zero if the runner is not
+// listed.
 func (b *restartFixture) knownGeneration() rillreach.Generation {
 	runner := b.agent.state.Roster.Find("r1")
 	if runner == nil {
@@ -79,6 +81,7 @@
 	return runner.Info().Generation
 }
 
+// generationMissing reports whether the last generation from a source was missing.
 func generationMissing(l *missingGenerationTracker, source telemetry.StartSource) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,15 +93,16 @@
 	require.Eventually(t, condition, waitTimeout, 5*time.Millisecond)
 }
 
+// A runner that restarts while it loads weights has lost the order, and must be sent another one.
 func TestRunnerRestartsDuringWeightLoad(t *testing.T) {
 	b := newRestartFixture(t)
 	b.store.Put("versions", site.Model, site.WeightsOf(2))
 	eventually(t, func() bool { return len(b.receivedOrders()) == 1 && b.loadingWeights() })
-	b.store.Fail(http.StatusServiceUnavailable) // the store cannot tell of the new start
+	b.store.Fail(http.StatusServiceUnavailable) // the agent cannot learn of the restart from the store
 	b.engine.Restart(laterGeneration)
 	eventually(t, func() bool { return len(b.receivedOrders()) == 2 })
 	orders := b.receivedOrders()
-	assert.Zero(t, orders[1].Expected, "the orders of the earlier run are forgotten")
+	assert.Zero(t, orders[1].Expected, "the restarted runner has taken no orders")
 	assert.Equal(t, uint64(2), orders[1].Version)
 	assert.Equal(t, orders[0].Fence, orders[1].Fence)
 	assert.Equal(t, rillreach.Generation(laterGeneration), b.knownGeneration())
@@ -106,7 +110,7 @@
 	assert.Len(t, b.receivedOrders(), 2, "one order is enough")
 }
 
-// TestOrderOfEarlierRunIsNotWaitedFor: the order went with the run that had it, and is not waited for.
+// An order is lost when the run that received it ends, so the agent must not wait for its completion.
 func TestOrderOfEarlierRunIsNotWaitedFor(t *testing.T) {
 	ordersTo := func(t *testing.T, runs ...rillreach.Generation) []receivedOrder {
 		t.Helper()
@@ -121,7 +125,7 @@
 		}
 		return e.receivedOrders()
 	}
-	t.Run("a later run is ordered at once, by its own count of orders", func(t *testing.T) {
+	t.Run("a later run gets an order at once, with its own count of orders", func(t *testing.T) {
 		orders := ordersTo(t, earlierGeneration, laterGeneration)
 		if assert.Len(t, orders, 2) {
 			assert.Equal(t, uint64(1), orders[1].Expected)
@@ -129,7 +133,7 @@
 	})
 }
 
-// TestGenerationInOrderResponse has a runner answer an order with a later start than is known.
+// A runner's response to an order may be the first to show that the runner has restarted.
 func TestGenerationInOrderResponse(t *testing.T) {
 	knownAfter := func(t *testing.T, status int) rillreach.Generation {
 		t.Helper()
@@ -145,27 +149,28 @@
 		return s.state.Roster.Find("r1").Info().Generation
 	}
 	for _, status := range []int{http.StatusOK, http.StatusAccepted, http.StatusConflict} {
-		t.Run("it tells the new start: "+http.StatusText(status), func(t *testing.T) {
+		t.Run("the new generation is recorded: "+http.StatusText(status), func(t *testing.T) {
 			assert.Equal(t, rillreach.Generation(laterGeneration), knownAfter(t, status))
 		})
 	}
-	t.Run("a refusal may be another runner's and tells none", func(t *testing.T) {
+	t.Run("a refusal may come from another runner and is ignored", func(t *testing.T) {
 		assert.Equal(t, rillreach.Generation(earlierGeneration), knownAfter(t, http.StatusMisdirectedRequest))
 	})
 }
 
+// A report without a generation says nothing about a restart, so the known run must stay in place.
 func TestRestartedRunnerWithoutGeneration(t *testing.T) {
 	b := newRestartFixture(t)
 	eventually(t, func() bool { return b.knownGeneration() == earlierGeneration })
 	runner := b.agent.state.Roster.Find("r1")
 	b.engine.Restart(0)
 	eventually(t, func() bool { return generationMissing(&b.agent.missingGenerations, telemetry.StartInReport) })
-	assert.Same(t, runner, b.agent.state.Roster.Find("r1"), "it is not known to have started anew")
+	assert.Same(t, runner, b.agent.state.Roster.Find("r1"), "the restart is not known")
 	assert.Equal(t, rillreach.Generation(earlierGeneration), b.knownGeneration())
 }
 
-// TestPartsOfEarlierRunAreDropped has a runner that holds a part start again: entries must not hear of the part any more, whoever was
-// the first to tell the agent of the new start.
+// Parts that a runner held before a restart must no longer be reported to entries, no matter from which source the
+// agent first learns of the restart.
 func TestPartsOfEarlierRunAreDropped(t *testing.T) {
 	b := newRestartFixture(t)
 	eventually(t, func() bool { return b.knownGeneration() == earlierGeneration })
@@ -178,7 +183,8 @@
 	assert.Equal(t, rillreach.Generation(laterGeneration), b.knownGeneration())
 }
 
-// TestBulletinDescribesOneRun has an agent hear of a new start when the last report and the followed parts are still the earlier run's.
+// When the agent learns of a restart, its last report and the tracked parts are still those of the earlier run. A
+// bulletin must not mix the two runs.
 func TestBulletinDescribesOneRun(t *testing.T) {
 	address := netip.MustParseAddrPort("10.0.0.1:1")
 	s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: address}, Log: testr.New(t)}
@@ -199,16 +205,16 @@
 	s.runnerHolder.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "late"}, Tokens: 400}})
 	s.state.Roster.Put(deployment.Runner{ID: "r1", Address: address, Generation: laterGeneration})
 	b, due := f.next()
-	t.Run("the new start is told at once", func(t *testing.T) {
+	t.Run("the new generation is sent at once", func(t *testing.T) {
 		assert.True(t, due)
 		assert.Equal(t, rillreach.InstanceRun{ID: "r1", Generation: laterGeneration}, b.Run())
 	})
-	t.Run("nothing of the earlier run is told with it", func(t *testing.T) {
+	t.Run("nothing of the earlier run is sent with it", func(t *testing.T) {
 		assert.Equal(t, bulletin.Load{Unresponsive: true}, b.Load)
 		assert.Empty(t, b.CacheUpdates)
-		assert.GreaterOrEqual(t, b.Clock, int64(5000), "the clock is common to all runners")
+		assert.GreaterOrEqual(t, b.Clock, int64(5000), "all runners share the clock")
 	})
-	t.Run("what the later run holds is told as everything", func(t *testing.T) {
+	t.Run("the parts of the later run are sent as a snapshot", func(t *testing.T) {
 		s.runnerHolder.reset(page(2, laterGeneration), nil)
 		s.runnerHolder.tracker.Apply([]holdings.Change{{Key: holdings.Key{Salt: "1/m", Part: "fresh"}, Tokens: 300}})
 		b, _ := f.next()
@@ -231,31 +237,31 @@
 		generation rillreach.Generation
 		want       pageRun
 	}{
-		"of the same run":                            {1, earlierGeneration, pageOfCurrentRun},
-		"of the same run that tells no start":        {1, 0, pageOfCurrentRun},
-		"of a later run":                             {2, laterGeneration, pageOfLaterRun},
-		"of a later run with the same epoch":         {1, laterGeneration, pageOfLaterRun},
-		"of a run of another epoch that tells none":  {2, 0, pageOfLaterRun},
-		"of an earlier run":                          {2, earlierGeneration - 1, pageOfEarlierRun},
-		"of an earlier run with the epoch of before": {1, earlierGeneration - 1, pageOfEarlierRun},
+		"of the same run":                           {1, earlierGeneration, pageOfCurrentRun},
+		"of the same run without a generation":      {1, 0, pageOfCurrentRun},
+		"of a later run":                            {2, laterGeneration, pageOfLaterRun},
+		"of a later run with the same epoch":        {1, laterGeneration, pageOfLaterRun},
+		"without a generation but of another epoch": {2, 0, pageOfLaterRun},
+		"of an earlier run":                         {2, earlierGeneration - 1, pageOfEarlierRun},
+		"of an earlier run with the same epoch":     {1, earlierGeneration - 1, pageOfEarlierRun},
 	} {
 		t.Run("a page "+name, func(t *testing.T) {
 			h := newHolder(t, 1, earlierGeneration)
 			assert.Equal(t, c.want, h.classify(&platform.CacheEvents{Epoch: c.epoch, Generation: c.generation}))
 		})
 	}
-	t.Run("a list of the same run that tells no start is of that run", func(t *testing.T) {
+	t.Run("a list without a generation keeps the generation of its run", func(t *testing.T) {
 		h := newHolder(t, 1, earlierGeneration)
 		h.reset(&platform.CacheEvents{Epoch: 1}, nil)
 		_, _, _, ok := h.since(0, laterGeneration)
-		assert.False(t, ok, "a bulletin of the later run does not tell of it")
+		assert.False(t, ok, "it must not be sent in a bulletin of the later run")
 	})
-	t.Run("a start that becomes known is no new one", func(t *testing.T) {
+	t.Run("a generation that becomes known is not a restart", func(t *testing.T) {
 		assert.Equal(t, pageOfCurrentRun, newHolder(t, 1, 0).classify(&platform.CacheEvents{Epoch: 1, Generation: laterGeneration}))
 	})
 }
 
-// TestRestartedReaderIsNotWaitedFor: the run that was asked to end its fetch is over, and nobody need wait for it.
+// A restart of a stalled runner ends the fetch of its earlier run, which then need not be waited for.
 func TestRestartedReaderIsNotWaitedFor(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -269,24 +275,24 @@
 		info.Generation = before
 		roster.Put(info)
 		f.collect(t)
-		require.Zero(t, f.freeCalls.Load(), "it stands still")
+		require.Zero(t, f.freeCalls.Load(), "the run is stalled")
 		info.Generation = after
 		roster.Put(info)
 		f.collect(t)
 		return f.freeCalls.Load()
 	}
-	t.Run("an earlier run is waited for no longer once a later one is known", func(t *testing.T) {
+	t.Run("an earlier run is not waited for once a later one is known", func(t *testing.T) {
 		assert.Equal(t, int64(1), freedAfterRestart(t, earlierGeneration, laterGeneration))
 	})
-	t.Run("a run whose start becomes known is still waited for", func(t *testing.T) {
+	t.Run("a run whose generation becomes known is still waited for", func(t *testing.T) {
 		assert.Zero(t, freedAfterRestart(t, 0, laterGeneration))
 	})
-	t.Run("so is one whose start is no longer told", func(t *testing.T) {
+	t.Run("a run whose generation is no longer known is still waited for", func(t *testing.T) {
 		assert.Zero(t, freedAfterRestart(t, earlierGeneration, 0))
 	})
 }
 
-// TestReportOfEarlierRunIsIgnored has the agent of a runner get the answer of an earlier run, which must not be told as the later one's.
+// A late report of an earlier run must not be published as that of the later run.
 func TestReportOfEarlierRunIsIgnored(t *testing.T) {
 	e := &site.Engine{Model: site.Model, Version: 1, Born: earlierGeneration}
 	runner := httptest.NewServer(e)
--- a/sidecar/rollout_test.go
+++ b/sidecar/rollout_test.go
@@ -15,17 +15,17 @@
 
 func TestWeightLoadStatus(t *testing.T) {
 	early, late := time.Unix(1000, 0), time.Unix(2000, 0)
-	t.Run("a load that waits for its turn is scheduled, and the runner still takes requests", func(t *testing.T) {
+	t.Run("while a load waits to start, the runner still gets requests", func(t *testing.T) {
 		assert.Equal(t, weightLoadStatus{scheduledAt: early}, weightLoadStatusOf(weights.ActionWait, early))
 	})
-	t.Run("one that is announced keeps new requests away", func(t *testing.T) {
+	t.Run("an announced load keeps new requests away", func(t *testing.T) {
 		assert.Equal(t, weightLoadStatus{loading: true, scheduledAt: early}, weightLoadStatusOf(weights.ActionDrain, early))
 		assert.Equal(t, weightLoadStatus{loading: true, scheduledAt: early}, weightLoadStatusOf(weights.ActionLoad, early))
 	})
-	t.Run("where there is nothing to do no load is scheduled", func(t *testing.T) {
+	t.Run("without a newer version, no load is scheduled", func(t *testing.T) {
 		assert.Equal(t, weightLoadStatus{}, weightLoadStatusOf(weights.ActionNone, early))
 	})
-	t.Run("of two models the earlier load counts", func(t *testing.T) {
+	t.Run("the earlier load of two models counts", func(t *testing.T) {
 		assert.Equal(t, early, weightLoadStatus{scheduledAt: late}.merge(weightLoadStatus{scheduledAt: early}).scheduledAt)
 		assert.Equal(t, early, weightLoadStatus{scheduledAt: early}.merge(weightLoadStatus{scheduledAt: late}).scheduledAt)
 		assert.Equal(t, early, weightLoadStatus{scheduledAt: early}.merge(weightLoadStatus{}).scheduledAt)
@@ -34,11 +34,12 @@
 	})
 }
 
-// TestScheduledWeightLoadIsSent: entries hear when the runner loads as soon as its agent knows, and hear it again only where that changes.
+// Entries are told when the runner will load weights as soon as the agent knows, and again only if that changes.
 func TestScheduledWeightLoadIsSent(t *testing.T) {
 	const clock = 5000
 	delay := 3 * time.Second
-	// sendTwice has an agent with a load scheduled tell a follower, and then another report.
+	// sendTwice returns the bulletins before and after an update of a publisher with a scheduled weight load, and
+	// whether the second one is due.
 	sendTwice := func(t *testing.T, update func(*publisher)) (first, second bulletin.Bulletin, due bool) {
 		t.Helper()
 		synctest.Test(t, func(*testing.T) {
@@ -60,25 +61,25 @@
 			p.setReport(deployment.Load{Clock: time.UnixMilli(clock)}, weightLoadStatus{scheduledAt: time.Now().Add(delay)})
 		}
 	}
-	t.Run("on the runners' clock", func(t *testing.T) {
+	t.Run("the time is on the runners' clock", func(t *testing.T) {
 		first, _, _ := sendTwice(t, report(clock, delay))
 		assert.Equal(t, clock+delay.Milliseconds(), first.Load.WeightLoadAt)
 	})
-	t.Run("not again where the clock was read a little early", func(t *testing.T) {
+	t.Run("a slightly different clock reading is not sent", func(t *testing.T) {
 		_, _, worth := sendTwice(t, report(clock-3, delay))
 		assert.False(t, worth)
 	})
-	t.Run("again where the start is another one", func(t *testing.T) {
+	t.Run("a new start time is sent", func(t *testing.T) {
 		_, second, worth := sendTwice(t, report(clock, time.Second))
 		assert.True(t, worth)
 		assert.Equal(t, clock+time.Second.Milliseconds(), second.Load.WeightLoadAt)
 	})
-	t.Run("again where no load is scheduled any more", func(t *testing.T) {
+	t.Run("the end of a schedule is sent", func(t *testing.T) {
 		_, second, worth := sendTwice(t, func(n *publisher) { n.setReport(deployment.Load{Clock: time.UnixMilli(clock)}, weightLoadStatus{}) })
 		assert.True(t, worth)
 		assert.Zero(t, second.Load.WeightLoadAt)
 	})
-	t.Run("not where the runners' clock is unknown", func(t *testing.T) {
+	t.Run("no time is sent if the runners' clock is unknown", func(t *testing.T) {
 		_, second, _ := sendTwice(t, func(n *publisher) {
 			n.setReport(deployment.Load{}, weightLoadStatus{scheduledAt: time.Now().Add(delay)})
 		})
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -27,9 +27,10 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
+// waitTimeout bounds the wait for a condition.
 const waitTimeout = 10 * time.Second
 
-// receivedOrder is an receivedOrder as a runner gets it.
+// receivedOrder is an order as the runner receives it.
 type receivedOrder struct {
 	Op       string `json:"op"`
 	Version  uint64 `json:"version"`
@@ -40,7 +41,7 @@
 	instance string
 }
 
-// fakeEngine is a runner's control calls; it loses the answers of the first orders.
+// fakeEngine serves the control calls of a runner. It sends no response to the first dropResponses orders.
 type fakeEngine struct {
 	mu            sync.Mutex
 	version       uint64
@@ -49,7 +50,7 @@
 	orders        []receivedOrder
 }
 
-// ServeHTTP answers one control call.
+// ServeHTTP responds to one control call.
 func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/kv-events" {
 		serveEvents(w, r)
@@ -66,7 +67,7 @@
 	}
 }
 
-// serveEvents has one event, and then none until the caller gives up.
+// serveEvents responds with one event, and to later calls not until the caller gives up.
 func serveEvents(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("since") != "0" {
 		<-r.Context().Done()
@@ -128,7 +129,7 @@
 	return f
 }
 
-// startAgent starts an agent beside the runner at the address.
+// startAgent starts the agent of the runner at the address.
 func startAgent(t *testing.T, store http.Handler, runner netip.AddrPort) *Sidecar {
 	t.Helper()
 	server := httptest.NewServer(store)
@@ -155,6 +156,7 @@
 	return agent
 }
 
+// nameWeights names a version of the model's weights, and returns the revision of the object.
 func (f *fixture) nameWeights(version uint64) uint64 {
 	return f.store.Put("versions", "m", map[string]any{"model": "m", "version": version})
 }
@@ -165,20 +167,20 @@
 }
 
 func TestOrders(t *testing.T) {
-	t.Run("one order brings the runner to the version, and names run, fence and orders before", func(t *testing.T) {
+	t.Run("an order carries the version, the runner, the fencing token and the count of earlier orders", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1, ordersTaken: 4})
 		revision := f.nameWeights(2)
 		f.eventually(t, func() bool { return len(f.engine.receivedOrders()) > 0 })
 		assert.Equal(t, receivedOrder{Op: "version", Version: 2, Mode: "queue", Holder: "side-1", Fence: revision, Expected: 4, instance: "r1"}, f.engine.receivedOrders()[0])
 	})
-	t.Run("an order without an answer is given again under the same number", func(t *testing.T) {
+	t.Run("an order without a response is repeated with the same count", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1, dropResponses: 1})
 		f.nameWeights(2)
 		f.eventually(t, func() bool { return len(f.engine.receivedOrders()) == 2 })
 		orders := f.engine.receivedOrders()
 		assert.Equal(t, orders[0], orders[1])
 	})
-	t.Run("of two names in a row the newest is loaded, and fences only grow", func(t *testing.T) {
+	t.Run("the newest of two named versions is loaded, and fencing tokens increase", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1})
 		f.nameWeights(2)
 		f.nameWeights(3)
@@ -192,7 +194,7 @@
 			fence = o.Fence
 		}
 	})
-	t.Run("a runner that has the version gets no order", func(t *testing.T) {
+	t.Run("a runner with the named version gets no order", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 2})
 		f.nameWeights(2)
 		f.eventually(t, func() bool { named, _ := f.agent.state.NamedWeights("m"); return named.Version == 2 })
@@ -203,7 +205,8 @@
 	})
 }
 
-// TestStoppingAgentKeepsRunnerResponsive has an agent stop while it asks its runner: entries would turn away from a runner that is well.
+// An agent that stops during a poll must not report its runner as unresponsive, or entries would avoid a healthy
+// runner.
 func TestStoppingAgentKeepsRunnerResponsive(t *testing.T) {
 	runner := httptest.NewServer(&fakeEngine{version: 1})
 	t.Cleanup(runner.Close)
@@ -250,7 +253,7 @@
 				}
 			}
 		case <-time.After(waitTimeout):
-			t.Fatal("no bulletin tells what the runner holds")
+			t.Fatal("no bulletin reports what the runner holds")
 		}
 	}
 	assert.Equal(t, map[string]int{"part": 800}, held)
--- a/sidecar/turn_test.go
+++ b/sidecar/turn_test.go
@@ -14,12 +14,12 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// TestNewerWeightsDoNotPostponeLoad names a version when the turn of the last of four runners has come, and no order could be given:
-// its wait must not begin anew, since its weights were replaced by the version before.
+// If a newer version is named when the last of four runners is due to load but too busy to be sent an order, its delay
+// must not start again: its weights were replaced by the version before.
 func TestNewerWeightsDoNotPostponeLoad(t *testing.T) {
 	const bound = 10 * time.Second
 	startDelay := weights.StartDelay(3, 4, bound)
-	// decideFunc has the agent decideFunc at a runner with the weights, which may be busy, as long after the naming of a version as given.
+	// decideFunc calls loader.decide for a runner with the loaded version, some time after a version was named.
 	type decideFunc func(named, loaded deployment.WeightVersion, since time.Duration, busy bool)
 	ordersAfter := func(t *testing.T, decisions func(decideFunc)) []receivedOrder {
 		t.Helper()
@@ -41,7 +41,7 @@
 		})
 		return e.receivedOrders()
 	}
-	t.Run("the newest is loaded at the turn that the one before had given", func(t *testing.T) {
+	t.Run("the newest version is loaded when the one before was due", func(t *testing.T) {
 		orders := ordersAfter(t, func(decide decideFunc) {
 			decide(2, 1, startDelay, true)
 			decide(3, 1, 0, true)
@@ -51,13 +51,13 @@
 			assert.Equal(t, uint64(4), orders[0].Version)
 		}
 	})
-	t.Run("and not before", func(t *testing.T) {
+	t.Run("it is not loaded earlier", func(t *testing.T) {
 		assert.Empty(t, ordersAfter(t, func(decide decideFunc) {
 			decide(2, 1, 0, false)
 			decide(3, 1, 0, false)
 		}))
 	})
-	t.Run("a runner that has loaded the one before waits for its turn anew", func(t *testing.T) {
+	t.Run("a runner that has loaded the one before starts a new delay", func(t *testing.T) {
 		assert.Empty(t, ordersAfter(t, func(decide decideFunc) {
 			decide(2, 1, startDelay, true)
 			decide(2, 2, startDelay, false)
--- a/sidecar/wake_test.go
+++ b/sidecar/wake_test.go
@@ -12,7 +12,7 @@
 	"github.com/rillreach/rillreach/internal/broadcast"
 )
 
-// assertWaitDuration has a pacer wait, and compares how long it did in virtual time.
+// assertWaitDuration asserts how long a pacer waits, in virtual time.
 func assertWaitDuration(t *testing.T, p *pacer, interval time.Duration, urgent <-chan struct{}, want time.Duration) {
 	t.Helper()
 	start := time.Now()
@@ -26,17 +26,17 @@
 		time.AfterFunc(d, b.Wake)
 		return b.Wait()
 	}
-	t.Run("without urgent changes a follower is told at its pace", func(t *testing.T) {
+	t.Run("without urgent changes, the wait lasts for the interval", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			assertWaitDuration(t, &pacer{}, interval, (&broadcast.Signal{}).Wait(), interval)
 		})
 	})
-	t.Run("an urgent change is told at once", func(t *testing.T) {
+	t.Run("an urgent change ends the wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			assertWaitDuration(t, &pacer{}, interval, urgentAfter(&broadcast.Signal{}, 20*time.Millisecond), 20*time.Millisecond)
 		})
 	})
-	t.Run("one that came while the bulletin before was made is not missed", func(t *testing.T) {
+	t.Run("an urgent change since the signal was obtained is not missed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			var b broadcast.Signal
 			urgent := b.Wait()
@@ -44,7 +44,7 @@
 			assertWaitDuration(t, &pacer{}, interval, urgent, 0)
 		})
 	})
-	t.Run("urgent changes in a row are told at the pace", func(t *testing.T) {
+	t.Run("an urgent change soon after another does not end the wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			var p pacer
 			var b broadcast.Signal
@@ -52,7 +52,7 @@
 			assertWaitDuration(t, &p, interval, urgentAfter(&b, time.Millisecond), interval)
 		})
 	})
-	t.Run("a later one is told at once again", func(t *testing.T) {
+	t.Run("a later urgent change ends the wait again", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			var p pacer
 			var b broadcast.Signal
@@ -61,7 +61,7 @@
 			assertWaitDuration(t, &p, interval, urgentAfter(&b, time.Millisecond), time.Millisecond)
 		})
 	})
-	t.Run("the context ends it", func(t *testing.T) {
+	t.Run("cancelling the context ends the wait", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
@@ -72,7 +72,7 @@
 	})
 }
 
-// TestUrgentChangesWakeFollowers: followers hear at once of what makes a runner unfit for new requests, or fit again; the rest can wait for their pace.
+// Followers are woken when the runner stops or resumes accepting requests. Other changes wait for the next bulletin.
 func TestUrgentChangesWakeFollowers(t *testing.T) {
 	baseline := deployment.Load{Running: 2}
 	cases := []struct {
@@ -81,7 +81,7 @@
 		urgent bool
 	}{
 		{"a load is announced", func(p *publisher) { p.setReport(baseline, weightLoadStatus{loading: true}) }, true},
-		{"the runner leaves", func(p *publisher) { p.setReport(deployment.Load{Running: 2, Leaving: true}, weightLoadStatus{}) }, true},
+		{"the runner is leaving", func(p *publisher) { p.setReport(deployment.Load{Running: 2, Leaving: true}, weightLoadStatus{}) }, true},
 		{"the runner does not answer", func(p *publisher) { p.markUnresponsive() }, true},
 		{"more requests run", func(p *publisher) { p.setReport(deployment.Load{Running: 3}, weightLoadStatus{}) }, false},
 		{"nothing changes", func(p *publisher) { p.setReport(baseline, weightLoadStatus{}) }, false},
