--- a/sidecar/collector.go
+++ b/sidecar/collector.go
@@ -33,13 +33,14 @@
 	// have seen the change of the list that moved the store, and reports the parts as alive until its list is
 	// maxListAge old. Fetches that it allowed may run for bulletin.FetchLease longer.
 	takeoverDelay = maxListAge + bulletin.FetchLease + freeMargin
-	// maxReplacedAge is how long parts of replaced weights are kept if the runners have not loaded newer ones by then.
+	// maxReplacedAge is the longest time that parts of replaced weights are kept. They are freed earlier once most
+	// runners have loaded newer weights.
 	maxReplacedAge = 6 * time.Second
 )
 
 // collector is the garbage collector of the cache stores that this agent owns. It follows their contents and frees the
-// parts that were made with replaced weights. Each store is owned by one agent, chosen by rendezvous hashing over the
-// listed runners. An agent that takes over a store frees nothing until every fetch that the previous owner may have
+// parts that were computed with replaced weights. Each store is owned by one agent, chosen by rendezvous hashing over
+// the listed runners. An agent that takes over a store frees nothing until every fetch that the previous owner may have
 // allowed has ended.
 type collector struct {
 	sidecar *Sidecar
@@ -164,9 +165,9 @@
 
 // ownerCandidates returns the runners of a service that are not leaving. Their hashes are computed once for all stores.
 func (c *collector) ownerCandidates(service rillreach.ServiceID) []ownerCandidate {
-	group := c.sidecar.state.Roster.ByService(service)
-	candidates := make([]ownerCandidate, 0, len(group))
-	for _, r := range group {
+	runners := c.sidecar.state.Roster.ByService(service)
+	candidates := make([]ownerCandidate, 0, len(runners))
+	for _, r := range runners {
 		if info := r.Info(); !info.Leaving {
 			candidates = append(candidates, ownerCandidate{address: info.Address, hash: hash.String(string(info.ID))})
 		}
@@ -187,7 +188,7 @@
 	return owner
 }
 
-// freeObsolete frees the parts under obsolete salts that nobody should be reading any more.
+// freeObsolete frees the parts under obsolete salts once no runner should be reading them any more.
 func (c *collector) freeObsolete(ctx context.Context, store *ownedStore) {
 	now := time.Now()
 	for salt := range store.tracker.TokensBySalt() {
@@ -202,7 +203,7 @@
 	}
 }
 
-// readersDone reports whether nobody should be reading the parts under an expired salt any more: the expiry was
+// readersDone reports whether no runner should be reading the parts under an expired salt any more: the expiry was
 // announced long enough ago, and since then every runner that may have started a fetch before has responded, ended or
 // exceeded readerTimeout. The first call announces the expiry.
 func (c *collector) readersDone(ctx context.Context, store *ownedStore, salt string, now time.Time) bool {
--- a/sidecar/loader.go
+++ b/sidecar/loader.go
@@ -16,8 +16,8 @@
 	// minPollInterval is the shortest interval at which the runner's report is polled. The runner is on the same
 	// instance, so that a poll costs processor time only.
 	minPollInterval = 40 * time.Millisecond
-	// maxPollInterval bounds the interval where bulletins are sent less often: a weight load is announced only 300 ms
-	// ahead.
+	// maxPollInterval bounds the interval if bulletins are sent less often, since a weight load is announced only
+	// 300 ms ahead.
 	maxPollInterval = 100 * time.Millisecond
 )
 
--- a/sidecar/publisher.go
+++ b/sidecar/publisher.go
@@ -47,7 +47,7 @@
 
 	mu         sync.Mutex
 	load       deployment.Load
-	loadAt     time.Time
+	reportedAt time.Time
 	weightLoad weightLoadStatus
 	// firstSeen is the last result of weightsFirstSeen, and firstSeenRevision the revision of the named versions that
 	// it was computed from.
@@ -63,7 +63,7 @@
 	if weightLoad.loading != p.weightLoad.loading || load.Leaving != p.load.Leaving || load.Unresponsive != p.load.Unresponsive {
 		p.urgent.Wake()
 	}
-	p.load, p.loadAt, p.weightLoad = load, time.Now(), weightLoad
+	p.load, p.reportedAt, p.weightLoad = load, time.Now(), weightLoad
 }
 
 // markUnresponsive records that the runner does not answer, and wakes the followers if that is new.
@@ -81,12 +81,12 @@
 func (p *publisher) latestReport() (load deployment.Load, reportedAt time.Time, weightLoad weightLoadStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.load, p.loadAt, p.weightLoad
+	return p.load, p.reportedAt, p.weightLoad
 }
 
 // serve sends bulletins to one follower until it disconnects.
 func (p *publisher) serve(ctx context.Context, call *peer.Call) error {
-	follow, err := peer.Decode[bulletin.FollowRequest](call.Body)
+	request, err := peer.Decode[bulletin.FollowRequest](call.Body)
 	if err != nil {
 		return err
 	}
@@ -94,17 +94,17 @@
 		return nil
 	}
 	defer p.serving.leave()
-	p.sidecar.Log.Info("follower connected", "decision", "send", "follower", follow.Name, "followers", p.followers.Add(1))
+	p.sidecar.Log.Info("follower connected", "decision", "send", "follower", request.Name, "followers", p.followers.Add(1))
 	defer func() {
-		p.sidecar.Log.Info("follower disconnected", "decision", "end", "follower", follow.Name, "followers", p.followers.Add(-1))
+		p.sidecar.Log.Info("follower disconnected", "decision", "end", "follower", request.Name, "followers", p.followers.Add(-1))
 	}()
 	f := newFollower(p)
-	f.loadOnly = follow.LoadOnly
+	f.loadOnly = request.LoadOnly
 	if !f.loadOnly {
 		p.senders.Add(1)
 		defer p.senders.Add(-1)
 	}
-	f.otherZone = follow.Zone != "" && follow.Zone != p.sidecar.Settings.Zone
+	f.otherZone = request.Zone != "" && request.Zone != p.sidecar.Settings.Zone
 	var pacer pacer
 	for ctx.Err() == nil {
 		urgent := p.urgent.Wait()
--- a/sidecar/publisher_test.go
+++ b/sidecar/publisher_test.go
@@ -39,8 +39,8 @@
 	assert.Len(t, update.Changes, 1)
 }
 
-// A snapshot may not fit into one message. A message that the connection splits cannot be decoded, and a follower would
-// request the same one again and again.
+// A snapshot can be too large for one message. A message that the connection splits cannot be decoded, and a follower
+// would request the same one again and again.
 func TestLargeSnapshotIsSplitAcrossBulletins(t *testing.T) {
 	const parts = 3000
 	h := &holder{address: netip.MustParseAddrPort("10.0.0.1:1"), store: true}
@@ -163,21 +163,21 @@
 		return addresses
 	}
 	assert.Equal(t, []netip.AddrPort{s.runnerHolder.address, store.address}, sentAddresses(false, false))
-	assert.Equal(t, []netip.AddrPort{s.runnerHolder.address, store.address}, sentAddresses(true, false), "runners are fetched from across zones")
+	assert.Equal(t, []netip.AddrPort{s.runnerHolder.address, store.address}, sentAddresses(true, false), "the runner serves fetches from other zones as well")
 	assert.Equal(t, []netip.AddrPort{store.address}, sentAddresses(true, true), "a load-only follower gets the stores only")
 }
 
 // An agent that takes over a store must not free parts that the previous owner, with an older list of runners, may
 // still report as alive.
 func TestTakeoverDelaysFreeing(t *testing.T) {
-	start := time.Unix(0, 0)
-	store := &ownedStore{takenOverAt: start}
-	assert.False(t, store.mayFree("1/m", start), "the first call only announces the expiry")
-	assert.False(t, store.mayFree("1/m", start.Add(runnersCoalesceDelay)), "the previous owner may still report the parts as alive")
-	assert.False(t, store.mayFree("1/m", start.Add(maxListAge)), "even one that was stalled or disconnected for long")
-	assert.True(t, store.mayFree("1/m", start.Add(takeoverDelay)))
-	assert.False(t, store.mayFree("2/m", start.Add(takeoverDelay)), "each salt is announced separately")
-	assert.True(t, store.mayFree("2/m", start.Add(takeoverDelay+bulletin.FetchLease+freeMargin)))
+	takenOverAt := time.Unix(0, 0)
+	store := &ownedStore{takenOverAt: takenOverAt}
+	assert.False(t, store.mayFree("1/m", takenOverAt), "the first call only announces the expiry")
+	assert.False(t, store.mayFree("1/m", takenOverAt.Add(runnersCoalesceDelay)), "the previous owner may still report the parts as alive")
+	assert.False(t, store.mayFree("1/m", takenOverAt.Add(maxListAge)), "even one that was stalled or disconnected for long")
+	assert.True(t, store.mayFree("1/m", takenOverAt.Add(takeoverDelay)))
+	assert.False(t, store.mayFree("2/m", takenOverAt.Add(takeoverDelay)), "each salt is announced separately")
+	assert.True(t, store.mayFree("2/m", takenOverAt.Add(takeoverDelay+bulletin.FetchLease+freeMargin)))
 }
 
 // An agent that was stalled or disconnected resumes with an old list of runners, and may no longer own its stores.
--- a/sidecar/readers.go
+++ b/sidecar/readers.go
@@ -18,9 +18,9 @@
 const (
 	// readerPollInterval is how often runners that have not responded are polled again.
 	readerPollInterval = time.Second
-	// readerTimeout is how long the agent waits for runners that do not respond, after the first poll, and how long it
-	// waits for a run after that was last listed. It covers stalls of up to 12 s; longer would leave parts that may no
-	// longer be fetched in the place of others.
+	// readerTimeout is how long the agent waits for runners that do not respond, counted from the first poll, and for a
+	// run that is no longer listed, counted from when it was last listed. It covers the longest stalls of runners. A
+	// longer wait would let parts that may no longer be fetched take up space that other parts need.
 	readerTimeout = 12 * time.Second
 )
 
@@ -65,10 +65,10 @@
 		return false
 	}
 	r.lastPolledAt = now
-	asked := slices.Collect(maps.Keys(r.pending))
-	answered := iter.Map(asked, func(id *rillreach.InstanceID) bool { return responds(ctx, r.pending[*id].address) })
-	for i, id := range asked {
-		if answered[i] {
+	ids := slices.Collect(maps.Keys(r.pending))
+	responded := iter.Map(ids, func(id *rillreach.InstanceID) bool { return responds(ctx, r.pending[*id].address) })
+	for i, id := range ids {
+		if responded[i] {
 			delete(r.pending, id)
 		}
 	}
--- a/sidecar/restart_test.go
+++ b/sidecar/restart_test.go
@@ -42,39 +42,39 @@
 // newRestartFixture starts an engine with weights of version 1, and its agent.
 func newRestartFixture(t *testing.T) *restartFixture {
 	t.Helper()
-	b := &restartFixture{store: site.NewStore()}
-	b.engine = &site.Engine{Model: site.Model, Version: 1, LoadTime: time.Hour, Born: earlierGeneration}
-	b.engine.ID = "r1"
-	b.engine.Ordered = func(o site.Order) bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.orders = append(b.orders, o)
+	f := &restartFixture{store: site.NewStore()}
+	f.engine = &site.Engine{Model: site.Model, Version: 1, LoadTime: time.Hour, Born: earlierGeneration}
+	f.engine.ID = "r1"
+	f.engine.Ordered = func(o site.Order) bool {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.orders = append(f.orders, o)
 		return false
 	}
-	b.engine.Start()
-	t.Cleanup(b.engine.Stop)
-	b.store.Put("config", "main", map[string]any{"version": 1})
-	b.store.Put("servers", "r1", b.engine.Record("ready"))
-	b.agent = startAgent(t, b.store, b.engine.Address())
-	return b
+	f.engine.Start()
+	t.Cleanup(f.engine.Stop)
+	f.store.Put("config", "main", map[string]any{"version": 1})
+	f.store.Put("servers", "r1", f.engine.Record("ready"))
+	f.agent = startAgent(t, f.store, f.engine.Address())
+	return f
 }
 
-func (b *restartFixture) receivedOrders() []site.Order {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]site.Order(nil), b.orders...)
+func (f *restartFixture) receivedOrders() []site.Order {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]site.Order(nil), f.orders...)
 }
 
 // loadingWeights reports whether the agent believes that its runner is loading weights.
-func (b *restartFixture) loadingWeights() bool {
-	load, _, _ := b.agent.publisher.latestReport()
+func (f *restartFixture) loadingWeights() bool {
+	load, _, _ := f.agent.publisher.latestReport()
 	return load.LoadingWeights
 }
 
 // knownGeneration returns the generation of the agent's own runner as the agent knows it, or zero if the runner is not
 // listed.
-func (b *restartFixture) knownGeneration() rillreach.Generation {
-	runner := b.agent.state.Roster.Find("r1")
+func (f *restartFixture) knownGeneration() rillreach.Generation {
+	runner := f.agent.state.Roster.Find("r1")
 	if runner == nil {
 		return 0
 	}
@@ -82,10 +82,10 @@
 }
 
 // generationMissing reports whether the last generation from a source was missing.
-func generationMissing(l *missingGenerationTracker, source telemetry.StartSource) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.bySource[source]
+func generationMissing(tracker *missingGenerationTracker, source telemetry.StartSource) bool {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	return tracker.bySource[source]
 }
 
 func eventually(t *testing.T, condition func() bool) {
@@ -95,31 +95,31 @@
 
 // A runner that restarts while it loads weights has lost the order, and must be sent another one.
 func TestRunnerRestartsDuringWeightLoad(t *testing.T) {
-	b := newRestartFixture(t)
-	b.store.Put("versions", site.Model, site.WeightsOf(2))
-	eventually(t, func() bool { return len(b.receivedOrders()) == 1 && b.loadingWeights() })
-	b.store.Fail(http.StatusServiceUnavailable) // the agent cannot learn of the restart from the store
-	b.engine.Restart(laterGeneration)
-	eventually(t, func() bool { return len(b.receivedOrders()) == 2 })
-	orders := b.receivedOrders()
+	f := newRestartFixture(t)
+	f.store.Put("versions", site.Model, site.WeightsOf(2))
+	eventually(t, func() bool { return len(f.receivedOrders()) == 1 && f.loadingWeights() })
+	f.store.Fail(http.StatusServiceUnavailable) // the agent cannot learn of the restart from the store
+	f.engine.Restart(laterGeneration)
+	eventually(t, func() bool { return len(f.receivedOrders()) == 2 })
+	orders := f.receivedOrders()
 	assert.Zero(t, orders[1].Expected, "the restarted runner has taken no orders")
 	assert.Equal(t, uint64(2), orders[1].Version)
 	assert.Equal(t, orders[0].Fence, orders[1].Fence)
-	assert.Equal(t, rillreach.Generation(laterGeneration), b.knownGeneration())
-	eventually(t, b.loadingWeights)
-	assert.Len(t, b.receivedOrders(), 2, "one order is enough")
+	assert.Equal(t, rillreach.Generation(laterGeneration), f.knownGeneration())
+	eventually(t, f.loadingWeights)
+	assert.Len(t, f.receivedOrders(), 2, "one order is enough")
 }
 
 // An order is lost when the run that received it ends, so the agent must not wait for its completion.
 func TestOrderOfEarlierRunIsNotWaitedFor(t *testing.T) {
-	ordersTo := func(t *testing.T, runs ...rillreach.Generation) []receivedOrder {
+	ordersTo := func(t *testing.T, generations ...rillreach.Generation) []receivedOrder {
 		t.Helper()
 		e := &fakeEngine{version: 1}
 		runner := httptest.NewServer(e)
 		t.Cleanup(runner.Close)
 		s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunner(addressOf(runner.URL)), Log: testr.New(t)}
 		l := &loader{sidecar: s}
-		for i, generation := range runs {
+		for i, generation := range generations {
 			runner := deployment.Runner{ID: "r1", Service: "s", Address: addressOf(runner.URL), Generation: generation}
 			l.decide(t.Context(), runner, deployment.Load{OrdersTaken: uint64(i)}, deployment.DesiredWeights{Model: "m", Version: 2, Revision: rillreach.Revision{Number: 5}}, 1, time.Hour)
 		}
@@ -160,27 +160,27 @@
 
 // A report without a generation says nothing about a restart, so the known run must stay in place.
 func TestRestartedRunnerWithoutGeneration(t *testing.T) {
-	b := newRestartFixture(t)
-	eventually(t, func() bool { return b.knownGeneration() == earlierGeneration })
-	runner := b.agent.state.Roster.Find("r1")
-	b.engine.Restart(0)
-	eventually(t, func() bool { return generationMissing(&b.agent.missingGenerations, telemetry.StartInReport) })
-	assert.Same(t, runner, b.agent.state.Roster.Find("r1"), "the restart is not known")
-	assert.Equal(t, rillreach.Generation(earlierGeneration), b.knownGeneration())
+	f := newRestartFixture(t)
+	eventually(t, func() bool { return f.knownGeneration() == earlierGeneration })
+	runner := f.agent.state.Roster.Find("r1")
+	f.engine.Restart(0)
+	eventually(t, func() bool { return generationMissing(&f.agent.missingGenerations, telemetry.StartInReport) })
+	assert.Same(t, runner, f.agent.state.Roster.Find("r1"), "the restart is not known")
+	assert.Equal(t, rillreach.Generation(earlierGeneration), f.knownGeneration())
 }
 
 // Parts that a runner held before a restart must no longer be reported to entries, no matter from which source the
 // agent first learns of the restart.
 func TestPartsOfEarlierRunAreDropped(t *testing.T) {
-	b := newRestartFixture(t)
-	eventually(t, func() bool { return b.knownGeneration() == earlierGeneration })
-	b.engine.Keep("1/m", "old", 800)
-	b.engine.Keep("1/m", "older", 400)
-	eventually(t, func() bool { return b.agent.runnerHolder.tracker.TotalTokens() == 1200 })
-	b.engine.Restart(laterGeneration)
-	b.engine.Keep("1/m", "fresh", 300)
-	eventually(t, func() bool { return b.agent.runnerHolder.tracker.TotalTokens() == 300 })
-	assert.Equal(t, rillreach.Generation(laterGeneration), b.knownGeneration())
+	f := newRestartFixture(t)
+	eventually(t, func() bool { return f.knownGeneration() == earlierGeneration })
+	f.engine.Keep("1/m", "old", 800)
+	f.engine.Keep("1/m", "older", 400)
+	eventually(t, func() bool { return f.agent.runnerHolder.tracker.TotalTokens() == 1200 })
+	f.engine.Restart(laterGeneration)
+	f.engine.Keep("1/m", "fresh", 300)
+	eventually(t, func() bool { return f.agent.runnerHolder.tracker.TotalTokens() == 300 })
+	assert.Equal(t, rillreach.Generation(laterGeneration), f.knownGeneration())
 }
 
 // When the agent learns of a restart, its last report and the tracked parts are still those of the earlier run. A
--- a/sidecar/rollout.go
+++ b/sidecar/rollout.go
@@ -24,10 +24,10 @@
 }
 
 // merge combines the statuses of two models at one runner: the load that starts earlier counts.
-func (r weightLoadStatus) merge(other weightLoadStatus) weightLoadStatus {
-	r.loading = r.loading || other.loading
-	if r.scheduledAt.IsZero() || !other.scheduledAt.IsZero() && other.scheduledAt.Before(r.scheduledAt) {
-		r.scheduledAt = other.scheduledAt
+func (s weightLoadStatus) merge(other weightLoadStatus) weightLoadStatus {
+	s.loading = s.loading || other.loading
+	if s.scheduledAt.IsZero() || !other.scheduledAt.IsZero() && other.scheduledAt.Before(s.scheduledAt) {
+		s.scheduledAt = other.scheduledAt
 	}
-	return r
+	return s
 }
--- a/sidecar/runner_run.go
+++ b/sidecar/runner_run.go
@@ -43,9 +43,9 @@
 	if t.bySource == nil {
 		t.bySource = map[telemetry.StartSource]bool{}
 	}
-	ceased := missing && !t.bySource[source]
+	becameMissing := missing && !t.bySource[source]
 	t.bySource[source] = missing
-	return ceased
+	return becameMissing
 }
 
 // generationMatches reports whether the load may be the run's own: their generations are equal or one is unknown.
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -22,8 +22,9 @@
 
 const (
 	// The watch timeouts are how long one watch of the object store waits for a change, and so how long a watch that
-	// hangs goes unnoticed. An agent needs little of the configuration: its cache stores, the limits of cold runners
-	// and its version. New weights must be loaded within about ten seconds.
+	// hangs goes unnoticed. The one for the configuration is long, since an agent needs little of that: the cache
+	// stores, the limits of cold runners and the version number. The one for weights is short, since new weights must
+	// be loaded within about ten seconds.
 	configWatchTimeout  = 25 * time.Second
 	runnersWatchTimeout = 6 * time.Second
 	weightsWatchTimeout = 5 * time.Second
--- a/sidecar/turn_test.go
+++ b/sidecar/turn_test.go
@@ -20,7 +20,7 @@
 	const bound = 10 * time.Second
 	startDelay := weights.StartDelay(3, 4, bound)
 	// decideFunc calls loader.decide for a runner with the loaded version, some time after a version was named.
-	type decideFunc func(named, loaded deployment.WeightVersion, since time.Duration, busy bool)
+	type decideFunc func(named, loaded deployment.WeightVersion, knownFor time.Duration, busy bool)
 	ordersAfter := func(t *testing.T, decisions func(decideFunc)) []receivedOrder {
 		t.Helper()
 		e := &fakeEngine{version: 1}
