--- a/sidecar/collector.go
+++ b/sidecar/collector.go
@@ -19,224 +19,236 @@
 )
 
 const (
-	// careEvery is how often it is looked at who follows which store, and what can be freed.
-	careEvery = 200 * time.Millisecond
-	// freeMargin is added to the longest fetch before parts are freed.
+	// collectInterval is how often the agent checks which stores it owns and what can be freed.
+	collectInterval = 200 * time.Millisecond
+	// freeMargin is a safety margin on top of the longest fetch before parts are freed.
 	freeMargin = 300 * time.Millisecond
-	// freeBatch is how many parts one call frees.
-	freeBatch = 250
-	// listMost is how old an agent's list of runners may be while it speaks for stores: a round of asking for it takes
-	// gatherRunners and runnersWait, 11 s. Where the object store is away for longer than the rest, nobody speaks for them.
-	listMost = 16 * time.Second
-	// takeOver is how long an agent that takes a store over frees nothing: the one before, whose list is older than the
-	// change that took the store from it, may speak for the parts until that list is listMost old, and fetches last on.
-	takeOver = listMost + bulletin.FetchLease + freeMargin
-	// oldMost is how long parts of replaced weights are kept, where runners do not change sooner.
-	oldMost = 6 * time.Second
+	// freeBatchSize is the number of parts that one call frees.
+	freeBatchSize = 250
+	// maxListAge is the greatest age of the list of runners at which an agent still reports on stores. A cycle of
+	// watching the list takes up to runnersCoalesceDelay plus runnersWatchTimeout, that is, 11 s. While the object
+	// store is unavailable for longer than the remaining 5 s, no agent reports on stores.
+	maxListAge = 16 * time.Second
+	// takeoverDelay is how long an agent frees nothing after it has taken over a store. The previous owner may not yet
+	// have seen the change of the list that moved the store, and reports the parts as alive until its list is
+	// maxListAge old. Fetches that it allowed may run for bulletin.FetchLease longer.
+	takeoverDelay = maxListAge + bulletin.FetchLease + freeMargin
+	// maxReplacedAge is the longest time that parts of replaced weights are kept. They are freed earlier once most
+	// runners have loaded newer weights.
+	maxReplacedAge = 6 * time.Second
 )
 
-// collector is the garbage collector of the stores that are this agent's to look after: it follows them, and frees what was made by weights that are replaced.
-// Each store has one such agent, by rank among the listed runners; an agent that takes a store over frees nothing before
-// every fetch that another may have allowed has ended.
+// collector is the garbage collector of the cache stores that this agent owns. It follows their contents and frees the
+// parts that were computed with replaced weights. Each store is owned by one agent, chosen by rendezvous hashing over
+// the listed runners. An agent that takes over a store frees nothing until every fetch that the previous owner may have
+// allowed has ended.
 type collector struct {
 	sidecar *Sidecar
 	wg      conc.WaitGroup
-	// runs are those that may read from stores; only look and what it calls use them.
-	runs map[rillreach.InstanceID]*listedRun
+	// engineRuns are the runs of engines that may read from stores. Only reconcile and its callees use the map, so it
+	// needs no lock.
+	engineRuns map[rillreach.InstanceID]*listedRun
 
 	mu     sync.Mutex
-	stores map[netip.AddrPort]*kept
+	stores map[netip.AddrPort]*ownedStore
 }
 
-// kept is one store that this agent looks after.
-type kept struct {
+// ownedStore is a cache store that this agent owns.
+type ownedStore struct {
 	*holder
-	stop    context.CancelFunc
-	expired holdings.ExpiredSalts
-	// readers are those who may still read parts under a expired salt.
-	readers map[string]*readers
-	// since is when this agent took the store over.
-	since time.Time
+	stop         context.CancelFunc
+	expiredSalts holdings.ExpiredSalts
+	// readers are the engine runs that may still read parts under an expired salt, by salt.
+	readers map[string]*pendingReaders
+	// takenOverAt is when this agent became the owner.
+	takenOverAt time.Time
 }
 
-// mayFree reports whether the parts under a salt of replaced weights may be freed now.
-func (k *kept) mayFree(salt string, now time.Time) bool {
-	told := k.expired.MayFree(salt, now, bulletin.FetchLease+freeMargin)
-	return told && now.Sub(k.since) >= takeOver
+// mayFree reports whether every fetch of parts under an expired salt has had time to end, both since the expiry was
+// first announced and since the takeover.
+func (s *ownedStore) mayFree(salt string, now time.Time) bool {
+	announced := s.expiredSalts.MayFree(salt, now, bulletin.FetchLease+freeMargin)
+	return announced && now.Sub(s.takenOverAt) >= takeoverDelay
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *collector) Name() string { return "look-after-stores" }
 
-// Run looks after stores until the context ends.
+// Run collects garbage until the context is cancelled.
 func (c *collector) Run(ctx context.Context) error {
-	pause.Every(ctx, careEvery, c.look)
+	pause.Every(ctx, collectInterval, c.reconcile)
 	c.wg.Wait()
 	return nil
 }
 
-func (c *collector) look(ctx context.Context) {
-	mine := c.mine()
+// reconcile takes over and gives up stores as their owners change, and then frees obsolete parts.
+func (c *collector) reconcile(ctx context.Context) {
+	owned := c.ownedAddresses()
 	c.mu.Lock()
 	if c.stores == nil {
-		c.stores = map[netip.AddrPort]*kept{}
+		c.stores = map[netip.AddrPort]*ownedStore{}
 	}
-	for place, k := range c.stores {
-		if !mine[place] {
-			k.stop()
-			delete(c.stores, place)
-			c.sidecar.Log.Info("store left to another agent", "decision", "leave", "store", place)
+	for address, store := range c.stores {
+		if !owned[address] {
+			store.stop()
+			delete(c.stores, address)
+			c.sidecar.Log.Info("store left to another agent", "decision", "leave", "store", address)
 		}
 	}
-	for place := range mine {
-		if c.stores[place] == nil {
-			c.stores[place] = c.begin(ctx, place)
+	for address := range owned {
+		if c.stores[address] == nil {
+			c.stores[address] = c.takeStore(ctx, address)
 		}
 	}
 	c.mu.Unlock()
-	c.noteRuns(time.Now())
-	for _, k := range c.all() {
-		c.free(ctx, k)
+	c.updateEngineRuns(time.Now())
+	for _, store := range c.ownedStores() {
+		c.freeObsolete(ctx, store)
 	}
 }
 
-func (c *collector) begin(ctx context.Context, place netip.AddrPort) *kept {
-	c.sidecar.Log.Info("store is this agent's", "decision", "follow", "store", place)
+// takeStore starts to follow a store that this agent now owns.
+func (c *collector) takeStore(ctx context.Context, address netip.AddrPort) *ownedStore {
+	c.sidecar.Log.Info("store is this agent's", "decision", "follow", "store", address)
 	ctx, stop := context.WithCancel(ctx)
-	k := &kept{
-		holder: &holder{place: place, store: true, client: platform.NewRunnerClient(place), log: c.sidecar.Log},
-		stop:   stop,
-		since:  time.Now(),
+	store := &ownedStore{
+		holder:      &holder{address: address, store: true, client: platform.NewRunnerClient(address), log: c.sidecar.Log},
+		stop:        stop,
+		takenOverAt: time.Now(),
 	}
-	c.wg.Go(func() { k.run(ctx) })
-	return k
+	c.wg.Go(func() { store.run(ctx) })
+	return store
 }
 
-// owned are the stores that this agent may speak for.
-func (c *collector) owned(now time.Time) []*kept {
-	if now.Sub(c.sidecar.state.Roster.CompleteAt()) > listMost {
-		return nil // another agent may have them by now
+// reportableStores returns the stores that this agent may report on.
+func (c *collector) reportableStores(now time.Time) []*ownedStore {
+	if now.Sub(c.sidecar.state.Roster.CompleteAt()) > maxListAge {
+		return nil // another agent may own them by now
 	}
-	return c.all()
+	return c.ownedStores()
 }
 
-// all are the stores that this agent looks after.
-func (c *collector) all() []*kept {
+// ownedStores returns the stores that this agent owns.
+func (c *collector) ownedStores() []*ownedStore {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]*kept, 0, len(c.stores))
-	for _, k := range c.stores {
-		all = append(all, k)
+	stores := make([]*ownedStore, 0, len(c.stores))
+	for _, store := range c.stores {
+		stores = append(stores, store)
 	}
-	return all
+	return stores
 }
 
-// mine are the addresses of the stores whose first rank this agent's runner has.
-func (c *collector) mine() map[netip.AddrPort]bool {
+// ownedAddresses returns the addresses of the managed stores for which this agent's runner ranks highest.
+func (c *collector) ownedAddresses() map[netip.AddrPort]bool {
 	s := c.sidecar
 	config, self := s.state.Config(), s.state.Roster.ByAddress(s.Settings.RunnerAddress)
-	mine := map[netip.AddrPort]bool{}
+	owned := map[netip.AddrPort]bool{}
 	if config == nil || self == nil {
-		return mine
+		return owned
 	}
 	info := self.Info()
-	candidates := c.candidates(info.Service)
+	candidates := c.ownerCandidates(info.Service)
 	for _, store := range config.CacheStores() {
-		if store.Managed && first(store.Address, candidates) == info.Address {
-			mine[store.Address] = true
+		if store.Managed && ownerOf(store.Address, candidates) == info.Address {
+			owned[store.Address] = true
 		}
 	}
-	return mine
+	return owned
 }
 
-// ownerCandidate is a runner whose agent may own stores.
+// ownerCandidate is a runner whose agent may own stores, with the hash of the runner's identifier.
 type ownerCandidate struct {
 	address netip.AddrPort
 	hash    uint64
 }
 
-// candidates are the runners of a service that don't leave, hashed once for all stores.
-func (c *collector) candidates(service rillreach.ServiceID) []ownerCandidate {
-	group := c.sidecar.state.Roster.ByService(service)
-	all := make([]ownerCandidate, 0, len(group))
-	for _, r := range group {
+// ownerCandidates returns the runners of a service that are not leaving. Their hashes are computed once for all stores.
+func (c *collector) ownerCandidates(service rillreach.ServiceID) []ownerCandidate {
+	runners := c.sidecar.state.Roster.ByService(service)
+	candidates := make([]ownerCandidate, 0, len(runners))
+	for _, r := range runners {
 		if info := r.Info(); !info.Leaving {
-			all = append(all, ownerCandidate{address: info.Address, hash: hash.String(string(info.ID))})
+			candidates = append(candidates, ownerCandidate{address: info.Address, hash: hash.String(string(info.ID))})
 		}
 	}
-	return all
+	return candidates
 }
 
-// first is the runner whose agent looks after the store, by rank.
-func first(store netip.AddrPort, candidates []ownerCandidate) netip.AddrPort {
-	key := hash.String(store.String())
-	var best netip.AddrPort
-	var most uint64
+// ownerOf returns the address of the runner whose agent owns the store, by rendezvous hashing.
+func ownerOf(store netip.AddrPort, candidates []ownerCandidate) netip.AddrPort {
+	storeHash := hash.String(store.String())
+	var owner netip.AddrPort
+	var maxRank uint64
 	for _, c := range candidates {
-		if rank := hash.Mix(key, c.hash); !best.IsValid() || rank > most {
-			best, most = c.address, rank
+		if rank := hash.Mix(storeHash, c.hash); !owner.IsValid() || rank > maxRank {
+			owner, maxRank = c.address, rank
 		}
 	}
-	return best
+	return owner
 }
 
-// free frees the salts of replaced weights, once entries have been told long enough that they are expired.
-func (c *collector) free(ctx context.Context, k *kept) {
+// freeObsolete frees the parts under obsolete salts once no runner should be reading them any more.
+func (c *collector) freeObsolete(ctx context.Context, store *ownedStore) {
 	now := time.Now()
-	for salt := range k.tracker.TokensBySalt() {
-		if !c.replaced(salt, now) || !c.unread(ctx, k, salt, now) {
+	for salt := range store.tracker.TokensBySalt() {
+		if !c.obsolete(salt, now) || !c.readersDone(ctx, store, salt, now) {
 			continue
 		}
-		if err := c.freeAll(ctx, k, k.tracker.KeysUnder(salt)); err != nil {
-			c.sidecar.Log.Error(err, "parts not freed", "decision", "retry", "store", k.place, "salt", salt)
+		if err := c.freeParts(ctx, store, store.tracker.KeysUnder(salt)); err != nil {
+			c.sidecar.Log.Error(err, "failed to free parts", "decision", "retry", "store", store.address, "salt", salt)
 			continue
 		}
-		c.sidecar.Log.Info("parts freed", "decision", "free", "store", k.place, "salt", salt)
+		c.sidecar.Log.Info("parts freed", "decision", "free", "store", store.address, "salt", salt)
 	}
 }
 
-// unread reports that nobody may read the parts under a salt of replaced weights any more: all who fetch have been told for long enough, and
-// all runners that may have begun a fetch before go on.
-func (c *collector) unread(ctx context.Context, k *kept, text string, now time.Time) bool {
-	if k.readers == nil {
-		k.readers = map[string]*readers{}
+// readersDone reports whether no runner should be reading the parts under an expired salt any more: the expiry was
+// announced long enough ago, and since then every runner that may have started a fetch before has responded, ended or
+// exceeded readerTimeout. The first call announces the expiry.
+func (c *collector) readersDone(ctx context.Context, store *ownedStore, salt string, now time.Time) bool {
+	if store.readers == nil {
+		store.readers = map[string]*pendingReaders{}
 	}
-	r := k.readers[text]
-	if r == nil {
-		r = &readers{}
-		r.add(c.runs)
-		k.readers[text] = r
+	readers := store.readers[salt]
+	if readers == nil {
+		readers = &pendingReaders{}
+		readers.add(c.engineRuns)
+		store.readers[salt] = readers
 	}
-	if !k.mayFree(text, now) {
-		r.add(c.runs)
+	if !store.mayFree(salt, now) {
+		readers.add(c.engineRuns)
 		return false
 	}
-	return r.done(ctx, now, c.runs)
+	return readers.poll(ctx, now, c.engineRuns)
 }
 
-func (c *collector) freeAll(ctx context.Context, k *kept, parts []holdings.Key) error {
-	for batch := range slices.Chunk(parts, freeBatch) {
-		if err := k.free(ctx, batch); err != nil {
+// freeParts frees parts of a store in batches.
+func (c *collector) freeParts(ctx context.Context, store *ownedStore, parts []holdings.Key) error {
+	for batch := range slices.Chunk(parts, freeBatchSize) {
+		if err := store.free(ctx, batch); err != nil {
 			return err
 		}
-		c.forget(k, batch)
+		c.forgetParts(store, batch)
 	}
 	return nil
 }
 
-// forget takes freed parts off at once, so that they are not freed again before the store tells of them.
-func (c *collector) forget(k *kept, parts []holdings.Key) {
+// forgetParts removes freed parts from the tracker at once, so that they are not freed again before the store's events
+// report them as gone.
+func (c *collector) forgetParts(store *ownedStore, parts []holdings.Key) {
 	changes := make([]holdings.Change, len(parts))
 	for i, p := range parts {
 		changes[i] = holdings.Change{Key: p}
 	}
-	k.tracker.Apply(changes)
+	store.tracker.Apply(changes)
 }
 
-// replaced reports that the weights of a salt are no longer worth keeping parts for: newer ones are named, and two thirds of
-// the runners have them, or enough time has passed.
-func (c *collector) replaced(text string, now time.Time) bool {
-	salt, ok := deployment.ParseSalt(text)
+// obsolete reports whether the parts under a salt are no longer worth keeping: newer weights are named, and either two
+// thirds of the model's runners have loaded weights newer than the salt's, or the newest were named more than
+// maxReplacedAge ago.
+func (c *collector) obsolete(saltText string, now time.Time) bool {
+	salt, ok := deployment.ParseSalt(saltText)
 	if !ok {
 		return false
 	}
@@ -244,16 +256,16 @@
 	if salt.Weights >= named.Version {
 		return false
 	}
-	old, all := 0, 0
+	outdated, total := 0, 0
 	for _, r := range c.sidecar.state.Roster.All() {
-		loaded, runs := r.Info().Weights[salt.Model]
-		if !runs {
+		loaded, ok := r.Info().Weights[salt.Model]
+		if !ok {
 			continue
 		}
-		all++
+		total++
 		if loaded <= salt.Weights {
-			old++
+			outdated++
 		}
 	}
-	return 3*old <= all || now.Sub(since) > oldMost
+	return 3*outdated <= total || now.Sub(since) > maxReplacedAge
 }
--- a/sidecar/holder_run.go
+++ b/sidecar/holder_run.go
@@ -6,58 +6,61 @@
 	"github.com/rillreach/rillreach/platform"
 )
 
-// pageVerdict is what a page of a holder's changes is worth.
-type pageVerdict int
+// pageRun says which run of a holder a page of its changes belongs to.
+type pageRun int
 
 const (
-	// pagePresent is of the run that is followed, pageOfNewRun of a later one, pageLate of an earlier one.
-	pagePresent pageVerdict = iota
-	pageOfNewRun
-	pageLate
+	// pageOfCurrentRun is a page of the run that is being followed, pageOfLaterRun one of a run that has replaced it,
+	// and pageOfEarlierRun one of a run that it has replaced.
+	pageOfCurrentRun pageRun = iota
+	pageOfLaterRun
+	pageOfEarlierRun
 )
 
-// judge says which run a page is of. A page that tells no generation is known by its epoch alone.
-func (h *holder) judge(page *platform.CacheEvents) pageVerdict {
+// classify determines which run a page belongs to, and records its generation if it is of the current run. A page
+// without a generation is identified by its epoch only.
+func (h *holder) classify(page *platform.CacheEvents) pageRun {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	known, told := rillreach.InstanceRun{Generation: h.generation}, rillreach.InstanceRun{Generation: page.Generation}
-	before := h.epoch.Load()
+	known, reported := rillreach.InstanceRun{Generation: h.generation}, rillreach.InstanceRun{Generation: page.Generation}
+	epoch := h.epoch.Load()
 	switch {
-	case known.Supersedes(told):
-		return pageLate
-	case told.Supersedes(known), before != 0 && before != page.Epoch:
-		return pageOfNewRun
+	case known.Supersedes(reported):
+		return pageOfEarlierRun
+	case reported.Supersedes(known), epoch != 0 && epoch != page.Epoch:
+		return pageOfLaterRun
 	}
 	if page.Generation != 0 {
 		h.generation = page.Generation
 	}
-	return pagePresent
+	return pageOfCurrentRun
 }
 
-// renew begins anew with the run that a page is of, which holds the parts.
-func (h *holder) renew(page *platform.CacheEvents, held []holdings.Change) {
+// reset switches to the run that a page belongs to, which holds the given parts.
+func (h *holder) reset(page *platform.CacheEvents, held []holdings.Change) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.epoch.Swap(page.Epoch) != page.Epoch || page.Generation != 0 {
-		h.generation = page.Generation // of the same epoch it is known from other pages where this one does not tell it
+		h.generation = page.Generation // a page of the same epoch without a generation leaves the known one in place
 	}
 	h.tracker.Replace(held)
 }
 
-// tell says which run the holder says it is.
-func (h *holder) tell(page *platform.CacheEvents) {
-	if h.observe != nil {
-		h.observe(page.Generation)
+// reportGeneration calls onGeneration with the generation of a page.
+func (h *holder) reportGeneration(page *platform.CacheEvents) {
+	if h.onGeneration != nil {
+		h.onGeneration(page.Generation)
 	}
 }
 
-// since returns what has changed after a position at a run, as the tracker does; it reports whether the tracker is of that run.
-func (h *holder) since(position uint64, generation rillreach.Generation) (changes []holdings.Change, next uint64, whole, ok bool) {
+// since returns the changes after a position, like holdings.Tracker.Since, and whether the tracker belongs to the run
+// with the given generation. An unknown generation on either side counts as the same run.
+func (h *holder) since(position uint64, generation rillreach.Generation) (changes []holdings.Change, next uint64, snapshot, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if generation != 0 && h.generation != 0 && generation != h.generation {
 		return nil, position, false, false
 	}
-	changes, next, whole = h.tracker.Since(position)
-	return changes, next, whole, true
+	changes, next, snapshot = h.tracker.Since(position)
+	return changes, next, snapshot, true
 }
--- a/sidecar/loader.go
+++ b/sidecar/loader.go
@@ -13,130 +13,138 @@
 )
 
 const (
-	// lookEvery is how often the runner is asked how it is; on the same instance that costs nothing but processor time.
-	lookEvery = 40 * time.Millisecond
-	// lookSeldom bounds the interval where entries are told seldomer than that: a load of weights is announced 300 ms ahead.
-	lookSeldom = 100 * time.Millisecond
+	// minPollInterval is the shortest interval at which the runner's report is polled. The runner is on the same
+	// instance, so that a poll costs processor time only.
+	minPollInterval = 40 * time.Millisecond
+	// maxPollInterval bounds the interval if bulletins are sent less often, since a weight load is announced only
+	// 300 ms ahead.
+	maxPollInterval = 100 * time.Millisecond
 )
 
-// loader brings the runner to the newest weights.
+// loader polls the runner's report, and has the runner load the newest named weights.
 type loader struct {
-	sidecar   *Sidecar
-	loadOrder loadOrder
-	// schedules are the starts that the runner's loads were given, by model.
+	sidecar  *Sidecar
+	sequence loadSequence
+	// schedules hold the start time of the runner's next weight load, by model.
 	schedules map[rillreach.ModelID]*weights.Schedule
 
-	// given is the last order, for the runner's run that it was meant for.
-	given   platform.Order
-	givenTo rillreach.InstanceRun
-	givenAt time.Time
-	said    weights.Action
-	silent  bool
+	// lastOrder is the last order, lastOrderRun the run that it was sent to, and lastOrderAt when it was sent.
+	lastOrder    platform.Order
+	lastOrderRun rillreach.InstanceRun
+	lastOrderAt  time.Time
+	// lastAction is the last action that was logged.
+	lastAction weights.Action
+	// runnerLost is set while the runner does not answer.
+	runnerLost bool
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (l *loader) Name() string { return "load-weights" }
 
-// Run looks at the runner until the context ends.
+// Run polls the runner until the context is cancelled.
 func (l *loader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause.For(ctx, lookInterval(l.sidecar.publisher.ownZonePace()))
-		l.look(ctx)
+		pause.For(ctx, pollInterval(l.sidecar.publisher.ownZoneInterval()))
+		l.reconcile(ctx)
 	}
 	return nil
 }
 
-// lookInterval is how often the runner is asked where entries of its zone are told of it at a pace: twice for each time, since who hears of
-// it later has no use for more. Among 180 agents that is 11 times a second for 25.
-func lookInterval(pace time.Duration) time.Duration {
-	return min(max(lookEvery, pace/2), lookSeldom)
+// pollInterval returns the interval at which the runner is polled, given the interval of bulletins to its own zone:
+// half of that, since more frequent reports would not reach any entry. With 180 agents, the runner is polled 11 times a
+// second rather than 25.
+func pollInterval(bulletinInterval time.Duration) time.Duration {
+	return min(max(minPollInterval, bulletinInterval/2), maxPollInterval)
 }
 
-// look compares what the runner has with what is wanted, and acts on the difference.
-func (l *loader) look(ctx context.Context) {
+// reconcile fetches the runner's report, orders newer weights if it is time to load them, and publishes the report.
+func (l *loader) reconcile(ctx context.Context) {
 	s := l.sidecar
 	if s.state.Roster.ByAddress(s.Settings.RunnerAddress) == nil {
 		return
 	}
 	load, err := s.Runner.Report(ctx)
-	l.note(ctx, err)
+	l.logAvailability(ctx, err)
 	if err != nil {
-		if ctx.Err() == nil { // it is the runner that did not answer, not this agent that stopped asking
-			s.publisher.silence()
+		if ctx.Err() == nil { // otherwise the agent is shutting down, which says nothing about the runner
+			s.publisher.markUnresponsive()
 		}
 		return
 	}
-	self := s.observe(telemetry.StartInReport, load.Generation)
-	if self == nil {
-		return // it is an earlier run's
+	runner := s.observeRun(telemetry.StartInReport, load.Generation)
+	if runner == nil {
+		return // the report is an earlier run's, or the runner is no longer listed
 	}
-	info := self.Info()
-	next := rollout{loading: load.LoadingWeights}
+	info := runner.Info()
+	weightLoad := weightLoadStatus{loading: load.LoadingWeights}
 	for model, loaded := range load.Weights {
 		named, since := s.state.NamedWeights(model)
 		if named.Version == 0 {
-			continue // nobody has named weights yet
+			continue // no weights of the model are named yet
 		}
-		next = next.and(l.decide(ctx, info, load, named, loaded, time.Since(since)))
+		weightLoad = weightLoad.merge(l.decide(ctx, info, load, named, loaded, time.Since(since)))
 	}
-	s.publisher.set(load, next)
+	s.publisher.setReport(load, weightLoad)
 }
 
-// kick has the list of runners asked for at once, and again a little later, since a new run is listed only then.
-func (l *loader) kick() {
-	for _, after := range []time.Duration{0, relistAfter, 2 * relistAfter} {
-		time.AfterFunc(after, func() {
+// requestRelist has the list of runners fetched at once and again after relistDelay and twice that, since a new run is
+// not listed immediately.
+func (l *loader) requestRelist() {
+	for _, delay := range []time.Duration{0, relistDelay, 2 * relistDelay} {
+		time.AfterFunc(delay, func() {
 			select {
-			case l.sidecar.restarted <- struct{}{}:
+			case l.sidecar.relist <- struct{}{}:
 			default:
 			}
 		})
 	}
 }
 
-// relistAfter is how long a new run takes to be listed: about a heartbeat.
-const relistAfter = 1200 * time.Millisecond
+// relistDelay is how long it takes until a new run is listed: about one heartbeat.
+const relistDelay = 1200 * time.Millisecond
 
-// note logs the loss and the return of the runner.
-func (l *loader) note(ctx context.Context, err error) {
-	if silent := err != nil; silent != l.silent && ctx.Err() == nil {
-		l.silent = silent
-		if silent {
+// logAvailability logs when the runner stops answering and when it answers again. In the latter case it may have
+// restarted, so the list of runners is fetched again.
+func (l *loader) logAvailability(ctx context.Context, err error) {
+	if lost := err != nil; lost != l.runnerLost && ctx.Err() == nil {
+		l.runnerLost = lost
+		if lost {
 			l.sidecar.Log.Error(err, "dependency lost", "dependency", "runner", "address", l.sidecar.Settings.RunnerAddress)
 			return
 		}
 		l.sidecar.Log.Info("dependency regained", "dependency", "runner", "address", l.sidecar.Settings.RunnerAddress)
-		l.kick()
+		l.requestRelist()
 	}
 }
 
-// decide acts on one model's weights, and returns what entries should know of it.
-func (l *loader) decide(ctx context.Context, self deployment.Runner, load deployment.Load, named deployment.DesiredWeights, loaded deployment.WeightVersion, since time.Duration) rollout {
-	rank, total := l.loadOrder.rank(l.sidecar.state.Roster.ByService(self.Service), named, self.ID)
-	situation := weights.Input{
-		Newest: named.Version, Loaded: loaded, KnownFor: since, Bound: l.sidecar.Settings.Bounds.WeightsRollout, Rank: rank, Total: total,
-		Busy: load.LoadingWeights, Leaving: self.Leaving || load.Leaving,
-	}
-	byRank := time.Now().Add(weights.StartDelay(rank, total, situation.Bound) - since)
-	start := l.schedule(named.Model).Update(loaded, named.Version, byRank)
-	situation.EarlierBy = byRank.Sub(start)
-	if l.givenTo == self.Run() && l.given.Weights == named.Version {
-		situation.SinceOrder = time.Since(l.givenAt)
-	}
-	action := weights.Decide(situation)
-	if action != l.said {
-		l.said = action
+// decide decides whether the runner loads the named weights of one model now and sends the order if so. It returns the
+// status of the load for entries.
+func (l *loader) decide(ctx context.Context, runner deployment.Runner, load deployment.Load, named deployment.DesiredWeights, loaded deployment.WeightVersion, knownFor time.Duration) weightLoadStatus {
+	rank, total := l.sequence.rank(l.sidecar.state.Roster.ByService(runner.Service), named, runner.ID)
+	input := weights.Input{
+		Newest: named.Version, Loaded: loaded, KnownFor: knownFor, Bound: l.sidecar.Settings.Bounds.WeightsRollout, Rank: rank, Total: total,
+		Busy: load.LoadingWeights, Leaving: runner.Leaving || load.Leaving,
+	}
+	startByRank := time.Now().Add(weights.StartDelay(rank, total, input.Bound) - knownFor)
+	start := l.scheduleFor(named.Model).Update(loaded, named.Version, startByRank)
+	input.EarlierBy = startByRank.Sub(start)
+	if l.lastOrderRun == runner.Run() && l.lastOrder.Weights == named.Version {
+		input.SinceOrder = time.Since(l.lastOrderAt)
+	}
+	action := weights.Decide(input)
+	if action != l.lastAction {
+		l.lastAction = action
 		l.sidecar.Log.Info("weights", "decision", action, "model", named.Model, "named", named.Version, "loaded", loaded,
-			"rank", rank, "total", total, "since", since.String(), "earlier", situation.EarlierBy.String(), "busy", load.LoadingWeights)
+			"rank", rank, "total", total, "since", knownFor.String(), "earlier", input.EarlierBy.String(), "busy", load.LoadingWeights)
 	}
 	if action == weights.ActionLoad {
-		l.order(ctx, self, load, named)
+		l.sendOrder(ctx, runner, load, named)
 	}
-	return rolloutOf(action, start)
+	return weightLoadStatusOf(action, start)
 }
 
-// schedule is the one of a model.
-func (l *loader) schedule(model rillreach.ModelID) *weights.Schedule {
+// scheduleFor returns the schedule of a model's weight load.
+func (l *loader) scheduleFor(model rillreach.ModelID) *weights.Schedule {
 	if l.schedules == nil {
 		l.schedules = map[rillreach.ModelID]*weights.Schedule{}
 	}
@@ -146,20 +154,21 @@
 	return l.schedules[model]
 }
 
-func (l *loader) order(ctx context.Context, self deployment.Runner, load deployment.Load, named deployment.DesiredWeights) {
-	l.given = platform.Order{
-		Runner: self.ID, Model: named.Model, Weights: named.Version,
+// sendOrder orders the runner to load the named weights.
+func (l *loader) sendOrder(ctx context.Context, runner deployment.Runner, load deployment.Load, named deployment.DesiredWeights) {
+	l.lastOrder = platform.Order{
+		Runner: runner.ID, Model: named.Model, Weights: named.Version,
 		Issuer: l.sidecar.Settings.Name, FencingToken: named.FencingToken(), ExpectedOrdersTaken: load.OrdersTaken,
 	}
-	l.givenTo, l.givenAt = self.Run(), time.Now()
-	answer, err := l.sidecar.Runner.Order(ctx, l.given)
+	l.lastOrderRun, l.lastOrderAt = runner.Run(), time.Now()
+	answer, err := l.sidecar.Runner.Order(ctx, l.lastOrder)
 	if err != nil {
-		l.sidecar.Log.Error(err, "order without answer", "decision", "wait", "runner", self.ID, "weights", named.Version, "after", load.OrdersTaken)
+		l.sidecar.Log.Error(err, "no response to order", "decision", "wait", "runner", runner.ID, "weights", named.Version, "after", load.OrdersTaken)
 		return
 	}
-	l.sidecar.Log.Info("order given", "decision", answer.Status, "runner", self.ID, "generation", answer.Generation, "model", named.Model, "weights", named.Version,
+	l.sidecar.Log.Info("order sent", "decision", answer.Status, "runner", runner.ID, "generation", answer.Generation, "model", named.Model, "weights", named.Version,
 		"fence", named.FencingToken(), "after", load.OrdersTaken)
-	if answer.Status != platform.OrderRefused { // a refusal may be another runner's at the address
-		l.sidecar.state.ObserveRun(rillreach.InstanceRun{ID: self.ID, Generation: answer.Generation})
+	if answer.Status != platform.OrderRefused { // a refusal may come from another runner that has the address now
+		l.sidecar.state.ObserveRun(rillreach.InstanceRun{ID: runner.ID, Generation: answer.Generation})
 	}
 }
--- a/sidecar/rollout.go
+++ b/sidecar/rollout.go
@@ -6,27 +6,28 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// rollout is what entries should know of the load of weights that a runner has before it.
-type rollout struct {
-	// loading says that the runner loads or is about to, and takes nothing.
+// weightLoadStatus is what entries are told about the next weight load of a runner.
+type weightLoadStatus struct {
+	// loading is set if the runner is loading weights or about to, and must get no new requests.
 	loading bool
-	// start is when the load is scheduled, the zero time where none is.
-	start time.Time
+	// scheduledAt is when the load is scheduled to start, or zero if none is scheduled.
+	scheduledAt time.Time
 }
 
-// rolloutOf is what an action for one model means to entries, where its load has the start.
-func rolloutOf(action weights.Action, start time.Time) rollout {
+// weightLoadStatusOf returns the status that follows from the action for one model, whose load is scheduled for the
+// given time.
+func weightLoadStatusOf(action weights.Action, scheduledAt time.Time) weightLoadStatus {
 	if action == weights.ActionNone {
-		return rollout{}
+		return weightLoadStatus{}
 	}
-	return rollout{loading: action != weights.ActionWait, start: start}
+	return weightLoadStatus{loading: action != weights.ActionWait, scheduledAt: scheduledAt}
 }
 
-// and joins the rollouts of two models at one runner: the earlier start counts.
-func (r rollout) and(other rollout) rollout {
-	r.loading = r.loading || other.loading
-	if r.start.IsZero() || !other.start.IsZero() && other.start.Before(r.start) {
-		r.start = other.start
+// merge combines the statuses of two models at one runner: the load that starts earlier counts.
+func (s weightLoadStatus) merge(other weightLoadStatus) weightLoadStatus {
+	s.loading = s.loading || other.loading
+	if s.scheduledAt.IsZero() || !other.scheduledAt.IsZero() && other.scheduledAt.Before(s.scheduledAt) {
+		s.scheduledAt = other.scheduledAt
 	}
-	return r
+	return s
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -21,70 +21,71 @@
 )
 
 const (
-	// configWait, runnersWait and weightsWait are how long one watch of the store waits; one that hangs is noticed after
-	// that time. Of the configuration an agent needs the stores alone, and new weights have to be loaded within some ten
-	// seconds.
-	configWait  = 25 * time.Second
-	runnersWait = 6 * time.Second
-	weightsWait = 5 * time.Second
-	// gatherRunners is a pause between watches of the runners, of which an agent needs ranks, and its own runner's name: it
-	// does not wait for that once its runner has been started anew.
-	gatherRunners = 5 * time.Second
+	// The watch timeouts are how long one watch of the object store waits for a change, and so how long a watch that
+	// hangs goes unnoticed. The one for the configuration is long, since an agent needs little of that: the cache
+	// stores, the limits of cold runners and the version number. The one for weights is short, since new weights must
+	// be loaded within about ten seconds.
+	configWatchTimeout  = 25 * time.Second
+	runnersWatchTimeout = 6 * time.Second
+	weightsWatchTimeout = 5 * time.Second
+	// runnersCoalesceDelay is the pause between watches of the list of runners. An agent needs the list mainly to
+	// rank runners and to look up its own runner's identifier; a restart of its own runner ends the pause early.
+	runnersCoalesceDelay = 5 * time.Second
 )
 
-// Sidecar is one agent; exported fields are set before Run.
+// Sidecar is one agent. Exported fields must be set before Run.
 type Sidecar struct {
-	// Settings are the platform's.
+	// Settings are the process settings from the platform.
 	Settings *deployment.Settings
-	// Runners and Weights are what the platform's store holds.
+	// Runners and Weights are the sources of the runners' records and of the named weights in the object store.
 	Runners rillreach.Source[*deployment.Runner]
 	Weights rillreach.Source[deployment.DesiredWeights]
-	// Configs is what the platform's store holds of the configuration.
+	// Configs is the source of the configuration in the object store.
 	Configs rillreach.Source[*deployment.Config]
-	// Runner is the runner beside the agent.
+	// Runner is the client for the agent's own runner.
 	Runner *platform.RunnerClient
-	// Listener takes the connections of entries.
+	// Listener accepts the connections of entries.
 	Listener net.Listener
-	// Clock counts the time for which the machine was suspended; nil means the system's.
+	// Clock must also advance while the machine is suspended; nil means the system clock.
 	Clock rillreach.Clock
-	// Log takes decisions; Metrics count them.
+	// Log receives the agent's decisions and failures; Metrics holds the instruments of the process.
 	Log     logr.Logger
 	Metrics *telemetry.Metrics
 
-	state     localstate.State
-	publisher *publisher
-	own       *holder
-	stores    *collector
-	pool      *peer.Pool
-	starts    startLog
-	// crashes are what entries have reported; the agent tells those that follow it.
+	state              localstate.State
+	publisher          *publisher
+	runnerHolder       *holder
+	collector          *collector
+	pool               *peer.Pool
+	missingGenerations missingGenerationTracker
+	// crashes are those that entries have reported; the agent forwards them to all followers.
 	crashes poison.Tracker
-	// quotas are the limits of runners that the agent shares out.
+	// quotas are the rate limits of runners that the agent divides among its followers.
 	quotas quotas
-	// restarted is told when the runner beside the agent may be another run.
-	restarted chan struct{}
+	// relist receives a value when the agent's runner may have restarted, to have the list of runners fetched at once.
+	relist chan struct{}
 }
 
-// Run works until the context ends.
+// Run runs the agent until the context is cancelled.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.state.Log, s.state.Metrics = s.Log, s.Metrics
 	s.state.SuspendedTime = node.Suspended
-	s.restarted = make(chan struct{}, 1)
+	s.relist = make(chan struct{}, 1)
 	if s.Clock == nil {
 		s.Clock = node.SystemClock()
 	}
 	s.publisher = &publisher{sidecar: s}
 	s.publisher.permits.Start(time.Now())
 	s.state.RelayPace = s.publisher.relayPace
-	s.own = &holder{
-		place: s.Settings.RunnerAddress, client: s.Runner, log: s.Log,
-		observe: func(generation rillreach.Generation) { s.observe(telemetry.StartInEvents, generation) },
+	s.runnerHolder = &holder{
+		address: s.Settings.RunnerAddress, client: s.Runner, log: s.Log,
+		onGeneration: func(generation rillreach.Generation) { s.observeRun(telemetry.StartInEvents, generation) },
 	}
-	s.stores = &collector{sidecar: s}
+	s.collector = &collector{sidecar: s}
 	mux := &peer.Mux{Log: s.Log}
 	mux.Handle(peer.MethodFollow, s.publisher.serve)
-	peer.Answer(mux, peer.MethodCrashes, s.takeCrashes)
-	peer.Answer(mux, peer.MethodLimits, s.takeLimits)
+	peer.Answer(mux, peer.MethodCrashes, s.handleCrashReport)
+	peer.Answer(mux, peer.MethodLimits, s.handleLimitReport)
 	self, err := fleet.Self(rillreach.RoleAgent, s.Settings)
 	if err != nil {
 		return err
@@ -98,37 +99,37 @@
 	defer end()
 	s.pool.Start(ctx)
 	return controller.Run(ctx, s.Log,
-		s.state.ConfigFollower(s.Configs, configWait),
-		s.state.RunnersFollower(s.Runners, runnersWait, gatherRunners, s.restarted),
-		s.state.WeightsFollower(s.Weights, weightsWait),
+		s.state.ConfigFollower(s.Configs, configWatchTimeout),
+		s.state.RunnersFollower(s.Runners, runnersWatchTimeout, runnersCoalesceDelay, s.relist),
+		s.state.WeightsFollower(s.Weights, weightsWatchTimeout),
 		s.state.Expirer(),
 		&loader{sidecar: s},
-		s.stores,
+		s.collector,
 		s.pool,
-		&ownHolder{s.own},
+		&holderController{s.runnerHolder},
 		&peerServer{s},
 	)
 }
 
-// ownHolder follows what the runner beside the agent holds.
-type ownHolder struct{ holder *holder }
+// holderController keeps track of the KV cache that the agent's own runner holds.
+type holderController struct{ holder *holder }
 
-// Name is the controller's name.
-func (o *ownHolder) Name() string { return "follow-runner" }
+// Name returns the controller's name.
+func (c *holderController) Name() string { return "follow-runner" }
 
-// Run follows until the context ends.
-func (o *ownHolder) Run(ctx context.Context) error {
-	o.holder.run(ctx)
+// Run follows the holder until the context is cancelled.
+func (c *holderController) Run(ctx context.Context) error {
+	c.holder.run(ctx)
 	return nil
 }
 
-// peerServer takes the connections of entries.
+// peerServer accepts the connections of entries.
 type peerServer struct{ sidecar *Sidecar }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (p *peerServer) Name() string { return "peers" }
 
-// Run accepts connections until the context ends.
+// Run accepts connections until the context is cancelled.
 func (p *peerServer) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.Handle(peer.Path, p.sidecar.pool)
