--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -73,7 +73,7 @@
 	return page, errors.Wrapf(c.do(req, &page), "watch %s after %d", kind, after)
 }
 
-// Put writes an object. It returns ErrUnsure if the response is lost.
+// Put writes an object. It returns ErrWriteUncertain if the response is lost.
 func (c *Client) Put(ctx context.Context, kind rillreach.ObjectKind, name string, version uint64, value []byte) (rillreach.Object, error) {
 	if len(value) > MaxValueBytes {
 		return rillreach.Object{}, errors.Newf("put %s %s: value has %d bytes, the maximum is %d", kind, name, len(value), MaxValueBytes)
@@ -83,7 +83,7 @@
 	return object, errors.Wrapf(err, "put %s %s", kind, name)
 }
 
-// Delete deletes an object. It returns ErrUnsure if the response is lost.
+// Delete deletes an object. It returns ErrWriteUncertain if the response is lost.
 func (c *Client) Delete(ctx context.Context, kind rillreach.ObjectKind, name string, version uint64) error {
 	var object rillreach.Object
 	err := c.write(ctx, http.MethodDelete, kind, name, version, nil, &object)
@@ -114,7 +114,7 @@
 	return `"` + strconv.FormatUint(version, 10) + `"`
 }
 
-// markUnsure marks the error of a write with ErrUnsure, unless it means that nothing was written.
+// markUnsure marks the error of a write with ErrWriteUncertain, unless it means that nothing was written.
 func markUnsure(err error) error {
 	if err == nil || errors.Is(err, rillreach.ErrConflict) || errors.Is(err, rillreach.ErrNotFound) || errors.Is(err, errRefused) {
 		return err
