--- a/agent/agent.go
+++ b/agent/agent.go
@@ -56,8 +56,8 @@
 		return errors.New("run agent: no backend server is set")
 	}
 	a.setDefaults()
-	a.Node.RowChanged = a.rowChanged
-	a.Node.Start()
+	a.Node.OnRowChange = a.rowChanged
+	a.Node.Init()
 	a.makeKeeper()
 	a.Node.Mux.Handle(peer.MethodServe, a.serve)
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
@@ -98,12 +98,12 @@
 	if events, ok := a.Engine.(kept.EventSource); ok {
 		a.keeper.Events = events
 	}
-	a.keeper.Start()
+	a.keeper.Init()
 }
 
 func (a *Agent) rowChanged(before, after rillreach.Row) {
 	if a.keeper != nil && before.Account != "" {
-		a.keeper.Shifted(before, after)
+		a.keeper.CopyAhead(before, after)
 	}
 }
 
@@ -124,16 +124,16 @@
 func (a *Agent) leave(ctx context.Context) {
 	a.Node.Log.Info("leaving", "instance", a.Node.Self.ID)
 	a.slots.close()
-	a.Node.Leave(ctx)
-	end := time.Now().Add(a.Grace - node.FinalAnswerTime(a.Grace))
+	a.Node.AnnounceLeaving(ctx)
+	end := time.Now().Add(a.Grace - node.FinalResponseWindow(a.Grace))
 	a.awaitRelease(end)
 	if !a.running.Wait(time.Until(end)) {
 		a.Node.Log.Info("grace is over, requests are given up", "decision", "give-up", "requests", a.running.Count())
 		a.slots.giveUp()
-		a.running.GiveUp(errEnding)
+		a.running.CancelAll(errEnding)
 	}
-	a.Node.Settle(ctx, a.Grace)
-	a.Node.Removed(ctx)
+	a.Node.AwaitDelivery(ctx, a.Grace)
+	a.Node.Deregister(ctx)
 }
 
 // awaitRelease stays, within the grace, until no key minted from now on is this agent's, and its outcomes could be
--- a/agent/once.go
+++ b/agent/once.go
@@ -112,7 +112,7 @@
 
 // runOnce runs a request to its end, whether or not its caller still waits, unless the agent ends before.
 func (a *Agent) runOnce(ctx context.Context, d fleet.Dispatch) once.Outcome {
-	ctx, unbind := a.running.Bind(context.WithoutCancel(ctx))
+	ctx, unbind := a.running.DeriveContext(context.WithoutCancel(ctx))
 	defer unbind()
 	ctx, cancel := context.WithTimeout(ctx, onceTimeout)
 	defer cancel()
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -35,7 +35,7 @@
 	a.Node.Spread.CatchUp(call.From, d.Mark)
 	a.running.Add()
 	defer a.running.Done()
-	ctx, unbind := a.running.Bind(ctx)
+	ctx, unbind := a.running.DeriveContext(ctx)
 	defer unbind()
 	if d.Once {
 		return a.serveOnce(ctx, call, d)
@@ -100,7 +100,7 @@
 		return err
 	}
 	if a.keeper != nil && answer.Status == http.StatusOK {
-		a.keeper.Answered(d)
+		a.keeper.RecordAnswer(d)
 	}
 	return nil
 }
@@ -114,13 +114,13 @@
 	}
 	go func() {
 		defer close(done)
-		a.keeper.Prepare(ctx, d, wait, float64(a.load.prefill.Load()))
+		a.keeper.ImportState(ctx, d, wait, float64(a.load.prefill.Load()))
 	}()
 	return done
 }
 
 func (a *Agent) acknowledge(ctx context.Context, call *peer.Call) error {
-	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.hint(), Mark: a.Node.Copy.Watermark(rillreach.KindRow).Version})
+	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.hint(), Mark: a.Node.Replica.Watermark(rillreach.KindRow).Version})
 	if err != nil {
 		return err
 	}
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	defaultLead   = node.DefaultLead
+	defaultLead   = node.DefaultLeadTime
 	defaultGrace  = node.DefaultGrace
 	defaultDigest = spread.DefaultDigestEvery
 	defaultWatch  = spread.DefaultWatchWait
@@ -73,16 +73,16 @@
 	log := newLog(c).WithValues("instance", self.ID)
 	log.Info("listening", "for", "peers", "address", self.Address)
 	return &node.Node{
-		Self:        self,
-		Store:       &objectstore.Client{Base: s.platform},
-		TLS:         certificates,
-		Metrics:     metrics,
-		Listener:    listener,
-		Clock:       node.SystemClock(),
-		Log:         log,
-		Lead:        c.Duration("owner-lead"),
-		DigestEvery: c.Duration("digest-every"),
-		WatchWait:   c.Duration("watch-wait"),
+		Self:           self,
+		Store:          &objectstore.Client{Base: s.platform},
+		TLS:            certificates,
+		Metrics:        metrics,
+		Listener:       listener,
+		Clock:          node.SystemClock(),
+		Log:            log,
+		LeadTime:       c.Duration("owner-lead"),
+		DigestInterval: c.Duration("digest-every"),
+		WatchTimeout:   c.Duration("watch-wait"),
 	}, nil
 }
 
--- a/cmd/ops.go
+++ b/cmd/ops.go
@@ -24,7 +24,7 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { takeHangUps(life, n.Log) })
 	wg.Go(func() {
-		if err := node.ServeHTTP(life, listener, n.Operators()); err != nil {
+		if err := node.ServeHTTP(life, listener, n.OperatorHandler()); err != nil {
 			n.Log.Error(err, "operators' address ended")
 		}
 	})
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -246,7 +246,7 @@
 	}
 	n := &node.Node{
 		Self: self, Store: f.store, Listener: listener, Clock: node.SystemClock(), Log: f.Log.WithValues("instance", name),
-		DigestEvery: 200 * time.Millisecond, WatchWait: time.Second,
+		DigestInterval: 200 * time.Millisecond, WatchTimeout: time.Second,
 	}
 	if f.TLS != nil {
 		if n.TLS, err = f.TLS(role); err != nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -63,7 +63,7 @@
 // Run serves until the context ends, then leaves in order: it says so, takes nothing new and finishes what runs.
 func (e *Entry) Run(ctx context.Context) error {
 	e.setDefaults()
-	e.Node.Start()
+	e.Node.Init()
 	e.makeChains()
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
@@ -117,14 +117,14 @@
 // is new on them and has them closed; what cannot be answered in time gets its final answer instead.
 func (e *Entry) leave(ctx context.Context) {
 	e.Node.Log.Info("leaving", "instance", e.Node.Self.ID)
-	end := time.Now().Add(e.Grace - node.FinalAnswerTime(e.Grace))
-	e.Node.Leave(ctx)
+	end := time.Now().Add(e.Grace - node.FinalResponseWindow(e.Grace))
+	e.Node.AnnounceLeaving(ctx)
 	pause.For(ctx, min(node.ReadinessLag, time.Until(end)))
 	if !e.running.Wait(time.Until(end)) {
 		e.Node.Log.Info("grace is over, requests are given up", "decision", "give-up", "requests", e.running.Count())
-		e.running.GiveUp(errEnding)
+		e.running.CancelAll(errEnding)
 	}
-	e.Node.Removed(ctx)
+	e.Node.Deregister(ctx)
 	e.close(ctx)
 }
 
@@ -133,8 +133,8 @@
 	if err := e.listener.StopAccepting(); err != nil {
 		e.Node.Log.Error(err, "listener for callers is not closed")
 	}
-	pause.For(ctx, node.LastRequestTime)
-	if !e.running.Wait(node.FinalAnswerTime(e.Grace)) {
+	pause.For(ctx, node.LateRequestWindow)
+	if !e.running.Wait(node.FinalResponseWindow(e.Grace)) {
 		e.Node.Log.Info("connections of callers are cut", "requests", e.running.Count())
 	}
 	if err := e.server.Close(); err != nil {
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -69,7 +69,7 @@
 func (e *Entry) run(w http.ResponseWriter, r *http.Request, chain *filter.Chain, set func(*rillreach.Request)) {
 	e.running.Add()
 	defer e.running.Done()
-	ctx, unbind := e.running.Bind(r.Context())
+	ctx, unbind := e.running.DeriveContext(r.Context())
 	defer unbind()
 	x := &rillreach.Exchange{Writer: e.closing(w), ArrivedAt: e.Node.Clock.Now()}
 	x.Request = requestOf(r)
--- a/filter/dispatch/attempt.go
+++ b/filter/dispatch/attempt.go
@@ -37,7 +37,7 @@
 		Key:          req.IdempotencyKey,
 		Ticket:       req.Ticket,
 		Sides:        allowedSides(req.Row.Weights),
-		Mark:         f.Node.Copy.Watermark(rillreach.KindRow).Version,
+		Mark:         f.Node.Replica.Watermark(rillreach.KindRow).Version,
 	}
 	if req.Service == "" {
 		d.Model, d.Version = req.Row.Model, req.Row.Version
--- a/filter/dispatch/silent_test.go
+++ b/filter/dispatch/silent_test.go
@@ -28,7 +28,7 @@
 		Self: rillreach.Instance{ID: "entry", Role: rillreach.RoleEntry, Incarnation: "1", Address: netip.MustParseAddrPort("127.0.0.1:1")},
 		Log:  logr.Discard(), Clock: rillreach.ClockFunc(time.Now),
 	}
-	entry.Start()
+	entry.Init()
 	entry.Pool.Start(t.Context())
 	for i := range 2 {
 		self := rillreach.Instance{
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -123,7 +123,7 @@
 func (g *Gateway) Run(ctx context.Context) error {
 	g.began = time.Now()
 	g.state.Log, g.state.Metrics, g.state.RunnerRestarted = g.Log, g.Metrics, g.runnerRestarted
-	g.state.SuspendedTime = node.Suspended
+	g.state.SuspendedTime = node.SuspendedTime
 	g.state.Relays, g.state.NoticeTTL = &g.relays, g.trustRelays()
 	g.restarted = make(chan struct{}, 1)
 	g.suspects.TrialOffset = time.Duration(hash.String(g.Settings.Name) % uint64(trialSpread))
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -37,7 +37,7 @@
 // planStop plans a stop: the last answers are due when the grace is over but for the margins.
 func (g *Gateway) planStop(signalled time.Time) drain.Shutdown {
 	grace := g.Settings.Bounds.GracePeriod
-	left := max(grace-min(EndMargin, grace/endShare)-node.LastRequestTime-answerMargin, 0)
+	left := max(grace-min(EndMargin, grace/endShare)-node.LateRequestWindow-answerMargin, 0)
 	return drain.Shutdown{SignalTime: signalled, NoticePeriod: min(noticeTime, left/2), Deadline: signalled.Add(left)}
 }
 
@@ -56,7 +56,7 @@
 	if err := g.listener.StopAccepting(); err != nil {
 		g.Log.Error(err, "listener for callers is not closed")
 	}
-	time.Sleep(node.LastRequestTime - settledAfter*settleEvery) // the door is shut by now, so that the end must not wait any longer
+	time.Sleep(node.LateRequestWindow - settledAfter*settleEvery) // the door is shut by now, so that the end must not wait any longer
 	g.settleConnections()
 	if g.running.Count() > 0 {
 		g.cutRest()
@@ -75,7 +75,7 @@
 // last millisecond would be read and dropped with the process (one of some 2,800 in a stop beside load, in 1 of 15 stops).
 func (g *Gateway) settleConnections() {
 	quiet := 0
-	for end := time.Now().Add(node.LastRequestTime); quiet < settledAfter && time.Now().Before(end); time.Sleep(settleEvery) {
+	for end := time.Now().Add(node.LateRequestWindow); quiet < settledAfter && time.Now().Before(end); time.Sleep(settleEvery) {
 		quiet++
 		if g.idles.closeResting() > 0 || g.running.Count() > 0 {
 			quiet = 0
--- a/kept/ahead.go
+++ b/kept/ahead.go
@@ -8,9 +8,9 @@
 	"github.com/rillreach/rillreach/route"
 )
 
-// Shifted has the state of the conversations that a row's new weights move to the other side copied there, before they
+// CopyAhead has the state of the conversations that a row's new weights move to the other side copied there, before they
 // return: the one served last first, since it is the likeliest to.
-func (k *Keeper) Shifted(before, after rillreach.Row) {
+func (k *Keeper) CopyAhead(before, after rillreach.Row) {
 	k.mu.Lock()
 	all := k.recent.all()
 	k.mu.Unlock()
--- a/kept/import.go
+++ b/kept/import.go
@@ -24,9 +24,9 @@
 	bytes  int64
 }
 
-// Prepare has the engine hold as much of a prompt as is worth reading from stores, before the prompt runs. It never
+// ImportState has the engine hold as much of a prompt as is worth reading from stores, before the prompt runs. It never
 // fails: what cannot be read is computed again.
-func (k *Keeper) Prepare(ctx context.Context, d fleet.Dispatch, wait time.Duration, prefill float64) {
+func (k *Keeper) ImportState(ctx context.Context, d fleet.Dispatch, wait time.Duration, prefill float64) {
 	if len(d.Blocks) == 0 || d.Tokens < minTokens {
 		return
 	}
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -66,8 +66,8 @@
 	stateBytes float64
 }
 
-// Start readies the keeper; it must be called before any other method.
-func (k *Keeper) Start() {
+// Init readies the keeper; it must be called before any other method.
+func (k *Keeper) Init() {
 	k.jobs = make(chan func(context.Context), jobQueue)
 	k.links = map[rillreach.InstanceID]*keep.Link{}
 	k.recent = newRecent()
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// Answered notes that the engine has answered a prompt, and has its state written to a store in the background.
-func (k *Keeper) Answered(d fleet.Dispatch) {
+// RecordAnswer notes that the engine has answered a prompt, and has its state written to a store in the background.
+func (k *Keeper) RecordAnswer(d fleet.Dispatch) {
 	if len(d.Blocks) == 0 || d.Tokens < minTokens {
 		return
 	}
--- a/kept/stats.go
+++ b/kept/stats.go
@@ -11,8 +11,8 @@
 	// ReadBytes and WrittenBytes are what went over links.
 	ReadBytes    atomic.Int64
 	WrittenBytes atomic.Int64
-	// NotWhole counts blocks that were not as they were sealed.
-	NotWhole atomic.Int64
+	// Corrupted counts blocks that were not as they were sealed.
+	Corrupted atomic.Int64
 	// Failed counts reads and writes that failed, Dropped work that there was no room for.
 	Failed  atomic.Int64
 	Dropped atomic.Int64
--- a/kept/stores.go
+++ b/kept/stores.go
@@ -83,7 +83,7 @@
 	k.Stats.ReadBytes.Add(int64(len(data)))
 	block, err := k.Sealer.Open(data, key)
 	if err != nil {
-		k.Stats.NotWhole.Add(1)
+		k.Stats.Corrupted.Add(1)
 	}
 	return block, err
 }
--- a/node/clock.go
+++ b/node/clock.go
@@ -23,9 +23,9 @@
 	return boot
 }
 
-// Suspended is for how long the machine has been suspended since it started, which the clock of package time does not count; zero where
+// SuspendedTime is for how long the machine has been suspended since it started, which the clock of package time does not count; zero where
 // the kernel does not tell.
-func Suspended() time.Duration {
+func SuspendedTime() time.Duration {
 	steady, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return 0
--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSuspended(t *testing.T) {
-	first := Suspended()
+	first := SuspendedTime()
 	assert.GreaterOrEqual(t, first, time.Duration(0))
-	assert.Less(t, (Suspended() - first).Abs(), 100*time.Millisecond, "a machine that runs isn't suspended")
+	assert.Less(t, (SuspendedTime() - first).Abs(), 100*time.Millisecond, "a machine that runs isn't suspended")
 }
--- a/node/inflight.go
+++ b/node/inflight.go
@@ -13,8 +13,8 @@
 	finalAnswerShare = 4
 )
 
-// FinalAnswerTime is the part at the end of a planned stop's grace that is kept for the final answers of what cannot end within it.
-func FinalAnswerTime(grace time.Duration) time.Duration {
+// FinalResponseWindow is the part at the end of a planned stop's grace that is kept for the final answers of what cannot end within it.
+func FinalResponseWindow(grace time.Duration) time.Duration {
 	return min(finalAnswerMost, grace/finalAnswerShare)
 }
 
@@ -28,9 +28,9 @@
 	giveUp context.CancelCauseFunc
 }
 
-// Bind returns a context for a request, which ends with the given one or when what runs is given up; the function has to be
+// DeriveContext returns a context for a request, which ends with the given one or when what runs is given up; the function has to be
 // called at the request's end.
-func (f *Inflight) Bind(ctx context.Context) (context.Context, func()) {
+func (f *Inflight) DeriveContext(ctx context.Context) (context.Context, func()) {
 	life, _ := f.lifetime()
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(life, func() { cancel(context.Cause(life)) })
@@ -40,8 +40,8 @@
 	}
 }
 
-// GiveUp ends the contexts of all requests that run, and of those that come, with a cause.
-func (f *Inflight) GiveUp(cause error) {
+// CancelAll ends the contexts of all requests that run, and of those that come, with a cause.
+func (f *Inflight) CancelAll(cause error) {
 	_, giveUp := f.lifetime()
 	giveUp(cause)
 }
--- a/node/listener.go
+++ b/node/listener.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// LastRequestTime is how long after the listener is closed the connections that came in last may bring their request: several ways over
+// LateRequestWindow is how long after the listener is closed the connections that came in last may bring their request: several ways over
 // a loopback or between zones, and much less than a process takes to end and be started again.
-const LastRequestTime = 20 * time.Millisecond
+const LateRequestWindow = 20 * time.Millisecond
 
 // ReadinessLag is how long after its signal a stopping process still counts with new connections: a balancer asks for readiness every second
 // and takes a process out after two misses.
--- a/node/node.go
+++ b/node/node.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// DefaultLead is how long after its recording an epoch of key owners comes into force.
-	DefaultLead = 30 * time.Second
+	// DefaultLeadTime is how long after its recording an epoch of key owners comes into force.
+	DefaultLeadTime = 30 * time.Second
 	// DefaultGrace is how long a planned stop waits for running requests.
 	DefaultGrace = 5 * time.Minute
 
@@ -53,19 +53,19 @@
 	Clock rillreach.Clock
 	// Log takes decisions and what goes wrong.
 	Log logr.Logger
-	// Lead is how long after its recording an epoch of key owners comes into force; the same in the whole fleet.
-	Lead time.Duration
-	// DigestEvery and WatchWait are the rhythm of the spreading of objects; zero means its defaults.
-	DigestEvery time.Duration
-	WatchWait   time.Duration
+	// LeadTime is how long after its recording an epoch of key owners comes into force; the same in the whole fleet.
+	LeadTime time.Duration
+	// DigestInterval and WatchTimeout are the rhythm of the spreading of objects; zero means its defaults.
+	DigestInterval time.Duration
+	WatchTimeout   time.Duration
 
 	// Metrics are the process's instruments; nil means none.
 	Metrics *telemetry.Metrics
-	// RowChanged is told of each row that is applied; it may be nil.
-	RowChanged func(before, after rillreach.Row)
+	// OnRowChange is told of each row that is applied; it may be nil.
+	OnRowChange func(before, after rillreach.Row)
 
-	// Copy, Table, Members and Owners are what the process knows; Start makes them.
-	Copy    *replicate.Replica
+	// Replica, Table, Members and Owners are what the process knows; Start makes them.
+	Replica *replicate.Replica
 	Table   *table.Table
 	Members *membership.Members
 	Owners  *once.OwnerView
@@ -79,20 +79,20 @@
 	leaving atomic.Bool
 }
 
-// Start makes the node's parts; handlers may then be set on Mux before Run.
-func (n *Node) Start() {
-	if n.Lead == 0 {
-		n.Lead = DefaultLead
+// Init makes the node's parts; handlers may then be set on Mux before Run.
+func (n *Node) Init() {
+	if n.LeadTime == 0 {
+		n.LeadTime = DefaultLeadTime
 	}
 	n.Table = &table.Table{}
 	n.Members = membership.New()
-	n.Owners = &once.OwnerView{LeadTime: n.Lead}
+	n.Owners = &once.OwnerView{LeadTime: n.LeadTime}
 	n.Mux = &peer.Mux{Log: n.Log}
 	n.Pool = &peer.Pool{Self: n.Self, Mux: n.Mux, TLS: n.TLS, Log: n.Log, Met: n.Members.Upsert}
 	n.followAll()
 	n.Spread = &spread.Controller{
-		Self: n.Self, Store: n.Store, Copy: n.Copy, Members: n.Members, Pool: n.Pool, Clock: n.Clock, Log: n.Log,
-		DigestEvery: n.DigestEvery, WatchWait: n.WatchWait,
+		Self: n.Self, Store: n.Store, Copy: n.Replica, Members: n.Members, Pool: n.Pool, Clock: n.Clock, Log: n.Log,
+		DigestEvery: n.DigestInterval, WatchWait: n.WatchTimeout,
 	}
 	n.Spread.Register(n.Mux)
 	n.Register = &register.Controller{Self: n.Self, Store: n.Store, Log: n.Log, Superseded: n.markLeaving}
@@ -121,7 +121,7 @@
 		read        func() float64
 	}{
 		"rillreach.members":        {"instances that are known", func() float64 { return float64(len(n.Members.All())) }},
-		"rillreach.rows.version":   {"version up to which the copy of the rows goes", func() float64 { return float64(n.Copy.Watermark(rillreach.KindRow).Version) }},
+		"rillreach.rows.version":   {"version up to which the copy of the rows goes", func() float64 { return float64(n.Replica.Watermark(rillreach.KindRow).Version) }},
 		"rillreach.platform.calls": {"calls of the platform for the copies of objects", func() float64 { return float64(n.Spread.Stats.PlatformCalls.Load()) }},
 		"rillreach.pushes":         {"changes handed on to peers", func() float64 { return float64(n.Spread.Stats.Pushes.Load()) }},
 		"rillreach.digests":        {"comparisons of marks with peers", func() float64 { return float64(n.Spread.Stats.Digests.Load()) }},
@@ -137,14 +137,14 @@
 
 // Ready reports whether the node knows the table.
 func (n *Node) Ready() bool {
-	return n.Copy.Watermark(rillreach.KindRow).Version > 0 && !n.Leaving()
+	return n.Replica.Watermark(rillreach.KindRow).Version > 0 && !n.Leaving()
 }
 
 // Leaving reports whether the node takes no new work.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Leave says to the platform and to every connected peer that this process leaves.
-func (n *Node) Leave(ctx context.Context) {
+// AnnounceLeaving says to the platform and to every connected peer that this process leaves.
+func (n *Node) AnnounceLeaving(ctx context.Context) {
 	n.markLeaving()
 	var wg conc.WaitGroup
 	wg.Go(func() {
@@ -160,16 +160,16 @@
 	wg.Wait()
 }
 
-// Settle waits, at the end of a planned stop, until peers have read the answers that they were given. One that is not well
+// AwaitDelivery waits, at the end of a planned stop, until peers have read the answers that they were given. One that is not well
 // must not hold the process up for longer than the last words of the grace take.
-func (n *Node) Settle(ctx context.Context, grace time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, FinalAnswerTime(grace))
+func (n *Node) AwaitDelivery(ctx context.Context, grace time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, FinalResponseWindow(grace))
 	defer cancel()
 	n.Pool.Settle(ctx)
 }
 
-// Removed takes the process off the platform's list, at the end of a planned stop.
-func (n *Node) Removed(ctx context.Context) {
+// Deregister takes the process off the platform's list, at the end of a planned stop.
+func (n *Node) Deregister(ctx context.Context) {
 	if err := n.Register.Remove(ctx); err != nil {
 		n.Log.Info("record not removed", "cause", err.Error())
 	}
@@ -189,10 +189,10 @@
 }
 
 func (n *Node) followAll() {
-	n.Copy = replicate.NewReplica()
-	n.Copy.AddKind(rillreach.KindRow, n.applyRow, nil)
-	n.Copy.AddKind(rillreach.KindInstance, n.applyInstance, nil)
-	n.Copy.AddKind(rillreach.KindOwners, n.applyOwners, func(m replicate.Watermark) { n.Owners.Confirm(m.Time) })
+	n.Replica = replicate.NewReplica()
+	n.Replica.AddKind(rillreach.KindRow, n.applyRow, nil)
+	n.Replica.AddKind(rillreach.KindInstance, n.applyInstance, nil)
+	n.Replica.AddKind(rillreach.KindOwners, n.applyOwners, func(m replicate.Watermark) { n.Owners.Confirm(m.Time) })
 }
 
 func (n *Node) applyRow(o rillreach.Object) {
@@ -201,8 +201,8 @@
 		n.Log.Error(applied.Err, "row not applied, the last good one stays in force", "row", o.Name, "version", o.Version)
 		return
 	}
-	if n.RowChanged != nil && applied.Verdict == table.VerdictApplied {
-		n.RowChanged(applied.Before, applied.After)
+	if n.OnRowChange != nil && applied.Verdict == table.VerdictApplied {
+		n.OnRowChange(applied.Before, applied.After)
 	}
 	n.Log.V(1).Info("row", "decision", applied.Verdict, "row", o.Name, "version", o.Version)
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -13,15 +13,15 @@
 
 // Status is what a node says of itself to operators.
 type Status struct {
-	Instance rillreach.Instance    `json:"instance"`
-	Ready    bool                  `json:"ready"`
-	Leaving  bool                  `json:"leaving"`
-	Marks    []replicate.Watermark `json:"marks"`
-	Members  int                   `json:"members"`
+	Instance   rillreach.Instance    `json:"instance"`
+	Ready      bool                  `json:"ready"`
+	Leaving    bool                  `json:"leaving"`
+	Watermarks []replicate.Watermark `json:"marks"`
+	Members    int                   `json:"members"`
 }
 
-// Operators returns what answers on the operators' address.
-func (n *Node) Operators() http.Handler {
+// OperatorHandler returns what answers on the operators' address.
+func (n *Node) OperatorHandler() http.Handler {
 	router := httprouter.New()
 	router.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		_, _ = w.Write([]byte("ok\n"))
@@ -36,7 +36,7 @@
 }
 
 func (n *Node) readyz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if n.Copy == nil || !n.Ready() {
+	if n.Replica == nil || !n.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
@@ -50,7 +50,7 @@
 		http.Error(w, "version is not a number", http.StatusBadRequest)
 		return
 	}
-	if n.Copy == nil {
+	if n.Replica == nil {
 		http.Error(w, "not started", http.StatusServiceUnavailable)
 		return
 	}
@@ -59,16 +59,16 @@
 }
 
 func (n *Node) status(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if n.Copy == nil {
+	if n.Replica == nil {
 		http.Error(w, "not started", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Status{
-		Instance: n.Self,
-		Ready:    n.Ready(),
-		Leaving:  n.Leaving(),
-		Marks:    n.Copy.Watermarks(),
-		Members:  len(n.Members.All()),
+		Instance:   n.Self,
+		Ready:      n.Ready(),
+		Leaving:    n.Leaving(),
+		Watermarks: n.Replica.Watermarks(),
+		Members:    len(n.Members.All()),
 	})
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -68,7 +68,7 @@
 // Run works until the context ends.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.state.Log, s.state.Metrics = s.Log, s.Metrics
-	s.state.SuspendedTime = node.Suspended
+	s.state.SuspendedTime = node.SuspendedTime
 	s.restarted = make(chan struct{}, 1)
 	if s.Clock == nil {
 		s.Clock = node.SystemClock()
