--- a/agent/agent.go
+++ b/agent/agent.go
@@ -18,56 +18,60 @@
 )
 
 const (
-	// DefaultSlots is how many requests run at the backend server at once.
-	DefaultSlots  = 64
-	releasePoll   = 50 * time.Millisecond
-	releaseLinger = time.Second
-	// DefaultMaxWaiting is how many requests wait at the most.
+	// DefaultSlots is the default number of requests that run on the backend server at the same time.
+	DefaultSlots = 64
+	// releasePollInterval is the interval between checks whether the agent still owns new keys.
+	releasePollInterval = 50 * time.Millisecond
+	// releaseDelay is how long a leaving agent continues to report outcomes after it has stopped owning new keys.
+	releaseDelay = time.Second
+	// DefaultMaxWaiting is the default number of requests that may wait.
 	DefaultMaxWaiting = 256
 )
 
-// Agent is one agent; exported fields are set before Run.
+// Agent serves the requests for one backend server. Exported fields must be set before Run.
 type Agent struct {
-	// Node is the common part of the process.
+	// Node provides what processes of all roles have in common.
 	Node *node.Node
-	// Backend takes the requests.
+	// Backend runs the requests.
 	Backend rillreach.Backend
-	// Engine is the same server as a model engine; nil beside a plain service.
+	// Engine is the model engine interface of the same backend server. It is nil if the backend server is a plain
+	// service.
 	Engine rillreach.Engine
-	// Secret is the fleet's.
+	// Secret is shared by the whole fleet.
 	Secret []byte
-	// Slots and MaxWaiting bound the requests that run and wait; zero means the defaults.
+	// Slots and MaxWaiting limit the running and the waiting requests. Zero means the default.
 	Slots      int
 	MaxWaiting int
-	// Grace is how long a planned stop waits for running requests; zero means node.DefaultGrace.
+	// Grace is how long a planned stop waits for running requests to finish. Zero means node.DefaultGrace.
 	Grace time.Duration
 
-	keeper  *kept.Keeper
-	slots   *slots
-	ledger  *once.Ledger
-	signer  once.Signer
-	running node.Inflight
-	load    loadReport
+	keeper    *kept.Keeper
+	scheduler *scheduler
+	ledger    *once.Ledger
+	signer    once.Signer
+	running   node.Inflight
+	load      loadReport
 }
 
-// Run serves until the context ends, then leaves in order: it says so, takes nothing new and finishes what runs.
+// Run serves requests until the context ends. It then announces that the agent is leaving, accepts no new requests and
+// finishes the running ones.
 func (a *Agent) Run(ctx context.Context) error {
 	if a.Backend == nil {
 		return errors.New("run agent: no backend server is set")
 	}
 	a.setDefaults()
-	a.Node.OnRowChange = a.rowChanged
+	a.Node.OnRowChange = a.onRowChange
 	a.Node.Init()
-	a.makeKeeper()
+	a.initKeeper()
 	a.Node.Mux.Handle(peer.MethodServe, a.serve)
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
-		a.leave(life)
-		end()
+		a.shutdown(runCtx)
+		cancel()
 	})
 	defer stop()
-	return a.Node.Run(life, a.controllers()...)
+	return a.Node.Run(runCtx, a.controllers()...)
 }
 
 func (a *Agent) setDefaults() {
@@ -80,13 +84,13 @@
 	if a.Grace == 0 {
 		a.Grace = node.DefaultGrace
 	}
-	a.slots = newSlots(a.Slots, a.MaxWaiting, a.Node.Clock)
+	a.scheduler = newScheduler(a.Slots, a.MaxWaiting, a.Node.Clock)
 	a.ledger = &once.Ledger{}
 	a.signer = once.NewSigner(a.Secret)
 }
 
-// makeKeeper makes what works on kept state, beside an engine.
-func (a *Agent) makeKeeper() {
+// initKeeper creates the keeper of KV cache state, which only model engines need.
+func (a *Agent) initKeeper() {
 	if a.Engine == nil {
 		return
 	}
@@ -101,7 +105,7 @@
 	a.keeper.Init()
 }
 
-func (a *Agent) rowChanged(before, after rillreach.Row) {
+func (a *Agent) onRowChange(before, after rillreach.Row) {
 	if a.keeper != nil && before.Account != "" {
 		a.keeper.CopyAhead(before, after)
 	}
@@ -117,35 +121,37 @@
 	}}
 }
 
-// errEnding is why requests are given up that cannot end within the grace.
-var errEnding = errors.New("agent ends, its grace is over")
+// errGraceExpired is the cause for canceling requests that do not finish within the grace period.
+var errGraceExpired = errors.New("agent ends, its grace is over")
 
-// leave ends the agent's work within the grace. What cannot end by then gets its final answer before the connections close.
-func (a *Agent) leave(ctx context.Context) {
+// shutdown stops the agent within the grace period. Requests that do not finish in time get a final response before
+// their connections close.
+func (a *Agent) shutdown(ctx context.Context) {
 	a.Node.Log.Info("leaving", "instance", a.Node.Self.ID)
-	a.slots.close()
+	a.scheduler.close()
 	a.Node.AnnounceLeaving(ctx)
-	end := time.Now().Add(a.Grace - node.FinalResponseWindow(a.Grace))
-	a.awaitRelease(end)
-	if !a.running.Wait(time.Until(end)) {
-		a.Node.Log.Info("grace is over, requests are given up", "decision", "give-up", "requests", a.running.Count())
-		a.slots.giveUp()
-		a.running.CancelAll(errEnding)
+	deadline := time.Now().Add(a.Grace - node.FinalResponseWindow(a.Grace))
+	a.awaitKeyRelease(deadline)
+	if !a.running.Wait(time.Until(deadline)) {
+		a.Node.Log.Info("grace period has expired, canceling requests", "decision", "give-up", "requests", a.running.Count())
+		a.scheduler.cancelWaiting()
+		a.running.CancelAll(errGraceExpired)
 	}
 	a.Node.AwaitDelivery(ctx, a.Grace)
 	a.Node.Deregister(ctx)
 }
 
-// awaitRelease stays, within the grace, until no key minted from now on is this agent's, and its outcomes could be
-// asked for a little longer. What it owns until then it has other agents run.
-func (a *Agent) awaitRelease(end time.Time) {
+// awaitKeyRelease waits, at most until the deadline, until this agent will own no more new keys, and then releaseDelay
+// longer, so that callers can still ask for outcomes. Until then other agents run the requests whose keys this agent
+// owns.
+func (a *Agent) awaitKeyRelease(deadline time.Time) {
 	if a.Engine != nil {
 		return
 	}
-	for time.Now().Before(end) && !a.Node.Owners.Released(a.Node.Self.Service, a.Node.Self.Incarnation) {
-		time.Sleep(releasePoll)
+	for time.Now().Before(deadline) && !a.Node.Owners.Released(a.Node.Self.Service, a.Node.Self.Incarnation) {
+		time.Sleep(releasePollInterval)
 	}
-	if time.Now().Before(end) {
-		time.Sleep(min(releaseLinger, time.Until(end)))
+	if time.Now().Before(deadline) {
+		time.Sleep(min(releaseDelay, time.Until(deadline)))
 	}
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	patience = 30 * time.Second
-	secret   = "a secret of this test"
-	service  = rillreach.ServiceID("receipts")
-	account  = rillreach.AccountID("oja")
+	testTimeout = 30 * time.Second
+	secret      = "a secret of this test"
+	service     = rillreach.ServiceID("receipts")
+	account     = rillreach.AccountID("oja")
 )
 
-// downStore is a platform that is down.
+// downStore is an object store whose calls all fail.
 type downStore struct{ rillreach.ObjectStore }
 
 var errDown = errors.New("platform is down")
@@ -51,93 +51,93 @@
 	return rillreach.ObjectPage{}, errDown
 }
 
-// heldBackend answers with its body once it is let go; it is an engine, too.
-type heldBackend struct {
+// blockingBackend responds with its body once release is closed. It also implements Engine.
+type blockingBackend struct {
 	rillreach.Engine
 
 	body    []byte
 	started chan struct{}
-	let     chan struct{}
+	release chan struct{}
 }
 
-func newHeld(body []byte) *heldBackend {
-	return &heldBackend{body: body, started: make(chan struct{}, 1000), let: make(chan struct{})}
+func newBlockingBackend(body []byte) *blockingBackend {
+	return &blockingBackend{body: body, started: make(chan struct{}, 1000), release: make(chan struct{})}
 }
 
-// Do waits and answers.
-func (h *heldBackend) Do(ctx context.Context, _ rillreach.BackendRequest) (rillreach.BackendResponse, error) {
-	h.started <- struct{}{}
+// Do blocks until release is closed, and then responds.
+func (b *blockingBackend) Do(ctx context.Context, _ rillreach.BackendRequest) (rillreach.BackendResponse, error) {
+	b.started <- struct{}{}
 	select {
-	case <-h.let:
-		return rillreach.BackendResponse{Status: http.StatusOK, Body: io.NopCloser(bytes.NewReader(h.body))}, nil
+	case <-b.release:
+		return rillreach.BackendResponse{Status: http.StatusOK, Body: io.NopCloser(bytes.NewReader(b.body))}, nil
 	case <-ctx.Done():
 		return rillreach.BackendResponse{}, ctx.Err()
 	}
 }
 
-// Load reports nothing.
-func (h *heldBackend) Load(context.Context) (rillreach.EngineLoad, error) {
+// Load returns an empty load.
+func (b *blockingBackend) Load(context.Context) (rillreach.EngineLoad, error) {
 	return rillreach.EngineLoad{}, nil
 }
 
-// running is an agent that runs, and an entry's connection to it.
-type running struct {
-	t     *testing.T
-	ctx   context.Context
-	agent *Agent
-	conn  *peer.Conn
-	stop  func()
-	ended chan error
+// testAgent is a running agent and an entry's connection to it.
+type testAgent struct {
+	t      *testing.T
+	ctx    context.Context
+	agent  *Agent
+	conn   *peer.Conn
+	stop   func()
+	runErr chan error
 }
 
-func start(t *testing.T, a *Agent) *running {
+func startAgent(t *testing.T, agent *Agent) *testAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := netip.MustParseAddrPort(listener.Addr().String())
-	a.Secret = []byte(secret)
-	a.Node = &node.Node{
+	agent.Secret = []byte(secret)
+	agent.Node = &node.Node{
 		Self: rillreach.Instance{
 			ID: "agent", Role: rillreach.RoleAgent, Incarnation: "1", Address: address, Side: rillreach.SideOld, Service: service,
 		},
 		Store: downStore{}, Listener: listener, Clock: node.SystemClock(), Log: logr.Discard(),
 	}
-	ctx, end := context.WithTimeout(context.Background(), patience)
-	t.Cleanup(end)
-	life, stop := context.WithCancel(ctx)
-	r := &running{t: t, ctx: ctx, agent: a, stop: stop, ended: make(chan error, 1)}
-	go func() { r.ended <- a.Run(life) }()
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	t.Cleanup(cancel)
+	runCtx, stop := context.WithCancel(ctx)
+	a := &testAgent{t: t, ctx: ctx, agent: agent, stop: stop, runErr: make(chan error, 1)}
+	go func() { a.runErr <- agent.Run(runCtx) }()
 	entry := &peer.Pool{
 		Self: rillreach.Instance{ID: "entry", Role: rillreach.RoleEntry, Incarnation: "1", Address: netip.MustParseAddrPort("127.0.0.1:1")},
 		Mux:  &peer.Mux{Log: logr.Discard()}, Log: logr.Discard(),
 	}
 	entry.Start(ctx)
-	r.conn, err = entry.Get(ctx, address)
+	a.conn, err = entry.Get(ctx, address)
 	require.NoError(t, err)
-	return r
+	return a
 }
 
-// send sends one request and waits until the agent has said that it has it.
-func (r *running) send(d fleet.Dispatch) *peer.Stream {
-	r.t.Helper()
+// send opens a request and waits for the agent's acknowledgement.
+func (a *testAgent) send(d fleet.Dispatch) *peer.Stream {
+	a.t.Helper()
 	d.ID, d.Account, d.Service, d.Method, d.Path = rillreach.RequestID(uuid.NewString()), account, service, http.MethodPost, "/issue"
 	body, err := peer.Encode(d)
-	require.NoError(r.t, err)
-	s, err := r.conn.Open(r.ctx, peer.MethodServe, body)
-	require.NoError(r.t, err)
-	r.t.Cleanup(s.Close)
-	part, err := s.Next(r.ctx)
-	require.NoError(r.t, err)
+	require.NoError(a.t, err)
+	s, err := a.conn.Open(a.ctx, peer.MethodServe, body)
+	require.NoError(a.t, err)
+	a.t.Cleanup(s.Close)
+	part, err := s.Next(a.ctx)
+	require.NoError(a.t, err)
 	kind, _, err := fleet.SplitPart(part)
-	require.NoError(r.t, err)
-	require.Equal(r.t, fleet.PartAck, kind)
+	require.NoError(a.t, err)
+	require.Equal(a.t, fleet.PartAck, kind)
 	return s
 }
 
-// read reads an answer to its end, which is io.EOF where it is whole.
-func (r *running) read(s *peer.Stream) (size int, err error) {
+// readAnswer reads a response until an error, which is io.EOF if the response is complete.
+func (a *testAgent) readAnswer(s *peer.Stream) (size int, err error) {
 	for {
-		part, err := s.Next(r.ctx)
+		part, err := s.Next(a.ctx)
 		if err != nil {
 			return size, err
 		}
@@ -145,83 +145,84 @@
 	}
 }
 
-// refusal reads a stream that has to end with a refusal.
-func (r *running) refusal(s *peer.Stream) *rillreach.Refusal {
-	r.t.Helper()
-	_, err := r.read(s)
+// readRefusal reads a stream that must end with a refusal.
+func (a *testAgent) readRefusal(s *peer.Stream) *rillreach.Refusal {
+	a.t.Helper()
+	_, err := a.readAnswer(s)
 	var refusal *rillreach.Refusal
-	require.ErrorAs(r.t, err, &refusal)
+	require.ErrorAs(a.t, err, &refusal)
 	return refusal
 }
 
-func (r *running) ticket() string {
-	r.t.Helper()
+func (a *testAgent) newTicket() string {
+	a.t.Helper()
 	ticket, err := once.NewSigner([]byte(secret)).Sign(once.Ticket{
 		ID: uuid.NewString(), Account: account, Service: service, Owner: once.Owner{ID: "agent", Incarnation: "1"},
 		Expires: time.Now().Add(time.Hour),
 	})
-	require.NoError(r.t, err)
+	require.NoError(a.t, err)
 	return ticket
 }
 
-// TestStopDeliversWhatIsWhole lets a leaving agent's last answers become whole all at once, with the platform down, so that
-// nothing else holds the process up: it must not end before its peers have read them.
-func TestStopDeliversWhatIsWhole(t *testing.T) {
+// TestShutdownDoesNotCutCompletedAnswers guards against a stopping agent that exits before its peers have read the
+// last responses. All responses complete at once, and the platform is down, so that nothing else delays the exit.
+func TestShutdownDoesNotCutCompletedAnswers(t *testing.T) {
 	const requests = 200
-	held := newHeld(bytes.Repeat([]byte("x"), 60<<10))
-	r := start(t, &Agent{Backend: held, Engine: held, Slots: requests})
+	backend := newBlockingBackend(bytes.Repeat([]byte("x"), 60<<10))
+	a := startAgent(t, &Agent{Backend: backend, Engine: backend, Slots: requests})
 	var streams []*peer.Stream
 	for range requests {
-		streams = append(streams, r.send(fleet.Dispatch{}))
-		<-held.started
+		streams = append(streams, a.send(fleet.Dispatch{}))
+		<-backend.started
 	}
-	r.stop()
-	require.Eventually(t, r.agent.Node.Leaving, patience, time.Millisecond)
-	close(held.let)
-	require.NoError(t, <-r.ended)
+	a.stop()
+	require.Eventually(t, a.agent.Node.Leaving, testTimeout, time.Millisecond)
+	close(backend.release)
+	require.NoError(t, <-a.runErr)
 	broken := map[string]int{}
 	for _, s := range streams {
-		if _, err := r.read(s); !errors.Is(err, io.EOF) {
+		if _, err := a.readAnswer(s); !errors.Is(err, io.EOF) {
 			broken[fmt.Sprint(err)]++
 		}
 	}
-	assert.Empty(t, broken, "answers that were whole were cut")
+	assert.Empty(t, broken, "complete answers were cut off")
 }
 
-// TestStopAnswersWhatCannotEnd has an agent's grace end while one request runs and another waits behind it.
-func TestStopAnswersWhatCannotEnd(t *testing.T) {
+// TestGraceExpiryAnswersUnfinishedRequests guards against connections that close without a final response. The grace
+// period expires while one request runs and another waits behind it.
+func TestGraceExpiryAnswersUnfinishedRequests(t *testing.T) {
 	const grace = 400 * time.Millisecond
-	begin := func(t *testing.T) *running {
+	startOne := func(t *testing.T) *testAgent {
 		t.Helper()
-		return start(t, &Agent{Backend: newHeld(nil), Slots: 1, Grace: grace})
+		return startAgent(t, &Agent{Backend: newBlockingBackend(nil), Slots: 1, Grace: grace})
 	}
-	await := func(t *testing.T, r *running) {
+	awaitStart := func(t *testing.T, a *testAgent) {
 		t.Helper()
-		<-r.agent.Backend.(*heldBackend).started
+		<-a.agent.Backend.(*blockingBackend).started
 	}
-	t.Run("what runs may have run, and what waits has not", func(t *testing.T) {
-		r := begin(t)
-		runs := r.send(fleet.Dispatch{})
-		await(t, r)
-		waits := r.send(fleet.Dispatch{})
-		r.stop()
-		assert.Equal(t, rillreach.OutcomeUnknown, r.refusal(runs).Outcome)
-		refusal := r.refusal(waits)
+	t.Run("running request may have run, waiting request has not", func(t *testing.T) {
+		a := startOne(t)
+		running := a.send(fleet.Dispatch{})
+		awaitStart(t, a)
+		waiting := a.send(fleet.Dispatch{})
+		a.stop()
+		assert.Equal(t, rillreach.OutcomeUnknown, a.readRefusal(running).Outcome)
+		refusal := a.readRefusal(waiting)
 		assert.Equal(t, rillreach.OutcomeNotRun, refusal.Outcome)
 		assert.Equal(t, rillreach.ReasonLeaving, refusal.Reason)
-		require.NoError(t, <-r.ended)
+		require.NoError(t, <-a.runErr)
 	})
-	t.Run("the same holds for marked calls, and is their owner's word", func(t *testing.T) {
-		r := begin(t)
-		runs := r.send(fleet.Dispatch{Once: true, Ticket: r.ticket()})
-		await(t, r)
-		waits := r.send(fleet.Dispatch{Once: true, Ticket: r.ticket()})
-		r.stop()
-		assert.Equal(t, rillreach.OutcomeUnknown, r.refusal(runs).Outcome)
-		refusal := r.refusal(waits)
+	t.Run("refusals of at-most-once requests come from their owner", func(t *testing.T) {
+		a := startOne(t)
+		running := a.send(fleet.Dispatch{Once: true, Ticket: a.newTicket()})
+		awaitStart(t, a)
+		waiting := a.send(fleet.Dispatch{Once: true, Ticket: a.newTicket()})
+		a.stop()
+		assert.Equal(t, rillreach.OutcomeUnknown, a.readRefusal(running).Outcome)
+		refusal := a.readRefusal(waiting)
 		assert.Equal(t, rillreach.OutcomeNotRun, refusal.Outcome)
 		assert.Equal(t, rillreach.ReasonLeaving, refusal.Reason)
 		assert.True(t, refusal.FromOwner)
-		require.NoError(t, <-r.ended)
+		require.NoError(t, <-a.runErr)
 	})
 }
--- a/agent/delegate.go
+++ b/agent/delegate.go
@@ -16,13 +16,14 @@
 	"github.com/rillreach/rillreach/route"
 )
 
-const delegateTicket = 5 * time.Minute
+// delegateTicketLifetime is how long a ticket for a delegated request is valid.
+const delegateTicketLifetime = 5 * time.Minute
 
-// delegate has an agent on a side that may run the request do so, by a ticket made for that agent alone. The owner
-// still remembers the outcome, so that the key's identity does not move with the weights.
+// delegate has an agent on a side that may run the request run it, with a ticket for that agent alone. The owner still
+// stores the outcome, so that the ownership of the key does not change with the weights.
 func (a *Agent) delegate(ctx context.Context, d fleet.Dispatch) once.Outcome {
 	for _, side := range d.Sides {
-		m := a.runnerOn(side, d)
+		m := a.chooseAgent(side, d)
 		if m == nil {
 			continue
 		}
@@ -33,61 +34,64 @@
 		}
 		return outcome
 	}
-	return refused(rillreach.NotRun(rillreach.ReasonNoBackend, "no agent on the row's sides took the request"))
+	return errorOutcome(rillreach.NotRun(rillreach.ReasonNoBackend, "no agent on the row's sides took the request"))
 }
 
-func (a *Agent) runnerOn(side rillreach.Side, d fleet.Dispatch) *membership.Member {
+// chooseAgent returns the first usable agent on a side in the rendezvous ranking of the request, or nil.
+func (a *Agent) chooseAgent(side rillreach.Side, d fleet.Dispatch) *membership.Member {
 	var usable []*membership.Member
 	for _, m := range a.Node.Members.Group(membership.Group{Role: rillreach.RoleAgent, Side: side, Service: d.Service}) {
 		if !m.IsLeaving() && !m.Failing() {
 			usable = append(usable, m)
 		}
 	}
-	key := once.KeyHash(d.Account, string(d.ID))
-	ranked := route.Rank(key, len(usable), 1, func(i int) uint64 { return usable[i].PlacementHash })
+	keyHash := once.KeyHash(d.Account, string(d.ID))
+	ranked := route.Rank(keyHash, len(usable), 1, func(i int) uint64 { return usable[i].PlacementHash })
 	if ranked.Len() == 0 {
 		return nil
 	}
 	return usable[ranked.At(0)]
 }
 
+// delegateTo issues a ticket for the agent, sends it the request and returns the outcome.
 func (a *Agent) delegateTo(ctx context.Context, m *membership.Member, d fleet.Dispatch) once.Outcome {
 	ticket, err := a.signer.Sign(once.Ticket{
 		ID:      uuid.NewString(),
 		Account: d.Account,
 		Service: d.Service,
 		Owner:   once.Owner{ID: m.ID, Incarnation: m.Incarnation},
-		Expires: a.Node.Clock.Now().Add(delegateTicket),
+		Expires: a.Node.Clock.Now().Add(delegateTicketLifetime),
 	})
 	if err != nil {
-		return refused(rillreach.NotRun(rillreach.ReasonNoBackend, err.Error()))
+		return errorOutcome(rillreach.NotRun(rillreach.ReasonNoBackend, err.Error()))
 	}
 	d.Ticket, d.Key = ticket, ""
 	conn, err := a.Node.Pool.Get(ctx, m.Address)
 	if err != nil {
 		m.Suspect(a.Node.Clock.Now())
-		return refused(rillreach.NotRun(rillreach.ReasonNoBackend, "agent is out of reach"))
+		return errorOutcome(rillreach.NotRun(rillreach.ReasonNoBackend, "agent is out of reach"))
 	}
-	return freshTicket(askOnce(ctx, conn, d))
+	return ownerGoneToNotRun(requestOutcome(ctx, conn, d))
 }
 
-// freshTicket reads the outcome of a ticket that was sent nowhere else before: if its owner is gone, nobody ran it.
-func freshTicket(o once.Outcome) once.Outcome {
+// ownerGoneToNotRun converts an owner-gone refusal to not-run. This is safe only if the ticket was sent to no other
+// agent, since its owner alone could have run the request.
+func ownerGoneToNotRun(o once.Outcome) once.Outcome {
 	if r := o.Refusal; r != nil && r.Reason == rillreach.ReasonOwnerGone {
-		return refused(rillreach.NotRun(rillreach.ReasonNoBackend, r.Message))
+		return errorOutcome(rillreach.NotRun(rillreach.ReasonNoBackend, r.Message))
 	}
 	return o
 }
 
-// askOnce sends a request on and reads its whole outcome.
-func askOnce(ctx context.Context, conn *peer.Conn, d fleet.Dispatch) once.Outcome {
+// requestOutcome sends a request to an agent and reads its complete outcome.
+func requestOutcome(ctx context.Context, conn *peer.Conn, d fleet.Dispatch) once.Outcome {
 	body, err := peer.Encode(d)
 	if err != nil {
-		return refused(rillreach.NotRun(rillreach.ReasonBadRequest, err.Error()))
+		return errorOutcome(rillreach.NotRun(rillreach.ReasonBadRequest, err.Error()))
 	}
 	stream, err := conn.Open(ctx, peer.MethodServe, body)
 	if err != nil {
-		return refused(err)
+		return errorOutcome(err)
 	}
 	defer stream.Close()
 	var outcome once.Outcome
@@ -97,15 +101,16 @@
 			return outcome
 		}
 		if err != nil {
-			return refused(err)
+			return errorOutcome(err)
 		}
-		if err := addPart(&outcome, part); err != nil {
-			return refused(err)
+		if err := appendPart(&outcome, part); err != nil {
+			return errorOutcome(err)
 		}
 	}
 }
 
-func addPart(o *once.Outcome, part []byte) error {
+// appendPart adds a part of the response to the outcome.
+func appendPart(o *once.Outcome, part []byte) error {
 	kind, data, err := fleet.SplitPart(part)
 	if err != nil {
 		return err
@@ -121,7 +126,7 @@
 		o.Body = append(o.Body, data...)
 	case fleet.PartAck:
 	}
-	if len(o.Body) > maxOutcome {
+	if len(o.Body) > maxOutcomeBytes {
 		return rillreach.MayHaveRun(rillreach.ReasonTooLarge, "request was run, but its answer is too large to keep")
 	}
 	return nil
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,3 +1,3 @@
-// Package agent is the process in the slot beside a backend server: it takes requests from entries, puts them in
-// order, is the gate for what must not run twice, and passes answers back.
+// Package agent implements the process beside each backend server. It receives requests from entries, schedules them
+// fairly, enforces at-most-once execution, and relays the responses.
 package agent
--- a/agent/load.go
+++ b/agent/load.go
@@ -11,19 +11,19 @@
 	"github.com/rillreach/rillreach/node"
 )
 
-const loadEvery = time.Second
+const loadInterval = time.Second
 
-// loadReport is the last report of the engine.
+// loadReport holds the last load that the engine reported.
 type loadReport struct {
-	prefill atomic.Int64
+	prefillRate atomic.Int64
 }
 
-// hint is what the agent tells entries of its load.
-func (a *Agent) hint() membership.LoadHint {
+// loadHint returns the load that the agent reports to entries.
+func (a *Agent) loadHint() membership.LoadHint {
 	hint := membership.LoadHint{
-		QueueWait:   a.slots.estimate(),
-		Backlog:     a.slots.backlog(),
-		PrefillRate: float64(a.load.prefill.Load()),
+		QueueWait:   a.scheduler.estimateWait(),
+		Backlog:     a.scheduler.backlog(),
+		PrefillRate: float64(a.load.prefillRate.Load()),
 	}
 	if a.keeper != nil {
 		hint.HitRate, hint.LinkRate, hint.BytesPerToken = a.keeper.Rates()
@@ -31,30 +31,30 @@
 	return hint
 }
 
-// loadWatcher reads the engine's report of its load.
+// loadWatcher polls the engine's load.
 type loadWatcher struct {
 	engine rillreach.Engine
 	report *loadReport
 	node   *node.Node
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (w *loadWatcher) Name() string { return "load" }
 
-// Run reads the report until the context ends.
+// Run polls the load until the context ends.
 func (w *loadWatcher) Run(ctx context.Context) error {
-	w.read(ctx)
-	pause.Every(ctx, loadEvery, w.read)
+	w.poll(ctx)
+	pause.Every(ctx, loadInterval, w.poll)
 	return nil
 }
 
-func (w *loadWatcher) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, loadEvery)
+func (w *loadWatcher) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, loadInterval)
 	defer cancel()
 	load, err := w.engine.Load(ctx)
 	if err != nil {
-		w.node.Log.V(1).Info("engine's load not read", "cause", err.Error())
+		w.node.Log.V(1).Info("failed to read the engine's load", "cause", err.Error())
 		return
 	}
-	w.report.prefill.Store(int64(load.PrefillRate))
+	w.report.prefillRate.Store(int64(load.PrefillRate))
 }
--- a/agent/once.go
+++ b/agent/once.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// KeyLifetime is how long after its minting a caller's key is remembered.
+	// KeyLifetime is how long an idempotency key is stored after its timestamp.
 	KeyLifetime = 24 * time.Hour
 
-	maxOutcome  = 1 << 20
-	onceTimeout = 2 * time.Minute
+	// maxOutcomeBytes is the maximum size of a response that can be stored.
+	maxOutcomeBytes   = 1 << 20
+	atMostOnceTimeout = 2 * time.Minute
 )
 
-// serveOnce runs a request at most once, and gives its outcome to everyone who asks for it.
-func (a *Agent) serveOnce(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
+// serveAtMostOnce runs a request at most once. Repeated requests get the outcome of the first one.
+func (a *Agent) serveAtMostOnce(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
 	claim, err := a.claim(d)
 	if err != nil {
 		return err
@@ -33,42 +34,43 @@
 	if err := a.acknowledge(ctx, call); err != nil {
 		return err
 	}
-	permit := a.ledger.Claim(a.Node.Clock.Now(), claim)
-	a.Node.Log.Info("once", "decision", permitName(permit), "request", d.ID, "account", d.Account, "service", d.Service)
-	if permit.Refusal != nil {
-		return certain(permit.Refusal)
+	result := a.ledger.Claim(a.Node.Clock.Now(), claim)
+	a.Node.Log.Info("once", "decision", claimDecision(result), "request", d.ID, "account", d.Account, "service", d.Service)
+	if result.Refusal != nil {
+		return markFromOwner(result.Refusal)
 	}
-	if permit.Run {
-		outcome := a.runOnce(ctx, d)
+	if result.Run {
+		outcome := a.runAtMostOnce(ctx, d)
 		a.ledger.Settle(claim.Name, outcome)
 		return sendOutcome(ctx, call, outcome)
 	}
 	select {
-	case <-permit.Settled:
-		return sendOutcome(ctx, call, permit.Outcome())
+	case <-result.Settled:
+		return sendOutcome(ctx, call, result.Outcome())
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-func permitName(p once.ClaimResult) string {
+// claimDecision returns the logged name of a claim's result.
+func claimDecision(result once.ClaimResult) string {
 	switch {
-	case p.Run:
+	case result.Run:
 		return "run"
-	case p.Refusal != nil:
-		return string(p.Refusal.Reason)
+	case result.Refusal != nil:
+		return string(result.Refusal.Reason)
 	default:
 		return "replay"
 	}
 }
 
-// certain marks a refusal as the owner's own word on the request's identity.
-func certain(r *rillreach.Refusal) *rillreach.Refusal {
+// markFromOwner marks a refusal as coming from the only agent that may run the request.
+func markFromOwner(r *rillreach.Refusal) *rillreach.Refusal {
 	r.FromOwner = true
 	return r
 }
 
-// claim makes the claim of a request, once it is sure that this incarnation is its owner.
+// claim returns the claim for a request, or a refusal if this incarnation is not certain to be its owner.
 func (a *Agent) claim(d fleet.Dispatch) (once.Claim, error) {
 	if d.Ticket != "" {
 		return a.claimByTicket(d)
@@ -91,11 +93,11 @@
 }
 
 func (a *Agent) claimByKey(d fleet.Dispatch) (once.Claim, error) {
-	minted, err := once.ParseKey(d.Key)
+	createdAt, err := once.ParseKey(d.Key)
 	if err != nil {
 		return once.Claim{}, rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
 	}
-	owner, verdict := a.Node.Owners.FindOwner(d.Service, minted, once.KeyHash(d.Account, d.Key))
+	owner, verdict := a.Node.Owners.FindOwner(d.Service, createdAt, once.KeyHash(d.Account, d.Key))
 	if verdict != once.VerdictOwned {
 		return once.Claim{}, rillreach.MayHaveRun(rillreach.ReasonStaleView, "owner of the key is not certain: "+string(verdict))
 	}
@@ -103,58 +105,60 @@
 		return once.Claim{}, rillreach.MayHaveRun(rillreach.ReasonOwnerGone, "key is owned by another agent")
 	}
 	name := "key/" + string(d.Account) + "/" + string(d.Service) + "/" + d.Key
-	return once.Claim{Name: name, Fingerprint: fingerprint(d), Expires: minted.Add(KeyLifetime)}, nil
+	return once.Claim{Name: name, Fingerprint: fingerprint(d), Expires: createdAt.Add(KeyLifetime)}, nil
 }
 
 func fingerprint(d fleet.Dispatch) [32]byte {
 	return hash.Keyed(hash.Key{}, []byte(d.Method), []byte(d.Path), []byte(d.Query), d.Body)
 }
 
-// runOnce runs a request to its end, whether or not its caller still waits, unless the agent ends before.
-func (a *Agent) runOnce(ctx context.Context, d fleet.Dispatch) once.Outcome {
-	ctx, unbind := a.running.DeriveContext(context.WithoutCancel(ctx))
-	defer unbind()
-	ctx, cancel := context.WithTimeout(ctx, onceTimeout)
+// runAtMostOnce runs a request to completion even if its caller is gone. It stops early only if the grace period or
+// atMostOnceTimeout expires.
+func (a *Agent) runAtMostOnce(ctx context.Context, d fleet.Dispatch) once.Outcome {
+	ctx, release := a.running.DeriveContext(context.WithoutCancel(ctx))
+	defer release()
+	ctx, cancel := context.WithTimeout(ctx, atMostOnceTimeout)
 	defer cancel()
 	if d.Key != "" && (a.Node.Leaving() || !slices.Contains(d.Sides, a.Node.Self.Side)) {
 		return a.delegate(ctx, d)
 	}
 	if err := a.admit(d); err != nil {
-		return refused(err)
+		return errorOutcome(err)
 	}
-	place, refusal := a.slots.enter(d.Account, cost(d), d.Deadline)
+	reservation, refusal := a.scheduler.enqueue(d.Account, cost(d), d.Deadline)
 	if refusal != nil {
-		return refused(refusal)
+		return errorOutcome(refusal)
 	}
-	if err := place.await(ctx); err != nil {
-		return refused(err)
+	if err := reservation.await(ctx); err != nil {
+		return errorOutcome(err)
 	}
-	defer place.leave()
-	if err := a.inTime(d); err != nil {
-		return refused(err)
+	defer reservation.release()
+	if err := a.checkDeadline(d); err != nil {
+		return errorOutcome(err)
 	}
-	return a.collect(ctx, d)
+	return a.callBackend(ctx, d)
 }
 
-// collect calls the backend server and reads its whole answer.
-func (a *Agent) collect(ctx context.Context, d fleet.Dispatch) once.Outcome {
-	answer, err := a.Backend.Do(ctx, a.callOf(d))
+// callBackend calls the backend server and reads the complete response.
+func (a *Agent) callBackend(ctx context.Context, d fleet.Dispatch) once.Outcome {
+	response, err := a.Backend.Do(ctx, a.backendRequest(d))
 	if err != nil {
-		return refused(backendFailure(ctx, err))
+		return errorOutcome(backendError(ctx, err))
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxOutcome+1))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxOutcomeBytes+1))
 	if err != nil {
-		return refused(backendFailure(ctx, err))
+		return errorOutcome(backendError(ctx, err))
 	}
-	if len(body) > maxOutcome {
-		return refused(rillreach.MayHaveRun(rillreach.ReasonTooLarge, "request was run, but its answer is too large to keep"))
+	if len(body) > maxOutcomeBytes {
+		return errorOutcome(rillreach.MayHaveRun(rillreach.ReasonTooLarge, "request was run, but its answer is too large to keep"))
 	}
-	return once.Outcome{Status: answer.Status, Header: endToEnd(answer.Header), Body: body}
+	return once.Outcome{Status: response.Status, Header: endToEndHeader(response.Header), Body: body}
 }
 
-// refused makes an outcome of an error; what is not known not to have run may have.
-func refused(err error) once.Outcome {
+// errorOutcome converts an error to an outcome. Unless the error is a refusal that says otherwise, the request may
+// have run.
+func errorOutcome(err error) once.Outcome {
 	var refusal *rillreach.Refusal
 	if !errors.As(err, &refusal) {
 		refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, err.Error())
@@ -164,7 +168,7 @@
 
 func sendOutcome(ctx context.Context, call *peer.Call, o once.Outcome) error {
 	if o.Refusal != nil {
-		return certain(o.Refusal)
+		return markFromOwner(o.Refusal)
 	}
-	return passOn(ctx, call, rillreach.BackendResponse{Status: o.Status, Header: o.Header, Body: io.NopCloser(bytes.NewReader(o.Body))})
+	return relay(ctx, call, rillreach.BackendResponse{Status: o.Status, Header: o.Header, Body: io.NopCloser(bytes.NewReader(o.Body))})
 }
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -15,15 +15,16 @@
 	"github.com/rillreach/rillreach/peer"
 )
 
-const readSize = 16 << 10
+// bodyPartSize is the maximum size of a part of a response body, including the byte for its kind.
+const bodyPartSize = 16 << 10
 
-// hopHeaders are those of one connection, which are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Content-Length", "Date",
 }
 
-// serve answers one request of an entry.
+// serve handles a request from an entry or from another agent.
 func (a *Agent) serve(ctx context.Context, call *peer.Call) error {
 	d, err := peer.Decode[fleet.Dispatch](call.Body)
 	if err != nil {
@@ -35,18 +36,18 @@
 	a.Node.Spread.CatchUp(call.From, d.Mark)
 	a.running.Add()
 	defer a.running.Done()
-	ctx, unbind := a.running.DeriveContext(ctx)
-	defer unbind()
+	ctx, release := a.running.DeriveContext(ctx)
+	defer release()
 	if d.Once {
-		return a.serveOnce(ctx, call, d)
+		return a.serveAtMostOnce(ctx, call, d)
 	}
 	if err := a.admit(d); err != nil {
 		return err
 	}
-	return a.serveNow(ctx, call, d)
+	return a.serveIdempotent(ctx, call, d)
 }
 
-// admit refuses what must not run here.
+// admit refuses requests that must not run on this agent.
 func (a *Agent) admit(d fleet.Dispatch) error {
 	self := a.Node.Self
 	switch {
@@ -59,54 +60,54 @@
 	case len(d.Sides) > 0 && !slices.Contains(d.Sides, self.Side):
 		return rillreach.NotRun(rillreach.ReasonNoBackend, "side takes nothing of this account")
 	default:
-		return a.inTime(d)
+		return a.checkDeadline(d)
 	}
 }
 
-// inTime refuses a request whose caller has given up; it is asked again just before the backend server is called,
-// since the process may have been frozen in between.
-func (a *Agent) inTime(d fleet.Dispatch) error {
+// checkDeadline refuses a request whose deadline has passed. It is called again immediately before the call to the
+// backend server, because the process may have been suspended in between.
+func (a *Agent) checkDeadline(d fleet.Dispatch) error {
 	if !d.Deadline.IsZero() && !a.Node.Clock.Now().Before(d.Deadline) {
 		return rillreach.NotRun(rillreach.ReasonDeadline, "deadline has passed")
 	}
 	return nil
 }
 
-// serveNow runs a request in its turn and passes the answer on as it comes.
-func (a *Agent) serveNow(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
-	place, refusal := a.slots.enter(d.Account, cost(d), d.Deadline)
+// serveIdempotent runs a request when it is its turn, and streams the response.
+func (a *Agent) serveIdempotent(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
+	reservation, refusal := a.scheduler.enqueue(d.Account, cost(d), d.Deadline)
 	if refusal != nil {
 		return refusal
 	}
 	if err := a.acknowledge(ctx, call); err != nil {
-		place.abandon()
+		reservation.cancel()
 		return err
 	}
-	prepared := a.prepare(ctx, d, place.wait)
-	if err := place.await(ctx); err != nil {
+	imported := a.importState(ctx, d, reservation.estimatedWait)
+	if err := reservation.await(ctx); err != nil {
 		return err
 	}
-	defer place.leave()
-	<-prepared
-	if err := a.inTime(d); err != nil {
+	defer reservation.release()
+	<-imported
+	if err := a.checkDeadline(d); err != nil {
 		return err
 	}
-	answer, err := a.Backend.Do(ctx, a.callOf(d))
+	response, err := a.Backend.Do(ctx, a.backendRequest(d))
 	if err != nil {
-		return backendFailure(ctx, err)
+		return backendError(ctx, err)
 	}
-	defer answer.Body.Close()
-	if err := passOn(ctx, call, answer); err != nil {
+	defer response.Body.Close()
+	if err := relay(ctx, call, response); err != nil {
 		return err
 	}
-	if a.keeper != nil && answer.Status == http.StatusOK {
+	if a.keeper != nil && response.Status == http.StatusOK {
 		a.keeper.RecordAnswer(d)
 	}
 	return nil
 }
 
-// prepare reads kept state while the request waits for its turn, and closes the channel once that is done.
-func (a *Agent) prepare(ctx context.Context, d fleet.Dispatch, wait time.Duration) <-chan struct{} {
+// importState imports stored KV cache state while the request waits for its turn. It closes the channel when done.
+func (a *Agent) importState(ctx context.Context, d fleet.Dispatch, wait time.Duration) <-chan struct{} {
 	done := make(chan struct{})
 	if a.keeper == nil {
 		close(done)
@@ -114,29 +115,32 @@
 	}
 	go func() {
 		defer close(done)
-		a.keeper.ImportState(ctx, d, wait, float64(a.load.prefill.Load()))
+		a.keeper.ImportState(ctx, d, wait, float64(a.load.prefillRate.Load()))
 	}()
 	return done
 }
 
+// acknowledge tells the sender that the agent has the request, together with the load hint and the version of the
+// rows.
 func (a *Agent) acknowledge(ctx context.Context, call *peer.Call) error {
-	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.hint(), Mark: a.Node.Replica.Watermark(rillreach.KindRow).Version})
+	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.loadHint(), Mark: a.Node.Replica.Watermark(rillreach.KindRow).Version})
 	if err != nil {
 		return err
 	}
 	return call.Send(ctx, ack)
 }
 
-func (a *Agent) callOf(d fleet.Dispatch) rillreach.BackendRequest {
+func (a *Agent) backendRequest(d fleet.Dispatch) rillreach.BackendRequest {
 	return rillreach.BackendRequest{Method: d.Method, Path: d.Path, Query: d.Query, Header: d.Header, Body: d.Body}
 }
 
-// cost is the work of a request in tokens, as far as it can be told beforehand.
+// cost estimates the work of a request, in tokens.
 func cost(d fleet.Dispatch) float64 {
 	return float64(max(d.Tokens, 1))
 }
 
-func backendFailure(ctx context.Context, err error) error {
+// backendError converts a failed call to the backend server to a refusal.
+func backendError(ctx context.Context, err error) error {
 	if errors.Is(err, backend.ErrNotSent) {
 		return rillreach.NotRun(rillreach.ReasonNoBackend, "backend server is out of reach")
 	}
@@ -146,20 +150,20 @@
 	return rillreach.MayHaveRun(rillreach.ReasonInterrupted, "backend server broke off: "+err.Error())
 }
 
-// passOn sends an answer's head and then its body, part by part, as the backend server gives it.
-func passOn(ctx context.Context, call *peer.Call, answer rillreach.BackendResponse) error {
-	head, err := fleet.EncodePart(fleet.PartHead, fleet.Head{Status: answer.Status, Header: endToEnd(answer.Header)})
+// relay sends the head of a response and then its body in parts, as the backend server produces it.
+func relay(ctx context.Context, call *peer.Call, response rillreach.BackendResponse) error {
+	head, err := fleet.EncodePart(fleet.PartHead, fleet.Head{Status: response.Status, Header: endToEndHeader(response.Header)})
 	if err != nil {
 		return err
 	}
 	if err := call.Send(ctx, head); err != nil {
 		return err
 	}
-	buffer := make([]byte, readSize-1)
+	buffer := make([]byte, bodyPartSize-1)
 	for {
-		count, err := answer.Body.Read(buffer)
-		if count > 0 {
-			if err := call.Send(ctx, fleet.BodyPart(buffer[:count])); err != nil {
+		n, err := response.Body.Read(buffer)
+		if n > 0 {
+			if err := call.Send(ctx, fleet.BodyPart(buffer[:n])); err != nil {
 				return err
 			}
 		}
@@ -172,11 +176,11 @@
 	}
 }
 
-// endToEnd returns the headers that are passed on.
-func endToEnd(header http.Header) map[string][]string {
-	passed := header.Clone()
-	for _, name := range hopHeaders {
-		passed.Del(name)
+// endToEndHeader returns the headers to forward.
+func endToEndHeader(header http.Header) map[string][]string {
+	forwarded := header.Clone()
+	for _, name := range hopByHopHeaders {
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
--- a/agent/slots.go
+++ b/agent/slots.go
@@ -12,163 +12,169 @@
 	"github.com/rillreach/rillreach/queue"
 )
 
-// slots lets requests run in the order that the queue decides.
-type slots struct {
-	clock rillreach.Clock
-	next  atomic.Uint64
+// scheduler starts requests in the order that the queue determines.
+type scheduler struct {
+	clock  rillreach.Clock
+	nextID atomic.Uint64
 
 	mu      sync.Mutex
 	queue   queue.Queue
-	waiting map[uint64]chan turn
+	waiting map[uint64]chan queueResult
 }
 
-type turn uint8
+// queueResult is the reason why a request stops waiting.
+type queueResult uint8
 
 const (
-	turnRun turn = iota + 1
-	turnLate
-	// turnOver says that the agent ends before the request's turn.
-	turnOver
+	// resultStarted means that the request may run.
+	resultStarted queueResult = iota + 1
+	// resultDropped means that the request's deadline passed while it waited.
+	resultDropped
+	// resultShutdown means that the agent stopped before the request could start.
+	resultShutdown
 )
 
-// place is one request's place in the queue.
-type place struct {
-	slots    *slots
-	id       uint64
-	deadline time.Time
-	turns    chan turn
-	// wait is the estimate at arrival.
-	wait time.Duration
+// reservation is the place of a request in the queue and, once it starts, its slot.
+type reservation struct {
+	scheduler *scheduler
+	id        uint64
+	deadline  time.Time
+	result    chan queueResult
+	// estimatedWait is the estimated wait at the time of arrival.
+	estimatedWait time.Duration
 }
 
-func newSlots(count, maxWaiting int, clock rillreach.Clock) *slots {
-	return &slots{
+func newScheduler(slotCount, maxWaiting int, clock rillreach.Clock) *scheduler {
+	return &scheduler{
 		clock:   clock,
-		queue:   queue.Queue{Slots: count, MaxWaiting: maxWaiting},
-		waiting: map[uint64]chan turn{},
+		queue:   queue.Queue{Slots: slotCount, MaxWaiting: maxWaiting},
+		waiting: map[uint64]chan queueResult{},
 	}
 }
 
-// enter takes a place for a request, or refuses it at once.
-func (s *slots) enter(account rillreach.AccountID, cost float64, deadline time.Time) (*place, *rillreach.Refusal) {
-	p := &place{slots: s, id: s.next.Add(1), deadline: deadline, turns: make(chan turn, 1)}
+// enqueue adds a request to the queue, or refuses it immediately.
+func (s *scheduler) enqueue(account rillreach.AccountID, cost float64, deadline time.Time) (*reservation, *rillreach.Refusal) {
+	r := &reservation{scheduler: s, id: s.nextID.Add(1), deadline: deadline, result: make(chan queueResult, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.queue.Offer(s.clock.Now(), queue.Item{ID: p.id, Account: account, Cost: cost, Deadline: deadline})
-	p.wait = d.Wait
-	switch d.Verdict {
+	decision := s.queue.Offer(s.clock.Now(), queue.Item{ID: r.id, Account: account, Cost: cost, Deadline: deadline})
+	r.estimatedWait = decision.Wait
+	switch decision.Verdict {
 	case queue.Refused:
-		return nil, rillreach.NotRun(d.Reason, "backend server cannot start the request in time").WithRetryAfter(d.RetryAfter)
+		return nil, rillreach.NotRun(decision.Reason, "backend server cannot start the request in time").WithRetryAfter(decision.RetryAfter)
 	case queue.Started:
-		p.turns <- turnRun
+		r.result <- resultStarted
 	default:
-		s.waiting[p.id] = p.turns
+		s.waiting[r.id] = r.result
 	}
-	return p, nil
+	return r, nil
 }
 
-// await waits for the place's turn; without an error the place has to be left.
-func (p *place) await(ctx context.Context) error {
-	expired, stop := p.expiry()
+// await waits until the request may run. If it returns nil, the caller must release the reservation.
+func (r *reservation) await(ctx context.Context) error {
+	expired, stop := r.deadlineTimer()
 	defer stop()
 	select {
-	case t := <-p.turns:
-		return p.took(t)
+	case result := <-r.result:
+		return r.resultError(result)
 	case <-ctx.Done():
-		p.abandon()
-		if cause := context.Cause(ctx); !errors.Is(cause, errEnding) {
+		r.cancel()
+		if cause := context.Cause(ctx); !errors.Is(cause, errGraceExpired) {
 			return cause
 		}
-		return over()
+		return leavingRefusal()
 	case <-expired:
-		p.abandon()
-		return p.late()
+		r.cancel()
+		return r.deadlineRefusal()
 	}
 }
 
-// leave gives the slot to the next in order.
-func (p *place) leave() {
-	p.slots.mu.Lock()
-	defer p.slots.mu.Unlock()
-	starts, late := p.slots.queue.Finish(p.slots.clock.Now(), p.id)
-	p.slots.tell(starts, turnRun)
-	p.slots.tell(late, turnLate)
+// release frees the slot, so that the next requests in the queue can start.
+func (r *reservation) release() {
+	r.scheduler.mu.Lock()
+	defer r.scheduler.mu.Unlock()
+	starts, dropped := r.scheduler.queue.Finish(r.scheduler.clock.Now(), r.id)
+	r.scheduler.notify(starts, resultStarted)
+	r.scheduler.notify(dropped, resultDropped)
 }
 
-func (p *place) took(t turn) error {
-	switch t {
-	case turnLate:
-		return p.late()
-	case turnOver:
-		return over()
+func (r *reservation) resultError(result queueResult) error {
+	switch result {
+	case resultDropped:
+		return r.deadlineRefusal()
+	case resultShutdown:
+		return leavingRefusal()
 	default:
 		return nil
 	}
 }
 
-// abandon gives up a place whose turn may have come meanwhile.
-func (p *place) abandon() {
-	p.slots.mu.Lock()
-	removed := p.slots.queue.Remove(p.id)
-	delete(p.slots.waiting, p.id)
-	p.slots.mu.Unlock()
+// cancel gives up the reservation, whether the request is still waiting or has just been started.
+func (r *reservation) cancel() {
+	r.scheduler.mu.Lock()
+	removed := r.scheduler.queue.Remove(r.id)
+	delete(r.scheduler.waiting, r.id)
+	r.scheduler.mu.Unlock()
 	if !removed {
-		p.leave()
+		r.release()
 	}
 }
 
-// over is the answer to a request whose turn did not come before the agent's end.
-func over() error {
-	return rillreach.NotRun(rillreach.ReasonLeaving, errEnding.Error())
+// leavingRefusal refuses a request that did not start before the agent's grace period expired.
+func leavingRefusal() error {
+	return rillreach.NotRun(rillreach.ReasonLeaving, errGraceExpired.Error())
 }
 
-func (p *place) late() error {
-	retry := p.slots.estimate()
-	return rillreach.NotRun(rillreach.ReasonDeadline, "deadline passed while the request waited").WithRetryAfter(retry)
+func (r *reservation) deadlineRefusal() error {
+	retryAfter := r.scheduler.estimateWait()
+	return rillreach.NotRun(rillreach.ReasonDeadline, "deadline passed while the request waited").WithRetryAfter(retryAfter)
 }
 
-func (p *place) expiry() (<-chan time.Time, func()) {
-	if p.deadline.IsZero() {
+// deadlineTimer returns a channel that fires at the deadline, and a function that stops the timer. The channel is nil
+// if the request has no deadline.
+func (r *reservation) deadlineTimer() (<-chan time.Time, func()) {
+	if r.deadline.IsZero() {
 		return nil, func() {}
 	}
-	timer := time.NewTimer(p.deadline.Sub(p.slots.clock.Now()))
+	timer := time.NewTimer(r.deadline.Sub(r.scheduler.clock.Now()))
 	return timer.C, func() { timer.Stop() }
 }
 
-func (s *slots) tell(items []queue.Item, t turn) {
+// notify delivers the result to the given items, except to those that have already been canceled.
+func (s *scheduler) notify(items []queue.Item, result queueResult) {
 	for _, item := range items {
-		if turns := s.waiting[item.ID]; turns != nil {
+		if ch := s.waiting[item.ID]; ch != nil {
 			delete(s.waiting, item.ID)
-			turns <- t
+			ch <- result
 		}
 	}
 }
 
-func (s *slots) close() {
+func (s *scheduler) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queue.Close()
 }
 
-// giveUp ends the wait of all requests that have not had their turn, so that none of them begins to run any more.
-func (s *slots) giveUp() {
+// cancelWaiting ends the wait of all requests that have not started, so that none of them starts any more.
+func (s *scheduler) cancelWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, turns := range s.waiting {
+	for id, ch := range s.waiting {
 		s.queue.Remove(id)
 		delete(s.waiting, id)
-		turns <- turnOver
+		ch <- resultShutdown
 	}
 }
 
-// estimate is how long a newcomer would wait now.
-func (s *slots) estimate() time.Duration {
+// estimateWait returns the estimated wait of a new request.
+func (s *scheduler) estimateWait() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.EstimateWait("")
 }
 
-func (s *slots) backlog() float64 {
+func (s *scheduler) backlog() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queue.Backlog()
