--- a/entry/answer.go
+++ b/entry/answer.go
@@ -15,7 +15,7 @@
 	"github.com/rillreach/rillreach/node"
 )
 
-// errorBody is an error in the shape of OpenAI's interface, with the outcome added.
+// errorBody is an error response in the format of the OpenAI API, extended by the outcome.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -28,7 +28,7 @@
 	Outcome rillreach.Outcome `json:"outcome"`
 }
 
-func bodyOf(refusal *rillreach.Refusal) errorBody {
+func newErrorBody(refusal *rillreach.Refusal) errorBody {
 	return errorBody{Error: errorDetail{
 		Message: refusal.Message,
 		Type:    errorType(refusal.HTTPStatus()),
@@ -50,27 +50,28 @@
 	}
 }
 
-// end tells the caller of a refusal, also where part of the answer has gone out already.
-func end(x *rillreach.Exchange, refusal *rillreach.Refusal) {
+// finishWithRefusal sends a refusal to the caller. If the response has already started, it sends a final event on a
+// stream and aborts the connection.
+func finishWithRefusal(x *rillreach.Exchange, refusal *rillreach.Refusal) {
 	if !x.ResponseStarted {
 		writeRefusal(x.Writer, refusal)
 		return
 	}
-	if data, err := json.Marshal(bodyOf(refusal)); err == nil && x.Request.Stream {
+	if data, err := json.Marshal(newErrorBody(refusal)); err == nil && x.Request.Stream {
 		_, _ = fmt.Fprintf(x.Writer, "data: %s\n\n", data)
 		_ = http.NewResponseController(x.Writer).Flush()
 	}
-	panic(http.ErrAbortHandler) // the connection is cut, so that the answer cannot be taken for a whole one
+	panic(http.ErrAbortHandler) // aborts the connection, so that a truncated response is not mistaken for a complete one
 }
 
-// closingWriter has a caller's connection closed with the answer where the entry leaves by the time the answer begins, so that
-// the caller's next request goes to another entry.
+// closingWriter closes the caller's connection after the response if the entry is leaving when the response starts, so
+// that the caller sends its next request to another entry.
 type closingWriter struct {
 	http.ResponseWriter
 	node *node.Node
 }
 
-// WriteHeader begins the answer.
+// WriteHeader adds the Connection header if the entry is leaving.
 func (w closingWriter) WriteHeader(status int) {
 	if w.node.Leaving() {
 		w.Header().Set("Connection", "close")
@@ -78,10 +79,10 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap returns the connection's own writer, for its deadlines and its flushing.
+// Unwrap returns the underlying writer, which http.ResponseController needs for deadlines and flushing.
 func (w closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-func (e *Entry) closing(w http.ResponseWriter) http.ResponseWriter {
+func (e *Entry) withCloseOnLeaving(w http.ResponseWriter) http.ResponseWriter {
 	return closingWriter{ResponseWriter: w, node: e.Node}
 }
 
@@ -89,20 +90,21 @@
 	header := w.Header()
 	header.Set(rillreach.HeaderOutcome, string(refusal.Outcome))
 	header.Set(rillreach.HeaderReason, string(refusal.Reason))
-	if wait := retryAfter(refusal); wait > 0 {
-		header.Set("Retry-After", strconv.Itoa(wait))
+	if seconds := retryAfterSeconds(refusal); seconds > 0 {
+		header.Set("Retry-After", strconv.Itoa(seconds))
 	}
-	writeJSON(w, refusal.HTTPStatus(), bodyOf(refusal))
+	writeJSON(w, refusal.HTTPStatus(), newErrorBody(refusal))
 }
 
-const defaultRetry = time.Second
+// defaultRetryAfter is sent with status 429 or 503 if the refusal has no retry time of its own.
+const defaultRetryAfter = time.Second
 
-// retryAfter is in how many whole seconds the caller should come back, or zero where that makes no sense.
-func retryAfter(refusal *rillreach.Refusal) int {
+// retryAfterSeconds returns the value of the Retry-After header. Zero means that the header is omitted.
+func retryAfterSeconds(refusal *rillreach.Refusal) int {
 	wait := refusal.RetryAfter
 	status := refusal.HTTPStatus()
 	if wait <= 0 && (status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable) {
-		wait = defaultRetry
+		wait = defaultRetryAfter
 	}
 	return int(math.Ceil(wait.Seconds()))
 }
@@ -119,22 +121,22 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists what the account's rows name.
-func (e *Entry) models(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// handleModels lists the models in the account's rows.
+func (e *Entry) handleModels(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	e.running.Add()
 	defer e.running.Done()
-	w = e.closing(w)
-	x := &rillreach.Exchange{Writer: w, Request: requestOf(r)}
+	w = e.withCloseOnLeaving(w)
+	x := &rillreach.Exchange{Writer: w, Request: newRequest(r)}
 	if err := (authenticate.Filter{Table: e.Node.Table}).Run(r.Context(), x); err != nil {
 		writeRefusal(w, rillreach.NotRun(rillreach.ReasonUnauthorized, "key is not valid"))
 		return
 	}
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	seen := map[rillreach.ModelID]bool{}
-	for _, line := range e.Node.Table.List(x.Request.Account) {
-		if !seen[line.Row.Model] {
-			list.Data = append(list.Data, modelEntry{ID: string(line.Row.Model), Object: "model", OwnedBy: "rillreach"})
-			seen[line.Row.Model] = true
+	for _, versioned := range e.Node.Table.List(x.Request.Account) {
+		if !seen[versioned.Row.Model] {
+			list.Data = append(list.Data, modelEntry{ID: string(versioned.Row.Model), Object: "model", OwnedBy: "rillreach"})
+			seen[versioned.Row.Model] = true
 		}
 	}
 	writeJSON(w, http.StatusOK, list)
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,3 +1,3 @@
-// Package entry is the callers' side: it takes requests over HTTP, runs each through the filter chain, and answers in
-// the form that callers of OpenAI's interface expect.
+// Package entry implements the HTTP server for callers. It passes each request through a chain of filters, and
+// responds in the format of the OpenAI API.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -24,55 +24,56 @@
 )
 
 const (
-	// DefaultMaxBody bounds a request's body, in bytes.
+	// DefaultMaxBody is the default maximum size of a request body, in bytes.
 	DefaultMaxBody = 8 << 20
 
-	maxHeader     = 64 << 10
-	headerTimeout = 10 * time.Second
-	bodyTimeout   = 60 * time.Second
-	idleTimeout   = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
+	headerTimeout  = 10 * time.Second
+	bodyTimeout    = 60 * time.Second
+	idleTimeout    = 2 * time.Minute
 )
 
-// errEnding is the final answer to what runs when the entry's grace is over.
-var errEnding = rillreach.MayHaveRun(rillreach.ReasonLeaving, "entry ends before the answer is whole")
+// errGraceExpired is the final refusal of requests that are still running when the grace period expires.
+var errGraceExpired = rillreach.MayHaveRun(rillreach.ReasonLeaving, "entry ends before the answer is whole")
 
-// Entry is one entry; exported fields are set before Run.
+// Entry accepts requests from callers. Exported fields must be set before Run.
 type Entry struct {
-	// Node is the common part of the process.
+	// Node provides what processes of all roles have in common.
 	Node *node.Node
-	// Listener takes the connections of callers.
+	// Listener accepts the connections of callers.
 	Listener net.Listener
-	// Secret is the fleet's.
+	// Secret is shared by the whole fleet.
 	Secret []byte
-	// MaxBody bounds a request's body; zero means DefaultMaxBody.
+	// MaxBody is the maximum size of a request body, in bytes. Zero means DefaultMaxBody.
 	MaxBody int64
-	// AckTimeout is how long an agent may take to say that it has a request; zero means a default.
+	// AckTimeout is the time within which an agent must acknowledge a request. Zero means dispatch.DefaultAckTimeout.
 	AckTimeout time.Duration
-	// Grace is how long a planned stop waits for running requests; zero means node.DefaultGrace.
+	// Grace is how long a planned stop waits for running requests to finish. Zero means node.DefaultGrace.
 	Grace time.Duration
 
-	chain    *filter.Chain
-	mint     *filter.Chain
-	dispatch *dispatch.Filter
-	lease    *lease.Controller
-	running  node.Inflight
-	server   *http.Server
-	listener *node.Listener
+	chain       *filter.Chain
+	ticketChain *filter.Chain
+	dispatch    *dispatch.Filter
+	lease       *lease.Controller
+	running     node.Inflight
+	server      *http.Server
+	listener    *node.Listener
 }
 
-// Run serves until the context ends, then leaves in order: it says so, takes nothing new and finishes what runs.
+// Run serves requests until the context ends. It then announces that the entry is leaving, refuses new requests and
+// finishes the running ones.
 func (e *Entry) Run(ctx context.Context) error {
 	e.setDefaults()
 	e.Node.Init()
-	e.makeChains()
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	e.initChains()
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
-		e.leave(life)
-		end()
+		e.shutdown(runCtx)
+		cancel()
 	})
 	defer stop()
-	return e.Node.Run(life, e.lease, &callerServer{entry: e})
+	return e.Node.Run(runCtx, e.lease, &callerServer{entry: e})
 }
 
 func (e *Entry) setDefaults() {
@@ -87,11 +88,11 @@
 		Handler:           e.routes(),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
 
-func (e *Entry) makeChains() {
+func (e *Entry) initChains() {
 	e.dispatch = &dispatch.Filter{
 		Node:       e.Node,
 		Budget:     &retry.Budget{},
@@ -103,52 +104,53 @@
 		Self: e.Node.Self, Members: e.Node.Members, Table: e.Node.Table, Pool: e.Node.Pool, Clock: e.Node.Clock, Log: e.Node.Log,
 	}
 	e.lease.Register(e.Node.Mux)
-	understand := []rillreach.Filter{
+	common := []rillreach.Filter{
 		authenticate.Filter{Table: e.Node.Table},
 		identify.Filter{Clock: e.Node.Clock},
 		resolve.Filter{Table: e.Node.Table, KeyDeriver: keep.NewKeyDeriver(e.Secret)},
 	}
-	observe := func(step string, took time.Duration, _ error) { e.Node.Metrics.Step(step, took) }
-	e.chain = &filter.Chain{Log: e.Node.Log, Observe: observe, Filters: append(understand[:len(understand):len(understand)], admit.Filter{Limiter: e.lease}, e.dispatch)}
-	e.mint = &filter.Chain{Log: e.Node.Log, Filters: append(understand[:len(understand):len(understand)], ticketStep{e.dispatch})}
+	observe := func(step string, duration time.Duration, _ error) { e.Node.Metrics.Step(step, duration) }
+	e.chain = &filter.Chain{Log: e.Node.Log, Observe: observe, Filters: append(common[:len(common):len(common)], admit.Filter{Limiter: e.lease}, e.dispatch)}
+	e.ticketChain = &filter.Chain{Log: e.Node.Log, Filters: append(common[:len(common):len(common)], ticketFilter{e.dispatch})}
 }
 
-// leave ends the entry's work within the grace. Until the process goes it takes the connections that still come, refuses what
-// is new on them and has them closed; what cannot be answered in time gets its final answer instead.
-func (e *Entry) leave(ctx context.Context) {
+// shutdown stops the entry within the grace period. Until the process exits it accepts new connections, refuses the
+// requests on them and closes them. Requests that do not finish in time get a final refusal.
+func (e *Entry) shutdown(ctx context.Context) {
 	e.Node.Log.Info("leaving", "instance", e.Node.Self.ID)
-	end := time.Now().Add(e.Grace - node.FinalResponseWindow(e.Grace))
+	deadline := time.Now().Add(e.Grace - node.FinalResponseWindow(e.Grace))
 	e.Node.AnnounceLeaving(ctx)
-	pause.For(ctx, min(node.ReadinessLag, time.Until(end)))
-	if !e.running.Wait(time.Until(end)) {
-		e.Node.Log.Info("grace is over, requests are given up", "decision", "give-up", "requests", e.running.Count())
-		e.running.CancelAll(errEnding)
+	pause.For(ctx, min(node.ReadinessLag, time.Until(deadline)))
+	if !e.running.Wait(time.Until(deadline)) {
+		e.Node.Log.Info("grace period has expired, canceling requests", "decision", "give-up", "requests", e.running.Count())
+		e.running.CancelAll(errGraceExpired)
 	}
 	e.Node.Deregister(ctx)
-	e.close(ctx)
+	e.closeServer(ctx)
 }
 
-// close takes no more connections, and ends once the last answers, refusals too, have gone out.
-func (e *Entry) close(ctx context.Context) {
+// closeServer stops accepting connections, waits until the last responses and refusals are sent, and closes all
+// connections.
+func (e *Entry) closeServer(ctx context.Context) {
 	if err := e.listener.StopAccepting(); err != nil {
-		e.Node.Log.Error(err, "listener for callers is not closed")
+		e.Node.Log.Error(err, "failed to close the listener for callers")
 	}
 	pause.For(ctx, node.LateRequestWindow)
 	if !e.running.Wait(node.FinalResponseWindow(e.Grace)) {
-		e.Node.Log.Info("connections of callers are cut", "requests", e.running.Count())
+		e.Node.Log.Info("closing connections of callers that have requests in progress", "requests", e.running.Count())
 	}
 	if err := e.server.Close(); err != nil {
-		e.Node.Log.Error(err, "connections of callers are not closed")
+		e.Node.Log.Error(err, "failed to close connections of callers")
 	}
 }
 
-// callerServer accepts the connections of callers.
+// callerServer serves the connections of callers.
 type callerServer struct{ entry *Entry }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (s *callerServer) Name() string { return "callers" }
 
-// Run accepts connections until the context ends.
+// Run serves connections until the context ends.
 func (s *callerServer) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.entry.server.Close() })
 	defer stop()
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -18,76 +18,76 @@
 )
 
 const (
-	pathChat       = "/v1/chat/completions"
-	pathCompletion = "/v1/completions"
-	pathModels     = "/v1/models"
-	pathTickets    = "/v1/tickets/:service"
-	pathServices   = "/services/:service/*path"
-	notReadyRetry  = 2 * time.Second
-	leavingRetry   = time.Second
+	pathChat           = "/v1/chat/completions"
+	pathCompletion     = "/v1/completions"
+	pathModels         = "/v1/models"
+	pathTickets        = "/v1/tickets/:service"
+	pathServices       = "/services/:service/*path"
+	notReadyRetryAfter = 2 * time.Second
+	leavingRetryAfter  = time.Second
 )
 
-// servicesMethods are the methods that calls to plain services may use.
-var servicesMethods = []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
+// serviceMethods are the methods that requests to plain services may use.
+var serviceMethods = []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
 func (e *Entry) routes() http.Handler {
 	router := httprouter.New()
-	router.POST(pathChat, e.prompt)
-	router.POST(pathCompletion, e.prompt)
-	router.GET(pathModels, e.models)
-	router.POST(pathTickets, e.ticket)
-	for _, method := range servicesMethods {
-		router.Handle(method, pathServices, e.service)
+	router.POST(pathChat, e.handlePrompt)
+	router.POST(pathCompletion, e.handlePrompt)
+	router.GET(pathModels, e.handleModels)
+	router.POST(pathTickets, e.handleTicket)
+	for _, method := range serviceMethods {
+		router.Handle(method, pathServices, e.handleService)
 	}
 	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		writeRefusal(e.closing(w), rillreach.NotRun(rillreach.ReasonUnknownPath, "no such path: "+r.URL.Path))
+		writeRefusal(e.withCloseOnLeaving(w), rillreach.NotRun(rillreach.ReasonUnknownPath, "no such path: "+r.URL.Path))
 	})
 	router.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		writeRefusal(e.closing(w), rillreach.NotRun(rillreach.ReasonMethodNotAllowed, "path does not take "+r.Method))
+		writeRefusal(e.withCloseOnLeaving(w), rillreach.NotRun(rillreach.ReasonMethodNotAllowed, "path does not take "+r.Method))
 	})
 	return router
 }
 
-func (e *Entry) prompt(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	e.run(w, r, e.chain, func(*rillreach.Request) {})
+func (e *Entry) handlePrompt(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	e.runChain(w, r, e.chain, func(*rillreach.Request) {})
 }
 
-func (e *Entry) service(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	e.run(w, r, e.chain, func(req *rillreach.Request) {
+func (e *Entry) handleService(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+	e.runChain(w, r, e.chain, func(req *rillreach.Request) {
 		req.Service = rillreach.ServiceID(p.ByName("service"))
 		req.Path = p.ByName("path")
 	})
 }
 
-func (e *Entry) ticket(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	e.run(w, r, e.mint, func(req *rillreach.Request) {
+func (e *Entry) handleTicket(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
+	e.runChain(w, r, e.ticketChain, func(req *rillreach.Request) {
 		req.Service = rillreach.ServiceID(p.ByName("service"))
 	})
 }
 
-// run reads a request and runs it through a chain.
-func (e *Entry) run(w http.ResponseWriter, r *http.Request, chain *filter.Chain, set func(*rillreach.Request)) {
+// runChain receives a request, passes it through a chain of filters and sends any refusal to the caller.
+func (e *Entry) runChain(w http.ResponseWriter, r *http.Request, chain *filter.Chain, setFields func(*rillreach.Request)) {
 	e.running.Add()
 	defer e.running.Done()
-	ctx, unbind := e.running.DeriveContext(r.Context())
-	defer unbind()
-	x := &rillreach.Exchange{Writer: e.closing(w), ArrivedAt: e.Node.Clock.Now()}
-	x.Request = requestOf(r)
-	set(&x.Request)
+	ctx, release := e.running.DeriveContext(r.Context())
+	defer release()
+	x := &rillreach.Exchange{Writer: e.withCloseOnLeaving(w), ArrivedAt: e.Node.Clock.Now()}
+	x.Request = newRequest(r)
+	setFields(&x.Request)
 	w.Header().Set(rillreach.HeaderRequestID, string(x.Request.ID))
-	if refusal := e.read(ctx, w, r, x); refusal != nil {
+	if refusal := e.receive(ctx, w, r, x); refusal != nil {
 		writeRefusal(x.Writer, filter.DowngradeNotRun(x.Request, refusal))
 		return
 	}
 	refusal := chain.Run(ctx, x)
-	e.observe(x, refusal)
+	e.recordMetrics(x, refusal)
 	if refusal != nil {
-		end(x, refusal)
+		finishWithRefusal(x, refusal)
 	}
 }
 
-// observe counts how a request ended.
-func (e *Entry) observe(x *rillreach.Exchange, refusal *rillreach.Refusal) {
+// recordMetrics records the outcome of a request and the time to the first token.
+func (e *Entry) recordMetrics(x *rillreach.Exchange, refusal *rillreach.Refusal) {
 	if !x.ResponseStartedAt.IsZero() {
 		e.Node.Metrics.FirstToken(x.ResponseStartedAt.Sub(x.ArrivedAt))
 	}
@@ -95,26 +95,26 @@
 		e.Node.Metrics.Request(string(refusal.Outcome), string(refusal.Reason))
 		return
 	}
-	e.Node.Metrics.Request(answeredOutcome, "")
+	e.Node.Metrics.Request(outcomeAnswered, "")
 }
 
-const answeredOutcome = "answered"
+const outcomeAnswered = "answered"
 
-// read takes the body in, if the entry takes requests at all.
-func (e *Entry) read(ctx context.Context, w http.ResponseWriter, r *http.Request, x *rillreach.Exchange) *rillreach.Refusal {
+// receive reads the request body, unless the entry is leaving or not ready.
+func (e *Entry) receive(ctx context.Context, w http.ResponseWriter, r *http.Request, x *rillreach.Exchange) *rillreach.Refusal {
 	if e.Node.Leaving() {
-		return leaving()
+		return leavingRefusal()
 	}
 	if !e.Node.Ready() {
-		return rillreach.NotRun(rillreach.ReasonNotReady, "entry does not know the table yet").WithRetryAfter(notReadyRetry)
+		return rillreach.NotRun(rillreach.ReasonNotReady, "entry does not know the table yet").WithRetryAfter(notReadyRetryAfter)
 	}
 	body, err := e.readBody(ctx, w, r)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		return rillreach.NotRun(rillreach.ReasonTooLarge, "body is larger than the limit")
-	case err != nil && errors.Is(context.Cause(ctx), errEnding):
-		return leaving()
+	case err != nil && errors.Is(context.Cause(ctx), errGraceExpired):
+		return leavingRefusal()
 	case err != nil:
 		return rillreach.NotRun(rillreach.ReasonBadRequest, "body could not be read")
 	}
@@ -122,79 +122,79 @@
 	return nil
 }
 
-func leaving() *rillreach.Refusal {
-	return rillreach.NotRun(rillreach.ReasonLeaving, "entry is leaving").WithRetryAfter(leavingRetry)
+func leavingRefusal() *rillreach.Refusal {
+	return rillreach.NotRun(rillreach.ReasonLeaving, "entry is leaving").WithRetryAfter(leavingRetryAfter)
 }
 
-// readBody reads the body, for bodyTimeout at the longest, or until the request is given up.
+// readBody reads the request body. It stops after bodyTimeout, or when the context ends.
 func (e *Entry) readBody(ctx context.Context, w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	control := http.NewResponseController(w)
-	until := func(deadline time.Time) {
-		if err := control.SetReadDeadline(deadline); err != nil {
-			e.Node.Log.V(1).Info("no read deadline", "cause", err.Error())
+	controller := http.NewResponseController(w)
+	setDeadline := func(deadline time.Time) {
+		if err := controller.SetReadDeadline(deadline); err != nil {
+			e.Node.Log.V(1).Info("failed to set the read deadline", "cause", err.Error())
 		}
 	}
-	until(time.Now().Add(bodyTimeout))
-	stop := context.AfterFunc(ctx, func() { until(time.Now()) })
+	setDeadline(time.Now().Add(bodyTimeout))
+	stop := context.AfterFunc(ctx, func() { setDeadline(time.Now()) })
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.MaxBody))
 	if stop() && err == nil {
-		until(time.Time{})
+		setDeadline(time.Time{})
 	}
 	return body, err
 }
 
-func requestOf(r *http.Request) rillreach.Request {
+func newRequest(r *http.Request) rillreach.Request {
 	return rillreach.Request{
 		ID:             rillreach.RequestID(uuid.NewString()),
 		Method:         r.Method,
 		Path:           r.URL.Path,
 		Query:          r.URL.RawQuery,
-		Header:         passedHeader(r.Header),
+		Header:         forwardedHeader(r.Header),
 		IdempotencyKey: r.Header.Get(rillreach.HeaderIdempotencyKey),
 		Ticket:         r.Header.Get(rillreach.HeaderTicket),
 	}
 }
 
-// notPassed are the headers of one connection, and those that say who the caller is on its way.
-var notPassed = []string{
+// droppedHeaders are not forwarded: they apply to a single connection, or identify the caller.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Accept-Encoding", "Expect", "Cookie",
 }
 
-func passedHeader(header http.Header) http.Header {
-	passed := header.Clone()
-	for _, named := range strings.Split(header.Get("Connection"), ",") {
-		passed.Del(strings.TrimSpace(named))
+func forwardedHeader(header http.Header) http.Header {
+	forwarded := header.Clone()
+	for _, name := range strings.Split(header.Get("Connection"), ",") {
+		forwarded.Del(strings.TrimSpace(name))
 	}
-	for _, name := range notPassed {
-		passed.Del(name)
+	for _, name := range droppedHeaders {
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
 
-// ticketStep answers with a ticket for one later request.
-type ticketStep struct {
+// ticketFilter responds with a ticket that allows one later request.
+type ticketFilter struct {
 	dispatch *dispatch.Filter
 }
 
-// Name is the step's name.
-func (ticketStep) Name() string { return "ticket" }
+// Name returns the filter's name.
+func (ticketFilter) Name() string { return "ticket" }
 
-// Run mints the ticket.
-func (s ticketStep) Run(_ context.Context, x *rillreach.Exchange) error {
-	m, err := s.dispatch.ChooseAgent(x)
+// Run issues the ticket.
+func (f ticketFilter) Run(_ context.Context, x *rillreach.Exchange) error {
+	agent, err := f.dispatch.ChooseAgent(x)
 	if err != nil {
 		return err
 	}
-	text, err := s.dispatch.IssueTicket(x.Request.Account, x.Request.Service, m)
+	ticket, err := f.dispatch.IssueTicket(x.Request.Account, x.Request.Service, agent)
 	if err != nil {
 		return err
 	}
-	writeJSON(x.Writer, http.StatusCreated, ticketAnswer{Ticket: text, ExpiresIn: dispatch.TicketLifetime.Seconds()})
+	writeJSON(x.Writer, http.StatusCreated, ticketResponse{Ticket: ticket, ExpiresIn: dispatch.TicketLifetime.Seconds()})
 	return nil
 }
 
-type ticketAnswer struct {
+type ticketResponse struct {
 	Ticket    string  `json:"ticket"`
 	ExpiresIn float64 `json:"expires_in"`
 }
