--- a/node/clock.go
+++ b/node/clock.go
@@ -8,14 +8,15 @@
 	"github.com/rillreach/rillreach"
 )
 
-// SystemClock returns a clock that tells the wall time at its making plus the time since then that the kernel counts
-// while the machine is suspended too; a step of the wall clock does not move it.
+// SystemClock returns a clock that starts at the current wall time and advances with the kernel's CLOCK_BOOTTIME, which
+// includes the time that the machine is suspended. Later changes of the wall clock do not affect it.
 func SystemClock() rillreach.Clock {
-	start, boot := time.Now().Round(0), sinceBoot()
-	return rillreach.ClockFunc(func() time.Time { return start.Add(sinceBoot() - boot) })
+	startTime, startSinceBoot := time.Now().Round(0), timeSinceBoot()
+	return rillreach.ClockFunc(func() time.Time { return startTime.Add(timeSinceBoot() - startSinceBoot) })
 }
 
-func sinceBoot() time.Duration {
+// timeSinceBoot reads CLOCK_BOOTTIME, or the wall clock if the kernel does not provide it.
+func timeSinceBoot() time.Duration {
 	boot, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
 		return time.Duration(time.Now().UnixNano())
@@ -23,18 +24,18 @@
 	return boot
 }
 
-// SuspendedTime is for how long the machine has been suspended since it started, which the clock of package time does not count; zero where
-// the kernel does not tell.
+// SuspendedTime returns how long the machine has been suspended in total since it booted, which the clock of package
+// time does not count. It returns zero if the kernel does not provide the clocks.
 func SuspendedTime() time.Duration {
-	steady, err := readClock(unix.CLOCK_MONOTONIC)
+	monotonic, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return 0
 	}
-	boot, err := readClock(unix.CLOCK_BOOTTIME) // read last, so that the time between both readings is no suspension that is taken back
+	boot, err := readClock(unix.CLOCK_BOOTTIME) // read last: the time between the two reads must not reduce the result
 	if err != nil {
 		return 0
 	}
-	return boot - steady
+	return boot - monotonic
 }
 
 func readClock(id int32) (time.Duration, error) {
--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSuspended(t *testing.T) {
+func TestSuspendedTimeIsConstantWhileRunning(t *testing.T) {
 	first := SuspendedTime()
 	assert.GreaterOrEqual(t, first, time.Duration(0))
 	assert.Less(t, (SuspendedTime() - first).Abs(), 100*time.Millisecond, "a machine that runs isn't suspended")
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,3 +1,3 @@
-// Package node holds what every process of the system has, whatever its role: its copy of the platform's objects, the
-// known instances, the connections to peers, and the operators' address.
+// Package node contains what processes of all roles have in common: the replica of the platform's objects, the known
+// instances, the connections to peers, and the HTTP handler for operators.
 package node
--- a/node/inflight.go
+++ b/node/inflight.go
@@ -7,104 +7,108 @@
 )
 
 const (
-	// finalAnswerMost and finalAnswerShare bound what is kept of a grace for final answers: they are short, and written at once
-	// where the process gets any processor time at all; a very short grace is for the requests.
-	finalAnswerMost  = time.Second
-	finalAnswerShare = 4
+	// maxFinalResponseWindow and finalResponseDivisor limit the part of the grace period that is reserved for final
+	// responses. These are short, and are sent at once if the process gets any CPU time. Most of a very short grace
+	// period is left to the requests.
+	maxFinalResponseWindow = time.Second
+	finalResponseDivisor   = 4
 )
 
-// FinalResponseWindow is the part at the end of a planned stop's grace that is kept for the final answers of what cannot end within it.
+// FinalResponseWindow returns the part at the end of the grace period that is reserved for the final responses to
+// requests that do not finish within it.
 func FinalResponseWindow(grace time.Duration) time.Duration {
-	return min(finalAnswerMost, grace/finalAnswerShare)
+	return min(maxFinalResponseWindow, grace/finalResponseDivisor)
 }
 
-// Inflight counts requests that run, so that a planned stop can wait for them, and give them up in the end; its zero value is
-// ready.
+// Inflight counts running requests, so that a planned stop can wait for them and finally cancel them. Its zero value
+// is ready to use.
 type Inflight struct {
-	mu     sync.Mutex
-	count  int
-	empty  chan struct{}
-	life   context.Context
-	giveUp context.CancelCauseFunc
+	mu        sync.Mutex
+	count     int
+	idle      chan struct{}
+	baseCtx   context.Context
+	cancelAll context.CancelCauseFunc
 }
 
-// DeriveContext returns a context for a request, which ends with the given one or when what runs is given up; the function has to be
-// called at the request's end.
+// DeriveContext returns a context for a request, which ends with the given one or when CancelAll is called. The
+// returned function must be called when the request ends.
 func (f *Inflight) DeriveContext(ctx context.Context) (context.Context, func()) {
-	life, _ := f.lifetime()
+	base, _ := f.base()
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(life, func() { cancel(context.Cause(life)) })
+	stop := context.AfterFunc(base, func() { cancel(context.Cause(base)) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
 	}
 }
 
-// CancelAll ends the contexts of all requests that run, and of those that come, with a cause.
+// CancelAll cancels the contexts of all running requests, and of those that start later, with a cause.
 func (f *Inflight) CancelAll(cause error) {
-	_, giveUp := f.lifetime()
-	giveUp(cause)
+	_, cancelAll := f.base()
+	cancelAll(cause)
 }
 
-func (f *Inflight) lifetime() (context.Context, context.CancelCauseFunc) {
+// base returns the context that ends when all requests are canceled, and the function that cancels it.
+func (f *Inflight) base() (context.Context, context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.life == nil {
-		f.life, f.giveUp = context.WithCancelCause(context.Background())
+	if f.baseCtx == nil {
+		f.baseCtx, f.cancelAll = context.WithCancelCause(context.Background())
 	}
-	return f.life, f.giveUp
+	return f.baseCtx, f.cancelAll
 }
 
-// Add counts one request more.
+// Add counts a request that starts.
 func (f *Inflight) Add() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.count++
 }
 
-// Done counts one request less.
+// Done counts a request that ends.
 func (f *Inflight) Done() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.count--
-	if f.count == 0 && f.empty != nil {
-		close(f.empty)
-		f.empty = nil
+	if f.count == 0 && f.idle != nil {
+		close(f.idle)
+		f.idle = nil
 	}
 }
 
-// Count is how many requests run.
+// Count returns the number of running requests.
 func (f *Inflight) Count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.count
 }
 
-// Wait waits until no request runs, at the longest for the grace, and reports whether none does.
-func (f *Inflight) Wait(grace time.Duration) bool {
-	timer := time.NewTimer(grace)
+// Wait waits until no request is running, or until the timeout. It reports whether none is running.
+func (f *Inflight) Wait(timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		empty := f.whenEmpty()
-		if empty == nil {
+		idle := f.idleChan()
+		if idle == nil {
 			return true
 		}
 		select {
-		case <-empty:
+		case <-idle:
 		case <-timer.C:
 			return false
 		}
 	}
 }
 
-func (f *Inflight) whenEmpty() <-chan struct{} {
+// idleChan returns a channel that is closed when no request is running any more, or nil if none is running now.
+func (f *Inflight) idleChan() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.count == 0 {
 		return nil
 	}
-	if f.empty == nil {
-		f.empty = make(chan struct{})
+	if f.idle == nil {
+		f.idle = make(chan struct{})
 	}
-	return f.empty
+	return f.idle
 }
--- a/node/node.go
+++ b/node/node.go
@@ -27,16 +27,16 @@
 )
 
 const (
-	// DefaultLeadTime is how long after its recording an epoch of key owners comes into force.
+	// DefaultLeadTime is the default minimum time between the recording of an epoch of key owners and its start.
 	DefaultLeadTime = 30 * time.Second
-	// DefaultGrace is how long a planned stop waits for running requests.
+	// DefaultGrace is the default time that a planned stop waits for running requests to finish.
 	DefaultGrace = 5 * time.Minute
 
-	noticeTimeout = time.Second
-	// settleMost bounds the wait for peers to read the last answers: a peer that is well does so within one way there and
-	// back, and one that is not must not hold the process up.
-	settleMost    = time.Second
-	headerTimeout = 10 * time.Second
+	leaveNoticeTimeout = time.Second
+	// deliveryTimeout limits the wait for peers to read the last responses. A healthy peer does so within a round
+	// trip, and an unhealthy one must not delay the exit of the process.
+	deliveryTimeout = time.Second
+	headerTimeout   = 10 * time.Second
 )
 
 // Node is the common part of a process.
@@ -45,41 +45,43 @@
 	Self rillreach.Instance
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
-	// TLS authenticates peers both ways; nil means plain TCP.
+	// TLS is the configuration for mutual authentication of peers. Nil means plain TCP.
 	TLS *tls.Config
-	// Listener takes the connections of peers.
+	// Listener accepts the connections of peers.
 	Listener net.Listener
-	// Clock tells the time.
+	// Clock returns the current time.
 	Clock rillreach.Clock
-	// Log takes decisions and what goes wrong.
+	// Log receives decisions and errors.
 	Log logr.Logger
-	// LeadTime is how long after its recording an epoch of key owners comes into force; the same in the whole fleet.
+	// LeadTime is the minimum time between the recording of an epoch of key owners and its start. It must be the same
+	// in the whole fleet. Zero means DefaultLeadTime.
 	LeadTime time.Duration
-	// DigestInterval and WatchTimeout are the rhythm of the spreading of objects; zero means its defaults.
+	// DigestInterval is the interval at which watermarks are compared with a peer, WatchTimeout how long one watch
+	// waits for a change. Zero means the defaults of package spread.
 	DigestInterval time.Duration
 	WatchTimeout   time.Duration
 
-	// Metrics are the process's instruments; nil means none.
+	// Metrics records the process's metrics. Nil means none.
 	Metrics *telemetry.Metrics
-	// OnRowChange is told of each row that is applied; it may be nil.
+	// OnRowChange is called for each row that is applied. It may be nil.
 	OnRowChange func(before, after rillreach.Row)
 
-	// Replica, Table, Members and Owners are what the process knows; Start makes them.
+	// Replica, Table, Members and Owners are the process's view of the fleet. Init creates them.
 	Replica *replicate.Replica
 	Table   *table.Table
 	Members *membership.Members
 	Owners  *once.OwnerView
-	// Pool and Mux connect it to its peers.
+	// Pool and Mux handle the connections to peers and the calls from them.
 	Pool *peer.Pool
 	Mux  *peer.Mux
-	// Spread and Register are its controllers.
+	// Spread replicates objects between processes, Register maintains the instance's record on the platform.
 	Spread   *spread.Controller
 	Register *register.Controller
 
 	leaving atomic.Bool
 }
 
-// Init makes the node's parts; handlers may then be set on Mux before Run.
+// Init creates the node's parts. Handlers may then be registered on Mux before Run.
 func (n *Node) Init() {
 	if n.LeadTime == 0 {
 		n.LeadTime = DefaultLeadTime
@@ -89,7 +91,7 @@
 	n.Owners = &once.OwnerView{LeadTime: n.LeadTime}
 	n.Mux = &peer.Mux{Log: n.Log}
 	n.Pool = &peer.Pool{Self: n.Self, Mux: n.Mux, TLS: n.TLS, Log: n.Log, Met: n.Members.Upsert}
-	n.followAll()
+	n.initReplica()
 	n.Spread = &spread.Controller{
 		Self: n.Self, Store: n.Store, Copy: n.Replica, Members: n.Members, Pool: n.Pool, Clock: n.Clock, Log: n.Log,
 		DigestEvery: n.DigestInterval, WatchWait: n.WatchTimeout,
@@ -98,8 +100,8 @@
 	n.Register = &register.Controller{Self: n.Self, Store: n.Store, Log: n.Log, Superseded: n.markLeaving}
 }
 
-// Run runs the node's controllers, and the given ones, until the context ends.
-func (n *Node) Run(ctx context.Context, more ...rillreach.Controller) error {
+// Run runs the node's controllers and the given ones until the context ends.
+func (n *Node) Run(ctx context.Context, extra ...rillreach.Controller) error {
 	n.Pool.Start(ctx)
 	if err := n.addGauges(); err != nil {
 		return err
@@ -110,11 +112,11 @@
 		n.Register,
 		&probe.Controller{Members: n.Members, Pool: n.Pool, Clock: n.Clock, Log: n.Log},
 		&peerServer{node: n},
-	}, more...)
+	}, extra...)
 	return controller.Run(ctx, n.Log, controllers...)
 }
 
-// addGauges has the metrics show what the node knows and what its spreading has cost.
+// addGauges registers the gauges for the state of the node and for its replication traffic.
 func (n *Node) addGauges() error {
 	for name, gauge := range map[string]struct {
 		description string
@@ -135,43 +137,43 @@
 	return nil
 }
 
-// Ready reports whether the node knows the table.
+// Ready reports whether the node has received the table and is not leaving.
 func (n *Node) Ready() bool {
 	return n.Replica.Watermark(rillreach.KindRow).Version > 0 && !n.Leaving()
 }
 
-// Leaving reports whether the node takes no new work.
+// Leaving reports whether the node accepts no new work.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// AnnounceLeaving says to the platform and to every connected peer that this process leaves.
+// AnnounceLeaving tells the platform and all connected peers that this process is leaving.
 func (n *Node) AnnounceLeaving(ctx context.Context) {
 	n.markLeaving()
 	var wg conc.WaitGroup
 	wg.Go(func() {
 		if err := n.Register.Leave(ctx); err != nil {
-			n.Log.Info("platform not told of leaving", "cause", err.Error())
+			n.Log.Info("failed to tell the platform that the instance is leaving", "cause", err.Error())
 		}
 	})
 	leaving := n.Self
 	leaving.Leaving = true
 	for _, c := range n.Pool.Conns() {
-		wg.Go(func() { n.notify(ctx, c, leaving) })
+		wg.Go(func() { n.sendLeaveNotice(ctx, c, leaving) })
 	}
 	wg.Wait()
 }
 
-// AwaitDelivery waits, at the end of a planned stop, until peers have read the answers that they were given. One that is not well
-// must not hold the process up for longer than the last words of the grace take.
+// AwaitDelivery waits, at the end of a planned stop, until peers have read their responses. An unhealthy peer must not
+// delay the exit by more than FinalResponseWindow.
 func (n *Node) AwaitDelivery(ctx context.Context, grace time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, FinalResponseWindow(grace))
 	defer cancel()
 	n.Pool.Settle(ctx)
 }
 
-// Deregister takes the process off the platform's list, at the end of a planned stop.
+// Deregister deletes the instance's record from the platform at the end of a planned stop.
 func (n *Node) Deregister(ctx context.Context) {
 	if err := n.Register.Remove(ctx); err != nil {
-		n.Log.Info("record not removed", "cause", err.Error())
+		n.Log.Info("failed to delete the record of the instance", "cause", err.Error())
 	}
 }
 
@@ -180,15 +182,15 @@
 	n.Members.MarkLeaving(n.Self.ID, n.Self.Incarnation)
 }
 
-func (n *Node) notify(ctx context.Context, c *peer.Conn, leaving rillreach.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
+func (n *Node) sendLeaveNotice(ctx context.Context, c *peer.Conn, leaving rillreach.Instance) {
+	ctx, cancel := context.WithTimeout(ctx, leaveNoticeTimeout)
 	defer cancel()
 	if _, err := peer.Ask[fleet.Notice, fleet.Noted](ctx, c, peer.MethodNotice, fleet.Notice{Instance: leaving}); err != nil {
-		n.Log.V(1).Info("peer not told of leaving", "peer", c.Peer.ID, "cause", err.Error())
+		n.Log.V(1).Info("failed to tell a peer that the instance is leaving", "peer", c.Peer.ID, "cause", err.Error())
 	}
 }
 
-func (n *Node) followAll() {
+func (n *Node) initReplica() {
 	n.Replica = replicate.NewReplica()
 	n.Replica.AddKind(rillreach.KindRow, n.applyRow, nil)
 	n.Replica.AddKind(rillreach.KindInstance, n.applyInstance, nil)
@@ -198,7 +200,7 @@
 func (n *Node) applyRow(o rillreach.Object) {
 	applied := n.Table.Apply(o)
 	if applied.Verdict == table.VerdictRejected {
-		n.Log.Error(applied.Err, "row not applied, the last good one stays in force", "row", o.Name, "version", o.Version)
+		n.Log.Error(applied.Err, "row not applied, keeping the last valid one", "row", o.Name, "version", o.Version)
 		return
 	}
 	if n.OnRowChange != nil && applied.Verdict == table.VerdictApplied {
@@ -215,17 +217,17 @@
 
 func (n *Node) applyOwners(o rillreach.Object) {
 	if err := n.Owners.Apply(o); err != nil {
-		n.Log.Info("epoch of owners not applied", "epoch", o.Name, "cause", err.Error())
+		n.Log.Info("epoch of key owners not applied", "epoch", o.Name, "cause", err.Error())
 	}
 }
 
-// peerServer accepts the connections of peers.
+// peerServer serves the connections of peers.
 type peerServer struct{ node *Node }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (s *peerServer) Name() string { return "peers" }
 
-// Run accepts connections until the context ends.
+// Run serves connections until the context ends.
 func (s *peerServer) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.Handle(peer.Path, s.node.Pool)
@@ -236,7 +238,7 @@
 	return ServeHTTP(ctx, listener, mux)
 }
 
-// ServeHTTP serves a handler on a listener until the context ends, and then closes its connections.
+// ServeHTTP serves HTTP on a listener until the context ends, and then closes all connections.
 func ServeHTTP(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
--- a/node/operators.go
+++ b/node/operators.go
@@ -11,7 +11,7 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// Status is what a node says of itself to operators.
+// Status is the state of a node as reported to operators.
 type Status struct {
 	Instance   rillreach.Instance    `json:"instance"`
 	Ready      bool                  `json:"ready"`
@@ -20,7 +20,7 @@
 	Members    int                   `json:"members"`
 }
 
-// OperatorHandler returns what answers on the operators' address.
+// OperatorHandler returns the handler for health checks, status and metrics.
 func (n *Node) OperatorHandler() http.Handler {
 	router := httprouter.New()
 	router.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -43,7 +43,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// count says how many processes hold the rows up to a version.
+// count responds with the number of processes that have received the rows up to a version.
 func (n *Node) count(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	version, err := strconv.ParseUint(p.ByName("version"), 10, 64)
 	if err != nil {
