--- a/kept/doc.go
+++ b/kept/doc.go
@@ -1,3 +1,3 @@
-// Package kept does the work on the state that prompts leave behind, beside one engine: it reads state from stores
-// before a prompt runs, writes it to a store afterwards, and copies it ahead of a shift of weights.
+// Package kept moves the KV cache state of prompts between an engine and the stores. It imports state before a prompt
+// runs, exports it afterwards, and copies it to the other side ahead of a change of weights.
 package kept
--- a/kept/export.go
+++ b/kept/export.go
@@ -11,11 +11,11 @@
 	"github.com/rillreach/rillreach/keep"
 )
 
-// bytesPerToken is what a token's state is taken to be before any was exported, in bytes.
-const bytesPerToken = 1024
+// defaultBytesPerToken is the assumed size of the state of a token until the first export.
+const defaultBytesPerToken = 1024
 
-// export writes what is not kept yet of a prompt's state to its store.
-func (k *Keeper) export(ctx context.Context, d fleet.Dispatch) {
+// exportState writes the part of a prompt's state that is not stored yet to the stores of this side.
+func (k *Keeper) exportState(ctx context.Context, d fleet.Dispatch) {
 	verdict, err := k.tryExport(ctx, d)
 	if err != nil {
 		k.Log.Info("state not kept", "request", d.ID, "account", d.Account, "cause", err.Error())
@@ -24,30 +24,31 @@
 	k.Log.Info("export", "decision", verdict, "request", d.ID, "account", d.Account, "model", d.Model, "tokens", d.Tokens)
 }
 
+// tryExport exports the state if that is worthwhile, and returns the decision.
 func (k *Keeper) tryExport(ctx context.Context, d fleet.Dispatch) (keep.Verdict, error) {
 	key := d.Blocks[len(d.Blocks)-1]
 	k.mu.Lock()
-	last, _ := k.recent.lastKept(d)
-	chance := k.recent.gapsOf(d.Account).ReturnProbability(0, retention)
+	last, _ := k.conversations.lastStored(d)
+	returnProbability := k.conversations.returnsOf(d.Account).ReturnProbability(0, expectedRetention)
 	k.mu.Unlock()
 	if last.key == key {
 		return keep.VerdictAlreadyStored, nil
 	}
 	stores := k.storesOn(k.Self.Side, d.Conversation)
 	if len(stores) == 0 {
-		return "", errors.New("no store is there")
+		return "", errors.New("no store is available")
 	}
-	_, _, perToken := k.Rates()
-	if perToken == 0 {
-		perToken = bytesPerToken
+	_, _, bytesPerToken := k.Rates()
+	if bytesPerToken == 0 {
+		bytesPerToken = defaultBytesPerToken
 	}
-	question := keep.ExportInput{
+	input := keep.ExportInput{
 		Tokens:            d.Tokens - last.to,
-		Bytes:             int64(float64(d.Tokens-last.to) * perToken),
-		ReturnProbability: chance,
+		Bytes:             int64(float64(d.Tokens-last.to) * bytesPerToken),
+		ReturnProbability: returnProbability,
 		LinkRate:          k.linkTo(stores[0].ID).Rate() * float64(len(stores)),
 	}
-	if verdict := question.Decide(); verdict != keep.VerdictExport {
+	if verdict := input.Decide(); verdict != keep.VerdictExport {
 		return verdict, nil
 	}
 	state, err := k.Engine.Export(ctx, rillreach.KVStateRef{Salt: d.Salt, Prompt: d.Body, SkipTokens: last.to})
@@ -60,13 +61,13 @@
 	b := keep.Block{
 		Key: key, Parent: last.key, Generation: uuid.NewString(), From: last.to, To: state.Tokens, Payload: state.Payload,
 	}
-	if err := k.write(ctx, stores, b); err != nil {
+	if err := k.writeBlock(ctx, stores, b); err != nil {
 		return "", err
 	}
 	k.Stats.Exports.Add(1)
 	k.mu.Lock()
-	k.stateBytes = float64(len(state.Payload)) / float64(b.To-b.From)
+	k.bytesPerToken = float64(len(state.Payload)) / float64(b.To-b.From)
 	k.mu.Unlock()
-	k.remember(d, []keep.Block{b})
+	k.recordStored(d, []keep.Block{b})
 	return keep.VerdictExport, nil
 }
--- a/kept/import.go
+++ b/kept/import.go
@@ -16,51 +16,51 @@
 	"github.com/rillreach/rillreach/membership"
 )
 
-// found is what the stores of a side have of a prompt.
-type found struct {
-	// last is the last part whose block is there in whole, or -1.
-	last   int
-	pieces map[rillreach.BlockKey][]piece
-	bytes  int64
+// storedBlocks are the blocks of a prompt that were found in the stores of a side.
+type storedBlocks struct {
+	// lastPart is the index of the last part whose block is complete, or -1.
+	lastPart int
+	stripes  map[rillreach.BlockKey][]storedStripe
+	bytes    int64
 }
 
-// ImportState has the engine hold as much of a prompt as is worth reading from stores, before the prompt runs. It never
-// fails: what cannot be read is computed again.
-func (k *Keeper) ImportState(ctx context.Context, d fleet.Dispatch, wait time.Duration, prefill float64) {
-	if len(d.Blocks) == 0 || d.Tokens < minTokens {
+// ImportState imports as much of a prompt's state into the engine as is worth reading from stores, before the prompt
+// runs. It returns no error, since the engine recomputes what was not imported.
+func (k *Keeper) ImportState(ctx context.Context, d fleet.Dispatch, queueWait time.Duration, prefillRate float64) {
+	if len(d.Blocks) == 0 || d.Tokens < minPromptTokens {
 		return
 	}
-	parts, cached := k.resident.LongestPrefix(d.Blocks)
+	cachedParts, cachedTokens := k.cache.LongestPrefix(d.Blocks)
 	if len(d.Blocks) > 1 {
-		k.noteHit(parts > 0)
+		k.recordHit(cachedParts > 0)
 	}
-	if parts == len(d.Blocks) {
+	if cachedParts == len(d.Blocks) {
 		return
 	}
-	f := k.find(ctx, d)
-	question := keep.ImportInput{
-		Tokens: d.Tokens, Cached: cached, QueueWait: wait, PrefillRate: prefill, Objective: d.Objective,
+	stored := k.findStored(ctx, d)
+	input := keep.ImportInput{
+		Tokens: d.Tokens, Cached: cachedTokens, QueueWait: queueWait, PrefillRate: prefillRate, Objective: d.Objective,
 	}
-	if f.last >= parts {
-		question.Stored = d.Tokens * (f.last + 1) / len(d.Blocks)
-		question.Bytes = f.bytes
-		question.TransferTime = k.estimate(f)
+	if stored.lastPart >= cachedParts {
+		input.Stored = d.Tokens * (stored.lastPart + 1) / len(d.Blocks)
+		input.Bytes = stored.bytes
+		input.TransferTime = k.estimateImport(stored)
 	}
-	verdict := question.Decide()
+	verdict := input.Decide()
 	k.Log.Info("import", "decision", verdict, "request", d.ID, "account", d.Account, "model", d.Model, "tokens", d.Tokens,
-		"cached", cached, "kept", question.Stored, "bytes", question.Bytes, "chosen", storesOf(f))
+		"cached", cachedTokens, "kept", input.Stored, "bytes", input.Bytes, "chosen", storeIDs(stored))
 	if verdict == keep.VerdictImport {
-		k.take(ctx, d, f)
+		k.importBlocks(ctx, d, stored)
 	}
 }
 
-// storesOf names the stores that have the last block.
-func storesOf(f found) []rillreach.InstanceID {
+// storeIDs returns the sorted IDs of the stores that have any of the blocks.
+func storeIDs(blocks storedBlocks) []rillreach.InstanceID {
 	var stores []rillreach.InstanceID
-	for _, pieces := range f.pieces {
-		for _, p := range pieces {
-			if !slices.Contains(stores, p.store.ID) {
-				stores = append(stores, p.store.ID)
+	for _, stripes := range blocks.stripes {
+		for _, s := range stripes {
+			if !slices.Contains(stores, s.store.ID) {
+				stores = append(stores, s.store.ID)
 			}
 		}
 	}
@@ -68,12 +68,12 @@
 	return stores
 }
 
-// estimate is how long reading everything would take, all links at once.
-func (k *Keeper) estimate(f found) time.Duration {
+// estimateImport returns how long it would take to read all blocks, over all links in parallel.
+func (k *Keeper) estimateImport(blocks storedBlocks) time.Duration {
 	perStore := map[rillreach.InstanceID]int64{}
-	for _, pieces := range f.pieces {
-		for _, p := range pieces {
-			perStore[p.store.ID] += p.bytes
+	for _, stripes := range blocks.stripes {
+		for _, s := range stripes {
+			perStore[s.store.ID] += s.bytes
 		}
 	}
 	var longest time.Duration
@@ -83,38 +83,38 @@
 	return longest
 }
 
-// find looks for a prompt's blocks in the stores of this side, and then in those of the other.
-func (k *Keeper) find(ctx context.Context, d fleet.Dispatch) found {
+// findStored looks up a prompt's blocks in the stores of this side, and if none are found, in those of the other side.
+func (k *Keeper) findStored(ctx context.Context, d fleet.Dispatch) storedBlocks {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	for _, side := range []rillreach.Side{k.Self.Side, otherSide(k.Self.Side)} {
-		if f := k.findOn(ctx, k.storesOn(side, d.Conversation), d.Blocks); f.last >= 0 {
-			return f
+		if found := k.findStoredIn(ctx, k.storesOn(side, d.Conversation), d.Blocks); found.lastPart >= 0 {
+			return found
 		}
 	}
-	return found{last: -1}
+	return storedBlocks{lastPart: -1}
 }
 
-// findOn looks blocks up in some stores, and keeps those of which every stripe is there.
-func (k *Keeper) findOn(ctx context.Context, stores []*membership.Member, blocks []rillreach.BlockKey) found {
-	held := k.lookup(ctx, stores, stripesOf(blocks))
-	f := found{last: -1, pieces: map[rillreach.BlockKey][]piece{}}
+// findStoredIn looks up blocks in the given stores. It returns only blocks of which all stripes are available.
+func (k *Keeper) findStoredIn(ctx context.Context, stores []*membership.Member, blocks []rillreach.BlockKey) storedBlocks {
+	available := k.lookupStripes(ctx, stores, possibleStripes(blocks))
+	found := storedBlocks{lastPart: -1, stripes: map[rillreach.BlockKey][]storedStripe{}}
 	for i, key := range blocks {
-		pieces := wholeSet(held, key)
-		if pieces == nil {
+		stripes := completeStripes(available, key)
+		if stripes == nil {
 			continue
 		}
-		f.last = i
-		f.pieces[key] = pieces
-		for _, p := range pieces {
-			f.bytes += p.bytes
+		found.lastPart = i
+		found.stripes[key] = stripes
+		for _, s := range stripes {
+			found.bytes += s.bytes
 		}
 	}
-	return f
+	return found
 }
 
-// stripesOf are all the stripes that blocks may be kept in.
-func stripesOf(blocks []rillreach.BlockKey) []blockstore.Stripe {
+// possibleStripes returns all stripes into which the blocks may have been split.
+func possibleStripes(blocks []rillreach.BlockKey) []blockstore.Stripe {
 	var stripes []blockstore.Stripe
 	for _, key := range blocks {
 		for count := 1; count <= maxStripes; count++ {
@@ -126,77 +126,79 @@
 	return stripes
 }
 
-// wholeSet are the pieces of a block, most stripes first, or nil if none of its sets is complete.
-func wholeSet(held map[blockstore.Stripe]piece, key rillreach.BlockKey) []piece {
+// completeStripes returns a complete set of stripes of a block, preferring the set with the most stripes, or nil if no
+// set is complete.
+func completeStripes(available map[blockstore.Stripe]storedStripe, key rillreach.BlockKey) []storedStripe {
 	for count := maxStripes; count > 0; count-- {
-		var pieces []piece
+		var stripes []storedStripe
 		for i := range count {
-			if p, ok := held[blockstore.Stripe{Key: key, Index: i, Count: count}]; ok {
-				pieces = append(pieces, p)
+			if s, ok := available[blockstore.Stripe{Key: key, Index: i, Count: count}]; ok {
+				stripes = append(stripes, s)
 			}
 		}
-		if len(pieces) == count {
-			return pieces
+		if len(stripes) == count {
+			return stripes
 		}
 	}
 	return nil
 }
 
-// lookup asks some stores at once for stripes.
-func (k *Keeper) lookup(ctx context.Context, stores []*membership.Member, stripes []blockstore.Stripe) map[blockstore.Stripe]piece {
+// lookupStripes looks up stripes in all given stores in parallel.
+func (k *Keeper) lookupStripes(ctx context.Context, stores []*membership.Member, stripes []blockstore.Stripe) map[blockstore.Stripe]storedStripe {
 	var mu sync.Mutex
-	held := map[blockstore.Stripe]piece{}
+	available := map[blockstore.Stripe]storedStripe{}
 	var wg conc.WaitGroup
-	for _, m := range stores {
+	for _, store := range stores {
 		wg.Go(func() {
-			sizes, err := k.Stores.Lookup(ctx, m.Address, stripes)
+			sizes, err := k.Stores.Lookup(ctx, store.Address, stripes)
 			if err != nil {
 				k.Stats.Failed.Add(1)
-				k.linkTo(m.ID).EndImport(k.Clock.Now(), 0, 0, false)
+				k.linkTo(store.ID).EndImport(k.Clock.Now(), 0, 0, false)
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			for stripe, bytes := range sizes {
-				held[stripe] = piece{stripe: stripe, store: m, bytes: bytes}
+				available[stripe] = storedStripe{stripe: stripe, store: store, bytes: bytes}
 			}
 		})
 	}
 	wg.Wait()
-	return held
+	return available
 }
 
-// take reads the blocks back from the last to the first, each naming the one before it, and then gives them to the
-// engine in their order. Any doubt ends it.
-func (k *Keeper) take(ctx context.Context, d fleet.Dispatch, f found) {
-	chain, err := k.readChain(ctx, d, f)
+// importBlocks reads the blocks and imports them into the engine. It stops at the first error.
+func (k *Keeper) importBlocks(ctx context.Context, d fleet.Dispatch, blocks storedBlocks) {
+	chain, err := k.readChain(ctx, d, blocks)
 	if err != nil {
-		k.Log.Info("kept state not used", "request", d.ID, "chosen", storesOf(f), "cause", err.Error())
+		k.Log.Info("kept state not used", "request", d.ID, "chosen", storeIDs(blocks), "cause", err.Error())
 		return
 	}
 	for _, b := range chain {
 		if err := k.Engine.Import(ctx, rillreach.KVState{Tokens: b.To, Payload: b.Payload}); err != nil {
-			k.Log.Info("engine did not take state", "request", d.ID, "cause", err.Error())
+			k.Log.Info("engine failed to import state", "request", d.ID, "cause", err.Error())
 			return
 		}
 		k.Stats.Imports.Add(1)
 	}
-	k.remember(d, chain)
+	k.recordStored(d, chain)
 }
 
-func (k *Keeper) readChain(ctx context.Context, d fleet.Dispatch, f found) ([]keep.Block, error) {
+// readChain reads the blocks from the last to the first, following their parents, and returns them in the order of the
+// prompt. It fails if a block is missing or invalid, or if the blocks are not contiguous.
+func (k *Keeper) readChain(ctx context.Context, d fleet.Dispatch, blocks storedBlocks) ([]keep.Block, error) {
 	var reversed []keep.Block
-	for key := d.Blocks[f.last]; key != (rillreach.BlockKey{}); {
-		pieces := f.pieces[key]
-		if pieces == nil {
-			return nil, errors.Wrap(keep.ErrInvalidBlock, "a block goes on from one that is not there")
+	for key := d.Blocks[blocks.lastPart]; key != (rillreach.BlockKey{}); {
+		stripes := blocks.stripes[key]
+		if stripes == nil {
+			return nil, errors.Wrap(keep.ErrInvalidBlock, "parent of a block was not found")
 		}
-		b, err := k.read(ctx, pieces)
+		b, err := k.readBlock(ctx, stripes)
 		if err != nil {
 			return nil, err
 		}
 		if len(reversed) > 0 && !reversed[len(reversed)-1].Follows(b) {
-			return nil, errors.Wrap(keep.ErrInvalidBlock, "blocks do not follow each other")
+			return nil, errors.Wrap(keep.ErrInvalidBlock, "blocks are not contiguous")
 		}
 		reversed = append(reversed, b)
 		key = b.Parent
@@ -211,14 +213,14 @@
 	return chain, nil
 }
 
-// remember notes what of a conversation is kept.
-func (k *Keeper) remember(d fleet.Dispatch, chain []keep.Block) {
+// recordStored records which blocks of a conversation are stored.
+func (k *Keeper) recordStored(d fleet.Dispatch, chain []keep.Block) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.recent.find(d.Conversation) == nil {
-		k.recent.add(&conversation{id: d.Conversation, account: d.Account, model: d.Model, version: d.Version, last: k.Clock.Now()})
+	if k.conversations.find(d.Conversation) == nil {
+		k.conversations.add(&conversation{id: d.Conversation, account: d.Account, model: d.Model, version: d.Version, lastAnswered: k.Clock.Now()})
 	}
 	for _, b := range chain {
-		k.recent.kept(d.Conversation, b.Parent, keptBlock{key: b.Key, to: b.To})
+		k.conversations.recordStored(d.Conversation, b.Parent, storedBlock{key: b.Key, to: b.To})
 	}
 }
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -17,90 +17,92 @@
 )
 
 const (
-	lookupTimeout = 100 * time.Millisecond
-	workTimeout   = 30 * time.Second
-	eventsEvery   = 500 * time.Millisecond
-	jobQueue      = 256
-	hitWeight     = 0.05
-	// minTokens is the shortest prompt whose state is looked for.
-	minTokens = 64
-	// retention is for how long a store is expected to hold a block.
-	retention = 24 * time.Hour
+	lookupTimeout  = 100 * time.Millisecond
+	jobTimeout     = 30 * time.Second
+	eventsInterval = 500 * time.Millisecond
+	maxQueuedJobs  = 256
+	// hitRateWeight is the weight of the newest sample in the moving average of the hit rate.
+	hitRateWeight = 0.05
+	// minPromptTokens is the length of the shortest prompt whose state is imported or exported.
+	minPromptTokens = 64
+	// expectedRetention is how long a store is expected to keep a block.
+	expectedRetention = 24 * time.Hour
 )
 
-// EventSource is an engine that publishes what its cache drops.
+// EventSource is an engine that publishes the evictions from its cache.
 type EventSource interface {
-	// Events returns the events from a sequence on.
+	// Events returns the events starting with the given sequence.
 	Events(ctx context.Context, from uint64) (keep.EventPage, error)
 }
 
-// Keeper is the work on kept state beside one engine; exported fields are set before Run.
+// Keeper imports, exports and copies state for one engine. Exported fields must be set before Init.
 type Keeper struct {
 	// Self is this process.
 	Self rillreach.Instance
-	// Engine is beside it.
+	// Engine is the engine on this process's backend server.
 	Engine rillreach.Engine
-	// Events publishes what the engine's cache drops; nil means that nobody does.
+	// Events publishes the evictions from the engine's cache. It may be nil.
 	Events EventSource
-	// Stores calls the stores.
+	// Stores is the client for all stores.
 	Stores *blockstore.Client
 	// Members are the known instances.
 	Members *membership.Members
-	// Sealer seals blocks.
+	// Sealer seals and opens blocks.
 	Sealer keep.Sealer
-	// Clock tells the time.
+	// Clock returns the current time.
 	Clock rillreach.Clock
-	// Log takes a line for each decision.
+	// Log receives one line for each decision.
 	Log logr.Logger
-	// Stats counts the work.
+	// Stats counts transfers and failures.
 	Stats Stats
 
-	resident keep.CacheEstimate
-	jobs     chan func(context.Context)
+	cache keep.CacheEstimate
+	jobs  chan func(context.Context)
 
-	mu     sync.Mutex
-	links  map[rillreach.InstanceID]*keep.Link
-	recent recent
-	// hits is how often the engine's memory has lately held a prompt that returned, stateBytes a token's state.
-	hits       float64
-	stateBytes float64
+	mu            sync.Mutex
+	links         map[rillreach.InstanceID]*keep.Link
+	conversations conversations
+	// hitRate is a moving average of how often the state of a returning prompt was still in the engine's memory,
+	// bytesPerToken the size of a token's state in the last export.
+	hitRate       float64
+	bytesPerToken float64
 }
 
-// Init readies the keeper; it must be called before any other method.
+// Init prepares the keeper. It must be called before any other method.
 func (k *Keeper) Init() {
-	k.jobs = make(chan func(context.Context), jobQueue)
+	k.jobs = make(chan func(context.Context), maxQueuedJobs)
 	k.links = map[rillreach.InstanceID]*keep.Link{}
-	k.recent = newRecent()
+	k.conversations = newConversations()
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (k *Keeper) Name() string { return "kept" }
 
-// Run follows the engine's events, and does the work that can wait, until the context ends.
+// Run processes the engine's events and the background jobs until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
-	wg.Go(func() { k.work(ctx) })
+	wg.Go(func() { k.runJobs(ctx) })
 	if k.Events != nil {
-		wg.Go(func() { k.follow(ctx) })
+		wg.Go(func() { k.pollEvents(ctx) })
 	}
 	wg.Wait()
 	return nil
 }
 
-// RecordAnswer notes that the engine has answered a prompt, and has its state written to a store in the background.
+// RecordAnswer records that the engine has answered a prompt, and exports its state in the background.
 func (k *Keeper) RecordAnswer(d fleet.Dispatch) {
-	if len(d.Blocks) == 0 || d.Tokens < minTokens {
+	if len(d.Blocks) == 0 || d.Tokens < minPromptTokens {
 		return
 	}
-	k.resident.Add(d.Blocks[len(d.Blocks)-1], d.Salt, d.Tokens)
+	k.cache.Add(d.Blocks[len(d.Blocks)-1], d.Salt, d.Tokens)
 	k.mu.Lock()
-	k.recent.answered(k.Clock.Now(), d)
+	k.conversations.recordAnswer(k.Clock.Now(), d)
 	k.mu.Unlock()
-	k.later(func(ctx context.Context) { k.export(ctx, d) })
+	k.enqueueJob(func(ctx context.Context) { k.exportState(ctx, d) })
 }
 
-// later has work done in the background, unless there is too much of it already.
-func (k *Keeper) later(job func(context.Context)) {
+// enqueueJob runs a job in the background. It drops the job if the queue is full.
+func (k *Keeper) enqueueJob(job func(context.Context)) {
 	select {
 	case k.jobs <- job:
 	default:
@@ -108,7 +110,7 @@
 	}
 }
 
-func (k *Keeper) work(ctx context.Context) {
+func (k *Keeper) runJobs(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -120,51 +122,53 @@
 }
 
 func (k *Keeper) runJob(ctx context.Context, job func(context.Context)) {
-	ctx, cancel := context.WithTimeout(ctx, workTimeout)
+	ctx, cancel := context.WithTimeout(ctx, jobTimeout)
 	defer cancel()
 	job(ctx)
 }
 
-func (k *Keeper) follow(ctx context.Context) {
-	pause.Every(ctx, eventsEvery, k.readEvents)
+func (k *Keeper) pollEvents(ctx context.Context) {
+	pause.Every(ctx, eventsInterval, k.readEvents)
 }
 
 func (k *Keeper) readEvents(ctx context.Context) {
-	page, err := k.Events.Events(ctx, k.resident.NextSequence())
+	page, err := k.Events.Events(ctx, k.cache.NextSequence())
 	if err != nil {
-		k.Log.V(1).Info("cache events not read", "cause", err.Error())
+		k.Log.V(1).Info("failed to read cache events", "cause", err.Error())
 		return
 	}
-	k.resident.ApplyEvents(page)
+	k.cache.ApplyEvents(page)
 	if len(page.Events) > 0 {
 		k.Log.Info("cache events", "count", len(page.Events), "next", page.Next)
 	}
 }
 
-// Rates are how often the engine's memory has lately held the state of a prompt that returned, what the slowest link
-// to a store carries in bytes a second, and the size of a token's state in bytes.
-func (k *Keeper) Rates() (hits, link, stateBytes float64) {
+// Rates returns a moving average of how often the state of a returning prompt was still in the engine's memory, the
+// rate of the slowest link to a store in bytes per second, and the size of a token's state in bytes. The last two are
+// zero while they are not known.
+func (k *Keeper) Rates() (hitRate, linkRate, bytesPerToken float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, l := range k.links {
-		if rate := l.Rate(); link == 0 || rate < link {
-			link = rate
+		if rate := l.Rate(); linkRate == 0 || rate < linkRate {
+			linkRate = rate
 		}
 	}
-	return k.hits, link, k.stateBytes
+	return k.hitRate, linkRate, k.bytesPerToken
 }
 
-// noteHit notes whether the engine's memory held a prompt that returned.
-func (k *Keeper) noteHit(hit bool) {
-	seen := 0.0
+// recordHit records whether the state of a returning prompt was still in the engine's memory.
+func (k *Keeper) recordHit(hit bool) {
+	sample := 0.0
 	if hit {
-		seen = 1
+		sample = 1
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.hits += hitWeight * (seen - k.hits)
+	k.hitRate += hitRateWeight * (sample - k.hitRate)
 }
 
+// linkTo returns the link to a store, and creates it if necessary.
 func (k *Keeper) linkTo(id rillreach.InstanceID) *keep.Link {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/kept/recent.go
+++ b/kept/recent.go
@@ -9,111 +9,115 @@
 	"github.com/rillreach/rillreach/keep"
 )
 
-const mostRecent = 8192
+// maxConversations is the number of conversations that a keeper remembers.
+const maxConversations = 8192
 
-// recent is what a keeper remembers of the conversations it has served.
-type recent struct {
-	order  *list.List
-	byConv map[uint64]*list.Element
-	gaps   map[rillreach.AccountID]*keep.ReturnHistogram
+// conversations tracks recently served conversations in LRU order, and for each account how soon its conversations
+// return.
+type conversations struct {
+	order   *list.List
+	byID    map[uint64]*list.Element
+	returns map[rillreach.AccountID]*keep.ReturnHistogram
 }
 
-// conversation is one that was served here.
+// conversation is a conversation that this agent has served.
 type conversation struct {
-	id      uint64
-	account rillreach.AccountID
-	model   rillreach.ModelID
-	version rillreach.VersionID
-	last    time.Time
-	// chain are the blocks that are kept of it, the first one first.
-	chain []keptBlock
+	id           uint64
+	account      rillreach.AccountID
+	model        rillreach.ModelID
+	version      rillreach.VersionID
+	lastAnswered time.Time
+	// stored are the stored blocks of the conversation, in the order of the prompt.
+	stored []storedBlock
 }
 
-// keptBlock is a block that is known to be in a store.
-type keptBlock struct {
+// storedBlock is a block that was found in or written to a store; to is the end of its tokens.
+type storedBlock struct {
 	key rillreach.BlockKey
 	to  int
 }
 
-func newRecent() recent {
-	return recent{order: list.New(), byConv: map[uint64]*list.Element{}, gaps: map[rillreach.AccountID]*keep.ReturnHistogram{}}
+func newConversations() conversations {
+	return conversations{order: list.New(), byID: map[uint64]*list.Element{}, returns: map[rillreach.AccountID]*keep.ReturnHistogram{}}
 }
 
-// answered notes a prompt of a conversation, and how long the conversation was away.
-func (r *recent) answered(now time.Time, d fleet.Dispatch) {
-	if c := r.find(d.Conversation); c != nil {
-		r.gapsOf(d.Account).RecordReturn(now.Sub(c.last))
-		c.last = now
+// recordAnswer records that a prompt of a conversation was answered, and how long after the previous one.
+func (cs *conversations) recordAnswer(now time.Time, d fleet.Dispatch) {
+	if c := cs.find(d.Conversation); c != nil {
+		cs.returnsOf(d.Account).RecordReturn(now.Sub(c.lastAnswered))
+		c.lastAnswered = now
 		return
 	}
-	r.add(&conversation{id: d.Conversation, account: d.Account, model: d.Model, version: d.Version, last: now})
+	cs.add(&conversation{id: d.Conversation, account: d.Account, model: d.Model, version: d.Version, lastAnswered: now})
 }
 
-func (r *recent) add(c *conversation) {
-	r.byConv[c.id] = r.order.PushFront(c)
-	if r.order.Len() <= mostRecent {
+// add adds a conversation. It evicts the least recently used one if there are too many.
+func (cs *conversations) add(c *conversation) {
+	cs.byID[c.id] = cs.order.PushFront(c)
+	if cs.order.Len() <= maxConversations {
 		return
 	}
-	oldest := r.order.Remove(r.order.Back()).(*conversation)
-	delete(r.byConv, oldest.id)
-	r.gapsOf(oldest.account).RecordLoss()
+	oldest := cs.order.Remove(cs.order.Back()).(*conversation)
+	delete(cs.byID, oldest.id)
+	cs.returnsOf(oldest.account).RecordLoss()
 }
 
-func (r *recent) find(id uint64) *conversation {
-	e := r.byConv[id]
+func (cs *conversations) find(id uint64) *conversation {
+	e := cs.byID[id]
 	if e == nil {
 		return nil
 	}
-	r.order.MoveToFront(e)
+	cs.order.MoveToFront(e)
 	return e.Value.(*conversation)
 }
 
-// kept notes that a block of a conversation is in a store, in the place of everything after the block it goes on from.
-func (r *recent) kept(id uint64, parent rillreach.BlockKey, b keptBlock) {
-	c := r.find(id)
+// recordStored records that a block of a conversation is stored. The block replaces all blocks after its parent.
+func (cs *conversations) recordStored(id uint64, parent rillreach.BlockKey, b storedBlock) {
+	c := cs.find(id)
 	if c == nil {
 		return
 	}
-	keepUntil := 0
-	for i, held := range c.chain {
-		if held.key == parent {
-			keepUntil = i + 1
+	parentEnd := 0
+	for i, block := range c.stored {
+		if block.key == parent {
+			parentEnd = i + 1
 		}
 	}
-	c.chain = append(c.chain[:keepUntil:keepUntil], b)
+	c.stored = append(c.stored[:parentEnd:parentEnd], b)
 }
 
-// lastKept is the last of a prompt's parts that is known to be in a store.
-func (r *recent) lastKept(d fleet.Dispatch) (keptBlock, bool) {
-	c := r.find(d.Conversation)
+// lastStored returns the last of a prompt's blocks that is known to be stored, and whether there is one.
+func (cs *conversations) lastStored(d fleet.Dispatch) (storedBlock, bool) {
+	c := cs.find(d.Conversation)
 	if c == nil {
-		return keptBlock{}, false
+		return storedBlock{}, false
 	}
-	for i := len(c.chain) - 1; i >= 0; i-- {
+	for i := len(c.stored) - 1; i >= 0; i-- {
 		for _, key := range d.Blocks {
-			if key == c.chain[i].key {
-				return c.chain[i], true
+			if key == c.stored[i].key {
+				return c.stored[i], true
 			}
 		}
 	}
-	return keptBlock{}, false
+	return storedBlock{}, false
 }
 
-func (r *recent) gapsOf(account rillreach.AccountID) *keep.ReturnHistogram {
-	g := r.gaps[account]
-	if g == nil {
-		g = &keep.ReturnHistogram{}
-		r.gaps[account] = g
+// returnsOf returns the account's histogram of return times, and creates it if necessary.
+func (cs *conversations) returnsOf(account rillreach.AccountID) *keep.ReturnHistogram {
+	h := cs.returns[account]
+	if h == nil {
+		h = &keep.ReturnHistogram{}
+		cs.returns[account] = h
 	}
-	return g
+	return h
 }
 
-// all returns the conversations, the one served last first.
-func (r *recent) all() []conversation {
-	all := make([]conversation, 0, r.order.Len())
-	for e := r.order.Front(); e != nil; e = e.Next() {
+// all returns copies of all conversations, the most recently used first.
+func (cs *conversations) all() []conversation {
+	all := make([]conversation, 0, cs.order.Len())
+	for e := cs.order.Front(); e != nil; e = e.Next() {
 		c := *e.Value.(*conversation)
-		c.chain = append([]keptBlock(nil), c.chain...)
+		c.stored = append([]storedBlock(nil), c.stored...)
 		all = append(all, c)
 	}
 	return all
--- a/kept/stores.go
+++ b/kept/stores.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	// maxStripes is over how many stores of a side a conversation's state is spread: its home, and the next by rank.
+	// maxStripes is the number of stores of a side over which a conversation's state is striped: the first ones in the
+	// rendezvous ranking.
 	maxStripes = 2
-	// busyRetry is the time between two tries to write over a link that reads are using.
-	busyRetry = 50 * time.Millisecond
+	// busyRetryInterval is the time between two attempts to write over a link that is busy with reads.
+	busyRetryInterval = 50 * time.Millisecond
 )
 
-// storesOn are the stores of a side for a conversation, the home first.
+// storesOn returns the usable stores of a side for a conversation, in the order of the rendezvous ranking.
 func (k *Keeper) storesOn(side rillreach.Side, conversation uint64) []*membership.Member {
 	all := k.Members.Group(membership.Group{Role: rillreach.RoleStore, Side: side})
 	ranked := route.Rank(conversation, len(all), maxStripes, func(i int) uint64 { return all[i].PlacementHash })
 	stores := make([]*membership.Member, 0, ranked.Len())
 	for rank := range ranked.Len() {
-		m := all[ranked.At(rank)]
-		if !m.IsLeaving() && k.linkTo(m.ID).Usable(k.Clock.Now()) {
-			stores = append(stores, m)
+		store := all[ranked.At(rank)]
+		if !store.IsLeaving() && k.linkTo(store.ID).Usable(k.Clock.Now()) {
+			stores = append(stores, store)
 		}
 	}
 	return stores
 }
 
-// piece is a stripe and the store that has it.
-type piece struct {
+// storedStripe is a stripe, the store that has it, and its size.
+type storedStripe struct {
 	stripe blockstore.Stripe
 	store  *membership.Member
 	bytes  int64
 }
 
-// read reads the pieces of one block at once, each over its own link, and puts them together.
-func (k *Keeper) read(ctx context.Context, pieces []piece) (keep.Block, error) {
-	stripes := make([]keep.Block, len(pieces))
+// readBlock reads the stripes of a block in parallel, each over its own link, and joins them.
+func (k *Keeper) readBlock(ctx context.Context, stored []storedStripe) (keep.Block, error) {
+	stripes := make([]keep.Block, len(stored))
 	group := pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
-	for i, p := range pieces {
+	for i, s := range stored {
 		group.Go(func(ctx context.Context) error {
 			var err error
-			stripes[i], err = k.readPiece(ctx, p)
+			stripes[i], err = k.readStripe(ctx, s)
 			return err
 		})
 	}
@@ -60,22 +61,23 @@
 	return keep.Join(stripes)
 }
 
-// readPiece reads one stripe over a link, and checks that it is whole.
-func (k *Keeper) readPiece(ctx context.Context, p piece) (keep.Block, error) {
-	link := k.linkTo(p.store.ID)
-	ctx, cancel := context.WithTimeout(ctx, link.ImportTimeout(p.bytes))
+// readStripe reads a stripe over its link and verifies it.
+func (k *Keeper) readStripe(ctx context.Context, s storedStripe) (keep.Block, error) {
+	link := k.linkTo(s.store.ID)
+	ctx, cancel := context.WithTimeout(ctx, link.ImportTimeout(s.bytes))
 	defer cancel()
 	start := k.Clock.Now()
-	link.BeginImport(p.bytes)
-	data, err := k.Stores.Read(ctx, p.store.Address, p.stripe)
+	link.BeginImport(s.bytes)
+	data, err := k.Stores.Read(ctx, s.store.Address, s.stripe)
 	now := k.Clock.Now()
-	block, openErr := k.open(data, p.stripe.Key, err)
+	block, openErr := k.openBlock(data, s.stripe.Key, err)
 	healthy := openErr == nil || errors.Is(openErr, rillreach.ErrNotFound)
-	link.EndImport(now, p.bytes, now.Sub(start), healthy)
+	link.EndImport(now, s.bytes, now.Sub(start), healthy)
 	return block, openErr
 }
 
-func (k *Keeper) open(data []byte, key rillreach.BlockKey, err error) (keep.Block, error) {
+// openBlock verifies and decodes the data of a read, unless the read failed, and updates the statistics.
+func (k *Keeper) openBlock(data []byte, key rillreach.BlockKey, err error) (keep.Block, error) {
 	if err != nil {
 		k.Stats.Failed.Add(1)
 		return keep.Block{}, err
@@ -88,43 +90,45 @@
 	return block, err
 }
 
-// write writes a block over some stores, a stripe to each, as soon as their links have room beside the reads.
-func (k *Keeper) write(ctx context.Context, stores []*membership.Member, b keep.Block) error {
+// writeBlock splits a block into one stripe for each store, and writes each stripe as soon as its link has capacity
+// beside the reads.
+func (k *Keeper) writeBlock(ctx context.Context, stores []*membership.Member, b keep.Block) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
 	for i, stripe := range b.Split(len(stores)) {
-		group.Go(func(ctx context.Context) error { return k.writeWhenFree(ctx, stores[i], stripe) })
+		group.Go(func(ctx context.Context) error { return k.writeStripeWhenFree(ctx, stores[i], stripe) })
 	}
 	return group.Wait()
 }
 
-// writeWhenFree writes a stripe as soon as its link has room.
-func (k *Keeper) writeWhenFree(ctx context.Context, to *membership.Member, b keep.Block) error {
+// writeStripeWhenFree writes a stripe as soon as its link has capacity.
+func (k *Keeper) writeStripeWhenFree(ctx context.Context, store *membership.Member, b keep.Block) error {
 	for {
-		err := k.writePiece(ctx, to, b)
+		err := k.tryWriteStripe(ctx, store, b)
 		if !errors.Is(err, errLinkBusy) {
 			return err
 		}
-		pause.For(ctx, busyRetry)
+		pause.For(ctx, busyRetryInterval)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
 }
 
-func (k *Keeper) writePiece(ctx context.Context, m *membership.Member, b keep.Block) error {
+// tryWriteStripe writes a stripe. It returns errLinkBusy if the link has no capacity for a background transfer.
+func (k *Keeper) tryWriteStripe(ctx context.Context, store *membership.Member, b keep.Block) error {
 	sealed, err := k.Sealer.Seal(b)
 	if err != nil {
 		return err
 	}
-	link, size := k.linkTo(m.ID), int64(len(sealed))
+	link, size := k.linkTo(store.ID), int64(len(sealed))
 	start := k.Clock.Now()
 	if !link.Usable(start) {
-		return errLinkDown
+		return errLinkBackoff
 	}
 	if !link.TryBeginBackground(size) {
 		return errLinkBusy
 	}
-	err = k.Stores.Write(ctx, m.Address, blockstore.Stripe{Key: b.Key, Index: b.Stripe, Count: b.Stripes}, sealed)
+	err = k.Stores.Write(ctx, store.Address, blockstore.Stripe{Key: b.Key, Index: b.Stripe, Count: b.Stripes}, sealed)
 	now := k.Clock.Now()
 	link.EndBackground(now, size, now.Sub(start), err == nil)
 	if err != nil {
@@ -136,8 +140,8 @@
 }
 
 var (
-	errLinkBusy = errors.New("link to the store is busy")
-	errLinkDown = errors.New("link to the store is left alone after failures")
+	errLinkBusy    = errors.New("link to the store is busy")
+	errLinkBackoff = errors.New("link to the store is backing off after a failure")
 )
 
 func otherSide(side rillreach.Side) rillreach.Side {
