--- a/agent/agent.go
+++ b/agent/agent.go
@@ -141,9 +141,9 @@
 	a.Node.Deregister(ctx)
 }
 
-// awaitKeyRelease waits, at most until the deadline, until this agent will own no more new keys, and then releaseDelay
-// longer, so that callers can still ask for outcomes. Until then other agents run the requests whose keys this agent
-// owns.
+// awaitKeyRelease waits, at most until the deadline, until this agent owns no more new keys, and then releaseDelay
+// longer, so that callers can still ask for outcomes. During that time the agent delegates the requests whose keys it
+// owns to other agents.
 func (a *Agent) awaitKeyRelease(deadline time.Time) {
 	if a.Engine != nil {
 		return
--- a/agent/delegate.go
+++ b/agent/delegate.go
@@ -19,8 +19,8 @@
 // delegateTicketLifetime is how long a ticket for a delegated request is valid.
 const delegateTicketLifetime = 5 * time.Minute
 
-// delegate has an agent on a side that may run the request run it, with a ticket for that agent alone. The owner still
-// stores the outcome, so that the ownership of the key does not change with the weights.
+// delegate sends the request to another agent, on a side that may run it, with a ticket for that agent alone. The
+// owner of the key still stores the outcome, so that the ownership does not change with the weights.
 func (a *Agent) delegate(ctx context.Context, d fleet.Dispatch) once.Outcome {
 	for _, side := range d.Sides {
 		m := a.chooseAgent(side, d)
--- a/agent/once.go
+++ b/agent/once.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// KeyLifetime is how long an idempotency key is stored after its timestamp.
+	// KeyLifetime is how long after its timestamp an idempotency key is stored.
 	KeyLifetime = 24 * time.Hour
 
 	// maxOutcomeBytes is the maximum size of a response that can be stored.
@@ -115,8 +115,8 @@
 // runAtMostOnce runs a request to completion even if its caller is gone. It stops early only if the grace period or
 // atMostOnceTimeout expires.
 func (a *Agent) runAtMostOnce(ctx context.Context, d fleet.Dispatch) once.Outcome {
-	ctx, release := a.running.DeriveContext(context.WithoutCancel(ctx))
-	defer release()
+	ctx, done := a.running.DeriveContext(context.WithoutCancel(ctx))
+	defer done()
 	ctx, cancel := context.WithTimeout(ctx, atMostOnceTimeout)
 	defer cancel()
 	if d.Key != "" && (a.Node.Leaving() || !slices.Contains(d.Sides, a.Node.Self.Side)) {
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -36,8 +36,8 @@
 	a.Node.Spread.CatchUp(call.From, d.Mark)
 	a.running.Add()
 	defer a.running.Done()
-	ctx, release := a.running.DeriveContext(ctx)
-	defer release()
+	ctx, done := a.running.DeriveContext(ctx)
+	defer done()
 	if d.Once {
 		return a.serveAtMostOnce(ctx, call, d)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -114,8 +114,8 @@
 	e.ticketChain = &filter.Chain{Log: e.Node.Log, Filters: append(common[:len(common):len(common)], ticketFilter{e.dispatch})}
 }
 
-// shutdown stops the entry within the grace period. Until the process exits it accepts new connections, refuses the
-// requests on them and closes them. Requests that do not finish in time get a final refusal.
+// shutdown stops the entry within the grace period. It accepts new connections almost until the process exits, but
+// refuses the requests on them and closes the connections. Requests that do not finish in time get a final refusal.
 func (e *Entry) shutdown(ctx context.Context) {
 	e.Node.Log.Info("leaving", "instance", e.Node.Self.ID)
 	deadline := time.Now().Add(e.Grace - node.FinalResponseWindow(e.Grace))
@@ -126,12 +126,12 @@
 		e.running.CancelAll(errGraceExpired)
 	}
 	e.Node.Deregister(ctx)
-	e.closeServer(ctx)
+	e.close(ctx)
 }
 
-// closeServer stops accepting connections, waits until the last responses and refusals are sent, and closes all
+// close stops accepting connections, waits until the last responses and refusals are sent, and closes all
 // connections.
-func (e *Entry) closeServer(ctx context.Context) {
+func (e *Entry) close(ctx context.Context) {
 	if err := e.listener.StopAccepting(); err != nil {
 		e.Node.Log.Error(err, "failed to close the listener for callers")
 	}
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -69,8 +69,8 @@
 func (e *Entry) runChain(w http.ResponseWriter, r *http.Request, chain *filter.Chain, setFields func(*rillreach.Request)) {
 	e.running.Add()
 	defer e.running.Done()
-	ctx, release := e.running.DeriveContext(r.Context())
-	defer release()
+	ctx, done := e.running.DeriveContext(r.Context())
+	defer done()
 	x := &rillreach.Exchange{Writer: e.withCloseOnLeaving(w), ArrivedAt: e.Node.Clock.Now()}
 	x.Request = newRequest(r)
 	setFields(&x.Request)
