--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -132,7 +132,7 @@
 func (g *Gateway) Run(ctx context.Context) error {
 	g.startedAt = time.Now()
 	g.state.Log, g.state.Metrics, g.state.RunnerRestarted = g.Log, g.Metrics, g.handleRunnerRestart
-	g.state.SuspendedTime = node.Suspended
+	g.state.SuspendedTime = node.SuspendedTime
 	g.state.Relays, g.state.NoticeTTL = &g.relays, g.noticeTTL()
 	g.refreshRunners = make(chan struct{}, 1)
 	g.suspects.TrialOffset = time.Duration(hash.String(g.Settings.Name) % uint64(maxTrialOffset))
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -38,7 +38,7 @@
 // planShutdown returns the schedule of a shutdown. Its deadline is the end of the grace period minus the margins.
 func (g *Gateway) planShutdown(signalTime time.Time) drain.Shutdown {
 	grace := g.Settings.Bounds.GracePeriod
-	untilDeadline := max(grace-min(ExitMargin, grace/exitMarginDivisor)-node.LastRequestTime-lastAnswerMargin, 0)
+	untilDeadline := max(grace-min(ExitMargin, grace/exitMarginDivisor)-node.LateRequestWindow-lastAnswerMargin, 0)
 	return drain.Shutdown{SignalTime: signalTime, NoticePeriod: min(shutdownNoticePeriod, untilDeadline/2), Deadline: signalTime.Add(untilDeadline)}
 }
 
@@ -57,8 +57,8 @@
 	if err := g.listener.StopAccepting(); err != nil {
 		g.Log.Error(err, "cannot close listener for callers")
 	}
-	// The listener is closed, so the exit must not be delayed by more than LastRequestTime in total.
-	time.Sleep(node.LastRequestTime - settleChecks*settleInterval)
+	// The listener is closed, so the exit must not be delayed by more than LateRequestWindow in total.
+	time.Sleep(node.LateRequestWindow - settleChecks*settleInterval)
 	g.settleConnections()
 	if g.inflight.Count() > 0 {
 		g.cutRemaining()
@@ -79,7 +79,7 @@
 // (about 1 of 2,800 requests during a shutdown under load).
 func (g *Gateway) settleConnections() {
 	quiet := 0
-	for end := time.Now().Add(node.LastRequestTime); quiet < settleChecks && time.Now().Before(end); time.Sleep(settleInterval) {
+	for end := time.Now().Add(node.LateRequestWindow); quiet < settleChecks && time.Now().Before(end); time.Sleep(settleInterval) {
 		quiet++
 		if g.idleConns.closeIdle() > 0 || g.inflight.Count() > 0 {
 			quiet = 0
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -69,7 +69,7 @@
 // Run runs the agent until the context is cancelled.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.state.Log, s.state.Metrics = s.Log, s.Metrics
-	s.state.SuspendedTime = node.Suspended
+	s.state.SuspendedTime = node.SuspendedTime
 	s.relist = make(chan struct{}, 1)
 	if s.Clock == nil {
 		s.Clock = node.SystemClock()
