--- a/agent/agent.go
+++ b/agent/agent.go
@@ -59,7 +59,7 @@
 	a.Node.RowChanged = a.rowChanged
 	a.Node.Start()
 	a.makeKeeper()
-	a.Node.Mux.Handle(peer.MethodServe, a.serve)
+	a.Node.Mux.Handle(peer.MethodDispatch, a.serve)
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	stop := context.AfterFunc(ctx, func() {
@@ -113,7 +113,7 @@
 	}
 	return []rillreach.Controller{&epochs.Controller{
 		Self: a.Node.Self, Store: a.Node.Store, Owners: a.Node.Owners, Members: a.Node.Members, Clock: a.Node.Clock, Log: a.Node.Log,
-		Keep: 2 * KeyLifetime,
+		KeyTTL: 2 * KeyLifetime,
 	}}
 }
 
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -118,12 +118,12 @@
 }
 
 // send sends one request and waits until the agent has said that it has it.
-func (r *running) send(d fleet.Dispatch) *peer.Stream {
+func (r *running) send(d fleet.Dispatch) *peer.ClientStream {
 	r.t.Helper()
 	d.ID, d.Account, d.Service, d.Method, d.Path = rillreach.RequestID(uuid.NewString()), account, service, http.MethodPost, "/issue"
 	body, err := peer.Encode(d)
 	require.NoError(r.t, err)
-	s, err := r.conn.Open(r.ctx, peer.MethodServe, body)
+	s, err := r.conn.Open(r.ctx, peer.MethodDispatch, body)
 	require.NoError(r.t, err)
 	r.t.Cleanup(s.Close)
 	part, err := s.Next(r.ctx)
@@ -135,7 +135,7 @@
 }
 
 // read reads an answer to its end, which is io.EOF where it is whole.
-func (r *running) read(s *peer.Stream) (size int, err error) {
+func (r *running) read(s *peer.ClientStream) (size int, err error) {
 	for {
 		part, err := s.Next(r.ctx)
 		if err != nil {
@@ -146,7 +146,7 @@
 }
 
 // refusal reads a stream that has to end with a refusal.
-func (r *running) refusal(s *peer.Stream) *rillreach.Refusal {
+func (r *running) refusal(s *peer.ClientStream) *rillreach.Refusal {
 	r.t.Helper()
 	_, err := r.read(s)
 	var refusal *rillreach.Refusal
@@ -170,7 +170,7 @@
 	const requests = 200
 	held := newHeld(bytes.Repeat([]byte("x"), 60<<10))
 	r := start(t, &Agent{Backend: held, Engine: held, Slots: requests})
-	var streams []*peer.Stream
+	var streams []*peer.ClientStream
 	for range requests {
 		streams = append(streams, r.send(fleet.Dispatch{}))
 		<-held.started
--- a/agent/delegate.go
+++ b/agent/delegate.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return refused(rillreach.NotRun(rillreach.ReasonBadRequest, err.Error()))
 	}
-	stream, err := conn.Open(ctx, peer.MethodServe, body)
+	stream, err := conn.Open(ctx, peer.MethodDispatch, body)
 	if err != nil {
 		return refused(err)
 	}
--- a/agent/once.go
+++ b/agent/once.go
@@ -25,7 +25,7 @@
 )
 
 // serveOnce runs a request at most once, and gives its outcome to everyone who asks for it.
-func (a *Agent) serveOnce(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
+func (a *Agent) serveOnce(ctx context.Context, call *peer.ServerStream, d fleet.Dispatch) error {
 	claim, err := a.claim(d)
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 	return once.Outcome{Refusal: refusal}
 }
 
-func sendOutcome(ctx context.Context, call *peer.Call, o once.Outcome) error {
+func sendOutcome(ctx context.Context, call *peer.ServerStream, o once.Outcome) error {
 	if o.Refusal != nil {
 		return certain(o.Refusal)
 	}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -24,15 +24,15 @@
 }
 
 // serve answers one request of an entry.
-func (a *Agent) serve(ctx context.Context, call *peer.Call) error {
+func (a *Agent) serve(ctx context.Context, call *peer.ServerStream) error {
 	d, err := peer.Decode[fleet.Dispatch](call.Body)
 	if err != nil {
 		return rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
 	}
-	if role := call.From.Peer.Role; role != rillreach.RoleEntry && role != rillreach.RoleAgent {
+	if role := call.Conn.Peer.Role; role != rillreach.RoleEntry && role != rillreach.RoleAgent {
 		return rillreach.NotRun(rillreach.ReasonUnauthorized, "only entries and agents may send requests")
 	}
-	a.Node.Spread.CatchUp(call.From, d.Mark)
+	a.Node.Spread.CatchUp(call.Conn, d.RowVersion)
 	a.running.Add()
 	defer a.running.Done()
 	ctx, unbind := a.running.Bind(ctx)
@@ -73,7 +73,7 @@
 }
 
 // serveNow runs a request in its turn and passes the answer on as it comes.
-func (a *Agent) serveNow(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
+func (a *Agent) serveNow(ctx context.Context, call *peer.ServerStream, d fleet.Dispatch) error {
 	place, refusal := a.slots.enter(d.Account, cost(d), d.Deadline)
 	if refusal != nil {
 		return refusal
@@ -119,8 +119,8 @@
 	return done
 }
 
-func (a *Agent) acknowledge(ctx context.Context, call *peer.Call) error {
-	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.hint(), Mark: a.Node.Copy.Watermark(rillreach.KindRow).Version})
+func (a *Agent) acknowledge(ctx context.Context, call *peer.ServerStream) error {
+	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.hint(), RowVersion: a.Node.Copy.Watermark(rillreach.KindRow).Version})
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 }
 
 // passOn sends an answer's head and then its body, part by part, as the backend server gives it.
-func passOn(ctx context.Context, call *peer.Call, answer rillreach.BackendResponse) error {
+func passOn(ctx context.Context, call *peer.ServerStream, answer rillreach.BackendResponse) error {
 	head, err := fleet.EncodePart(fleet.PartHead, fleet.Head{Status: answer.Status, Header: endToEnd(answer.Header)})
 	if err != nil {
 		return err
--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -162,11 +162,11 @@
 func leaseBytes(t *testing.T) float64 {
 	t.Helper()
 	const count = 20
-	var ask fleet.Ask
-	var leases fleet.Leases
+	var ask fleet.LeaseRequest
+	var leases fleet.LeaseResponse
 	for i := range count {
 		amounts := limit.Amounts{2.5, 1000, 3}
-		ask.Rows = append(ask.Rows, fleet.AskRow{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i), Demand: amounts})
+		ask.Rows = append(ask.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i), Demand: amounts})
 		leases.Granted = append(leases.Granted, amounts)
 	}
 	asked, err := peer.Encode(ask)
--- a/bench/capacity/connections_test.go
+++ b/bench/capacity/connections_test.go
@@ -24,8 +24,8 @@
 		},
 		Mux: &peer.Mux{Log: logr.Discard()}, Log: logr.Discard(),
 	}
-	peer.Answer(p.Mux, peer.MethodSync, func(context.Context, *peer.Conn, fleet.Sync) (fleet.Synced, error) {
-		return fleet.Synced{}, nil
+	peer.HandleUnary(p.Mux, peer.MethodSync, func(context.Context, *peer.Conn, fleet.SyncRequest) (fleet.SyncResponse, error) {
+		return fleet.SyncResponse{}, nil
 	})
 	p.Start(ctx)
 	return p
@@ -50,7 +50,7 @@
 				for _, address := range addresses {
 					conn, err := dialling.Get(ctx, address)
 					require.NoError(b, err)
-					_, err = peer.Ask[fleet.Sync, fleet.Synced](ctx, conn, peer.MethodSync, fleet.Sync{})
+					_, err = peer.Invoke[fleet.SyncRequest, fleet.SyncResponse](ctx, conn, peer.MethodSync, fleet.SyncRequest{})
 					require.NoError(b, err)
 				}
 			}
@@ -66,11 +66,11 @@
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
 			var size int
 			for b.Loop() {
-				var ask fleet.Ask
-				var leases fleet.Leases
+				var ask fleet.LeaseRequest
+				var leases fleet.LeaseResponse
 				for i := range rows {
 					demand := limit.Amounts{1.25, 312.5, 2}
-					ask.Rows = append(ask.Rows, fleet.AskRow{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i%37), Demand: demand})
+					ask.Rows = append(ask.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i%37), Demand: demand})
 					leases.Granted = append(leases.Granted, demand)
 				}
 				asked, err := peer.Encode(ask)
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -20,8 +20,8 @@
 const (
 	defaultLead   = node.DefaultLead
 	defaultGrace  = node.DefaultGrace
-	defaultDigest = spread.DefaultDigestEvery
-	defaultWatch  = spread.DefaultWatchWait
+	defaultDigest = spread.DefaultSyncInterval
+	defaultWatch  = spread.DefaultWatchTimeout
 	minSecret     = 16
 )
 
--- a/cmd/table_status.go
+++ b/cmd/table_status.go
@@ -84,7 +84,7 @@
 }
 
 // awaitVersion waits until no process that answers is behind a version.
-func awaitVersion(ctx context.Context, operators string, version uint64, timeout time.Duration) (fleet.Counted, error) {
+func awaitVersion(ctx context.Context, operators string, version uint64, timeout time.Duration) (fleet.VersionCounts, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
@@ -95,7 +95,7 @@
 		select {
 		case <-ctx.Done():
 			return counted, errors.Newf("version %d is in force at %d processes, not yet at %d; %d did not answer", version,
-				counted.InForce, counted.Behind, counted.Silent)
+				counted.InForce, counted.Behind, counted.Unresponsive)
 		case <-time.After(waitPoll):
 		}
 	}
@@ -114,8 +114,8 @@
 	return newest, nil
 }
 
-func countAt(ctx context.Context, operators string, version uint64) (fleet.Counted, error) {
-	var counted fleet.Counted
+func countAt(ctx context.Context, operators string, version uint64) (fleet.VersionCounts, error) {
+	var counted fleet.VersionCounts
 	if operators == "" {
 		return counted, codedError{error: errors.New("give a process's operators' address with --operators"), code: ExitUsage}
 	}
@@ -134,10 +134,10 @@
 	return counted, errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&counted), "read process's answer")
 }
 
-func writeCounted(c *cli.Command, version uint64, counted fleet.Counted) error {
+func writeCounted(c *cli.Command, version uint64, counted fleet.VersionCounts) error {
 	if c.String("output") == outputTable {
 		_, err := fmt.Fprintf(c.Root().Writer, "version %d: in force at %d processes, behind at %d, no answer from %d\n", version,
-			counted.InForce, counted.Behind, counted.Silent)
+			counted.InForce, counted.Behind, counted.Unresponsive)
 		return errors.Wrap(err, "write status")
 	}
 	return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(counted), "write status")
--- a/controller/epochs/epochs.go
+++ b/controller/epochs/epochs.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// DefaultEvery is how often the owners are compared with the members.
-	DefaultEvery = 500 * time.Millisecond
+	// DefaultInterval is how often the owners are compared with the members.
+	DefaultInterval = 500 * time.Millisecond
 	// margin is how much later than it must an epoch comes into force, for the time its recording takes.
 	margin = 2 * time.Second
 )
@@ -40,10 +40,10 @@
 	Clock rillreach.Clock
 	// Log takes a line for each epoch.
 	Log logr.Logger
-	// Keep is how long a key may be used after its minting.
-	Keep time.Duration
-	// Every is how often to compare; zero means the default.
-	Every time.Duration
+	// KeyTTL is how long a key may be used after its minting.
+	KeyTTL time.Duration
+	// Interval is how often to compare; zero means the default.
+	Interval time.Duration
 
 	differing int
 }
@@ -53,10 +53,10 @@
 
 // Run compares and proposes until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
-	if c.Every == 0 {
-		c.Every = DefaultEvery
+	if c.Interval == 0 {
+		c.Interval = DefaultInterval
 	}
-	pause.Every(ctx, c.Every, c.round)
+	pause.Every(ctx, c.Interval, c.round)
 	return nil
 }
 
@@ -142,7 +142,7 @@
 	if c.rank(wanted) > 0 {
 		return
 	}
-	for _, number := range c.Owners.SupersededEpochs(c.Self.Service, c.Clock.Now().Add(-c.Keep)) {
+	for _, number := range c.Owners.SupersededEpochs(c.Self.Service, c.Clock.Now().Add(-c.KeyTTL)) {
 		object, err := c.Store.Get(ctx, rillreach.KindOwners, objectName(c.Self.Service, number))
 		if err != nil {
 			return
--- a/controller/lease/books.go
+++ b/controller/lease/books.go
@@ -27,8 +27,8 @@
 }
 
 // grantAll leases to an entry what it asks for, as far as this entry owns it and has it.
-func (c *Controller) grantAll(to rillreach.InstanceID, ask fleet.Ask) fleet.Leases {
-	leases := fleet.Leases{Granted: make([]limit.Amounts, len(ask.Rows))}
+func (c *Controller) grantAll(to rillreach.InstanceID, ask fleet.LeaseRequest) fleet.LeaseResponse {
+	leases := fleet.LeaseResponse{Granted: make([]limit.Amounts, len(ask.Rows))}
 	for i, r := range ask.Rows {
 		if c.owners(r.Row)[r.Part] == c.Self.ID {
 			leases.Granted[i] = c.grant(to, r)
@@ -37,7 +37,7 @@
 	return leases
 }
 
-func (c *Controller) grant(to rillreach.InstanceID, r fleet.AskRow) limit.Amounts {
+func (c *Controller) grant(to rillreach.InstanceID, r fleet.RowDemand) limit.Amounts {
 	line, ok := c.Table.Get(r.Row)
 	if !ok {
 		return limit.Amounts{}
--- a/controller/lease/lease.go
+++ b/controller/lease/lease.go
@@ -62,7 +62,7 @@
 
 // Register sets the handler for what entries ask of this one as an owner.
 func (c *Controller) Register(mux *peer.Mux) {
-	peer.Answer(mux, peer.MethodLease, c.answer)
+	peer.HandleUnary(mux, peer.MethodLease, c.answer)
 }
 
 // Run renews the leases until the context ends.
@@ -166,16 +166,16 @@
 
 // renew asks the owners of rows for leases, each owner once.
 func (c *Controller) renew(ctx context.Context, names []string) {
-	asks := map[rillreach.InstanceID]*fleet.Ask{}
+	asks := map[rillreach.InstanceID]*fleet.LeaseRequest{}
 	for _, name := range names {
 		owners := c.owners(name)
 		var demand limit.Amounts
 		c.with(name, func(s *rowShare) { demand = s.Demand(c.Clock.Now()) })
 		for part, owner := range owners {
 			if asks[owner] == nil {
-				asks[owner] = &fleet.Ask{}
+				asks[owner] = &fleet.LeaseRequest{}
 			}
-			asks[owner].Rows = append(asks[owner].Rows, fleet.AskRow{Row: name, Part: limit.Part(part), Demand: demand})
+			asks[owner].Rows = append(asks[owner].Rows, fleet.RowDemand{Row: name, Part: limit.Part(part), Demand: demand})
 		}
 	}
 	var wg conc.WaitGroup
@@ -186,7 +186,7 @@
 }
 
 // ask asks one owner. A lease's time runs from before the asking, so that it ends here before it ends at the owner.
-func (c *Controller) ask(ctx context.Context, owner rillreach.InstanceID, ask fleet.Ask) {
+func (c *Controller) ask(ctx context.Context, owner rillreach.InstanceID, ask fleet.LeaseRequest) {
 	asked := c.Clock.Now()
 	leases, err := c.askOwner(ctx, owner, ask)
 	if err != nil || len(leases.Granted) != len(ask.Rows) {
@@ -198,26 +198,26 @@
 	}
 }
 
-func (c *Controller) askOwner(ctx context.Context, owner rillreach.InstanceID, ask fleet.Ask) (fleet.Leases, error) {
+func (c *Controller) askOwner(ctx context.Context, owner rillreach.InstanceID, ask fleet.LeaseRequest) (fleet.LeaseResponse, error) {
 	if owner == c.Self.ID {
 		return c.grantAll(c.Self.ID, ask), nil
 	}
 	m := c.Members.Find(owner)
 	if m == nil {
-		return fleet.Leases{}, errors.Newf("owner %s is not known", owner)
+		return fleet.LeaseResponse{}, errors.Newf("owner %s is not known", owner)
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	conn, err := c.Pool.Get(ctx, m.Address)
 	if err != nil {
-		return fleet.Leases{}, err
+		return fleet.LeaseResponse{}, err
 	}
-	return peer.Ask[fleet.Ask, fleet.Leases](ctx, conn, peer.MethodLease, ask)
+	return peer.Invoke[fleet.LeaseRequest, fleet.LeaseResponse](ctx, conn, peer.MethodLease, ask)
 }
 
-func (c *Controller) answer(_ context.Context, from *peer.Conn, ask fleet.Ask) (fleet.Leases, error) {
+func (c *Controller) answer(_ context.Context, from *peer.Conn, ask fleet.LeaseRequest) (fleet.LeaseResponse, error) {
 	if from.Peer.Role != rillreach.RoleEntry {
-		return fleet.Leases{}, rillreach.NotRun(rillreach.ReasonUnauthorized, "only entries have leases")
+		return fleet.LeaseResponse{}, rillreach.NotRun(rillreach.ReasonUnauthorized, "only entries have leases")
 	}
 	return c.grantAll(from.Peer.ID, ask), nil
 }
--- a/controller/lease/lease_test.go
+++ b/controller/lease/lease_test.go
@@ -50,8 +50,8 @@
 	return c, &now
 }
 
-func ask(demand float64) fleet.Ask {
-	return fleet.Ask{Rows: []fleet.AskRow{{Row: limited.Name(), Part: limit.PartFirst, Demand: limit.Amounts{demand, 0, demand}}}}
+func ask(demand float64) fleet.LeaseRequest {
+	return fleet.LeaseRequest{Rows: []fleet.RowDemand{{Row: limited.Name(), Part: limit.PartFirst, Demand: limit.Amounts{demand, 0, demand}}}}
 }
 
 func TestOwners(t *testing.T) {
--- a/controller/probe/probe.go
+++ b/controller/probe/probe.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := peer.Ask[fleet.Sync, fleet.Synced](ctx, conn, peer.MethodSync, fleet.Sync{}); err != nil {
+	if _, err := peer.Invoke[fleet.SyncRequest, fleet.SyncResponse](ctx, conn, peer.MethodSync, fleet.SyncRequest{}); err != nil {
 		return nil, err
 	}
 	return conn, nil
--- a/controller/register/register.go
+++ b/controller/register/register.go
@@ -27,8 +27,8 @@
 	Store rillreach.ObjectStore
 	// Log takes what goes wrong.
 	Log logr.Logger
-	// Superseded is called once a later incarnation is found in this instance's place; it may be nil.
-	Superseded func()
+	// OnSuperseded is called once a later incarnation is found in this instance's place; it may be nil.
+	OnSuperseded func()
 }
 
 // Name is the controller's name.
@@ -44,8 +44,8 @@
 		}
 		if errors.Is(err, errSuperseded) {
 			c.Log.Info("a later incarnation has this place", "instance", c.Self.ID)
-			if c.Superseded != nil {
-				c.Superseded()
+			if c.OnSuperseded != nil {
+				c.OnSuperseded()
 			}
 			break
 		}
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// Leave records that the instance leaves; it does not depend on Run.
-func (c *Controller) Leave(ctx context.Context) error {
+// MarkLeaving records that the instance leaves; it does not depend on Run.
+func (c *Controller) MarkLeaving(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, lastCall)
 	defer cancel()
 	leaving := c.Self
--- a/controller/spread/digest.go
+++ b/controller/spread/digest.go
@@ -17,7 +17,7 @@
 // digestAll compares marks with one partner after another.
 func (c *Controller) digestAll(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, jitter(c.DigestEvery))
+		pause.For(ctx, jitter(c.SyncInterval))
 		partners := c.currentPlan().Partners
 		if len(partners) == 0 || ctx.Err() != nil {
 			continue
@@ -34,7 +34,7 @@
 
 // stale reports whether nothing has confirmed the copy of the rows for longer than watchers that work would let pass.
 func (c *Controller) stale() bool {
-	return c.Clock.Now().UnixNano()-c.confirmed.Load() > int64(staleWatches*c.WatchWait)
+	return c.Clock.Now().UnixNano()-c.confirmed.Load() > int64(staleWatches*c.WatchTimeout)
 }
 
 // lookAfterWatchers suspects the zone's watchers that do not answer, so that others take their place. All processes of
@@ -64,10 +64,10 @@
 // CatchUp compares marks with a peer when real traffic has shown that its copy of the rows goes up to a mark that this
 // process has not reached.
 func (c *Controller) CatchUp(conn *peer.Conn, mark uint64) {
-	if mark <= c.Copy.Watermark(rillreach.KindRow).Version {
+	if mark <= c.Replica.Watermark(rillreach.KindRow).Version {
 		return
 	}
-	c.Stats.Carried.Add(1)
+	c.Stats.CatchUps.Add(1)
 	c.pushes.Go(func() {
 		ctx, cancel := context.WithTimeout(c.base, askTimeout)
 		defer cancel()
@@ -78,36 +78,36 @@
 }
 
 func (c *Controller) syncOver(ctx context.Context, conn *peer.Conn) error {
-	c.Stats.Digests.Add(1)
-	reply, err := peer.Ask[fleet.Sync, fleet.Synced](ctx, conn, peer.MethodSync, fleet.Sync{Marks: c.Copy.Watermarks()})
+	c.Stats.Syncs.Add(1)
+	reply, err := peer.Invoke[fleet.SyncRequest, fleet.SyncResponse](ctx, conn, peer.MethodSync, fleet.SyncRequest{Watermarks: c.Replica.Watermarks()})
 	if err != nil {
 		return errors.Wrapf(err, "compare marks with %s", conn.Peer.ID)
 	}
 	for _, d := range reply.Deltas {
 		c.merge(d, conn.Peer.ID)
 	}
-	return c.giveBack(ctx, conn, reply.Marks)
+	return c.giveBack(ctx, conn, reply.Watermarks)
 }
 
 // giveBack sends the peer what it lacks itself.
 func (c *Controller) giveBack(ctx context.Context, conn *peer.Conn, marks []replicate.Watermark) error {
 	for _, mark := range marks {
-		d, ok := c.Copy.DeltaSince(mark)
+		d, ok := c.Replica.DeltaSince(mark)
 		if !ok {
 			continue
 		}
 		c.Stats.Pushes.Add(1)
-		if _, err := peer.Ask[fleet.Push, fleet.Pushed](ctx, conn, peer.MethodPush, fleet.Push{Delta: d}); err != nil {
+		if _, err := peer.Invoke[fleet.PushRequest, fleet.PushResponse](ctx, conn, peer.MethodPush, fleet.PushRequest{Delta: d}); err != nil {
 			return errors.Wrapf(err, "give changes to %s", conn.Peer.ID)
 		}
 	}
 	return nil
 }
 
-func (c *Controller) answerSync(_ context.Context, _ *peer.Conn, s fleet.Sync) (fleet.Synced, error) {
-	reply := fleet.Synced{Marks: c.Copy.Watermarks()}
-	for _, mark := range s.Marks {
-		if d, ok := c.Copy.DeltaSince(mark); ok {
+func (c *Controller) answerSync(_ context.Context, _ *peer.Conn, s fleet.SyncRequest) (fleet.SyncResponse, error) {
+	reply := fleet.SyncResponse{Watermarks: c.Replica.Watermarks()}
+	for _, mark := range s.Watermarks {
+		if d, ok := c.Replica.DeltaSince(mark); ok {
 			reply.Deltas = append(reply.Deltas, d)
 		}
 	}
--- a/controller/spread/fleet_test.go
+++ b/controller/spread/fleet_test.go
@@ -189,17 +189,17 @@
 	self := f.instance(i, listener, incarnation)
 	members := membership.New()
 	mux := &peer.Mux{Log: logr.Discard()}
-	pool := &peer.Pool{Self: self, Mux: mux, Log: logr.Discard(), Met: members.Upsert, Dial: f.network.dialFrom(self.Address.String())}
+	pool := &peer.Pool{Self: self, Mux: mux, Log: logr.Discard(), OnConnect: members.Upsert, Dial: f.network.dialFrom(self.Address.String())}
 	pool.Start(ctx)
 	copied := replicate.NewReplica()
 	copied.AddKind(rillreach.KindRow, func(rillreach.Object) {}, nil)
 	copied.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = members.Apply(o) }, nil)
 	g := &gate{ObjectStore: f.store}
 	c := &Controller{
-		Self: self, Store: g, Copy: copied, Members: members, Pool: pool, Log: logr.Discard(),
-		Clock:       rillreach.ClockFunc(time.Now),
-		DigestEvery: 100 * time.Millisecond,
-		WatchWait:   time.Second,
+		Self: self, Store: g, Replica: copied, Members: members, Pool: pool, Log: logr.Discard(),
+		Clock:        rillreach.ClockFunc(time.Now),
+		SyncInterval: 100 * time.Millisecond,
+		WatchTimeout: time.Second,
 	}
 	c.Register(mux)
 	server := &http.Server{Handler: pool, ReadHeaderTimeout: time.Second}
@@ -271,7 +271,7 @@
 func (f *testFleet) holding(version uint64) int {
 	count := 0
 	for _, n := range f.nodes {
-		if n.Copy.Watermark(rillreach.KindRow).Version >= version {
+		if n.Replica.Watermark(rillreach.KindRow).Version >= version {
 			count++
 		}
 	}
@@ -322,7 +322,7 @@
 	for _, n := range f.nodes {
 		c.calls += n.Stats.PlatformCalls.Load()
 		c.pushes += n.Stats.Pushes.Load()
-		c.digests += n.Stats.Digests.Load()
+		c.digests += n.Stats.Syncs.Load()
 		c.frames += n.Pool.Traffic.Frames.Load()
 		c.bytes += n.Pool.Traffic.Bytes.Load()
 	}
--- a/controller/spread/spread.go
+++ b/controller/spread/spread.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// DefaultDigestEvery is how often marks are compared with a partner.
-	DefaultDigestEvery = 2 * time.Second
-	// DefaultWatchWait is how long one watch waits for a change.
-	DefaultWatchWait = 5 * time.Second
+	// DefaultSyncInterval is how often marks are compared with a partner.
+	DefaultSyncInterval = 2 * time.Second
+	// DefaultWatchTimeout is how long one watch waits for a change.
+	DefaultWatchTimeout = 5 * time.Second
 
 	// watchGap is the least time between two watches of a kind, so that a burst of changes costs the platform no more
 	// than five calls a second for each watcher; the changes of one gap come together.
@@ -41,10 +41,10 @@
 type Stats struct {
 	PlatformCalls atomic.Int64
 	Pushes        atomic.Int64
-	Digests       atomic.Int64
+	Syncs         atomic.Int64
 	Deltas        atomic.Int64
-	// Carried counts how often real traffic has shown that this process was behind.
-	Carried atomic.Int64
+	// CatchUps counts how often real traffic has shown that this process was behind.
+	CatchUps atomic.Int64
 }
 
 // Controller is the spreading of one process.
@@ -53,8 +53,8 @@
 	Self rillreach.Instance
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
-	// Copy is what is kept close to the platform.
-	Copy *replicate.Replica
+	// Replica is what is kept close to the platform.
+	Replica *replicate.Replica
 	// Members are the known processes.
 	Members *membership.Members
 	// Pool connects to peers.
@@ -63,9 +63,9 @@
 	Clock rillreach.Clock
 	// Log takes what goes wrong.
 	Log logr.Logger
-	// DigestEvery and WatchWait are the rhythm; zero means the defaults.
-	DigestEvery time.Duration
-	WatchWait   time.Duration
+	// SyncInterval and WatchWait are the rhythm; zero means the defaults.
+	SyncInterval time.Duration
+	WatchTimeout time.Duration
 	// Stats counts the cost.
 	Stats Stats
 
@@ -110,10 +110,10 @@
 
 // Register sets the handlers for what peers ask of this controller.
 func (c *Controller) Register(mux *peer.Mux) {
-	peer.Answer(mux, peer.MethodPush, c.takePush)
-	peer.Answer(mux, peer.MethodSync, c.answerSync)
-	peer.Answer(mux, peer.MethodNotice, c.takeNotice)
-	peer.Answer(mux, peer.MethodStatus, c.answerCount)
+	peer.HandleUnary(mux, peer.MethodPush, c.takePush)
+	peer.HandleUnary(mux, peer.MethodSync, c.answerSync)
+	peer.HandleUnary(mux, peer.MethodAnnounce, c.takeNotice)
+	peer.HandleUnary(mux, peer.MethodCount, c.answerCount)
 }
 
 // Run keeps the copy close to the platform until the context ends.
@@ -124,7 +124,7 @@
 	c.confirmed.Store(c.Clock.Now().UnixNano())
 	c.bootstrap(ctx)
 	var wg conc.WaitGroup
-	for _, kind := range c.Copy.Kinds() {
+	for _, kind := range c.Replica.Kinds() {
 		wg.Go(func() { c.watchAll(ctx, kind) })
 	}
 	wg.Go(func() { c.digestAll(ctx) })
@@ -134,11 +134,11 @@
 }
 
 func (c *Controller) setDefaults() {
-	if c.DigestEvery == 0 {
-		c.DigestEvery = DefaultDigestEvery
+	if c.SyncInterval == 0 {
+		c.SyncInterval = DefaultSyncInterval
 	}
-	if c.WatchWait == 0 {
-		c.WatchWait = DefaultWatchWait
+	if c.WatchTimeout == 0 {
+		c.WatchTimeout = DefaultWatchTimeout
 	}
 }
 
@@ -175,12 +175,12 @@
 }
 
 func (c *Controller) watch(ctx context.Context, kind rillreach.ObjectKind) error {
-	mark := c.Copy.Watermark(kind)
+	mark := c.Replica.Watermark(kind)
 	if mark.Version == 0 {
 		return c.list(ctx, kind)
 	}
 	c.Stats.PlatformCalls.Add(1)
-	page, err := c.Store.Watch(ctx, kind, mark.Version, c.WatchWait)
+	page, err := c.Store.Watch(ctx, kind, mark.Version, c.WatchTimeout)
 	if errors.Is(err, rillreach.ErrNotFound) {
 		return c.list(ctx, kind)
 	}
@@ -211,7 +211,7 @@
 
 // merge takes a delta in and hands it on if it was new.
 func (c *Controller) merge(d replicate.Delta, from rillreach.InstanceID) replicate.MergeResult {
-	verdict := c.Copy.Merge(d)
+	verdict := c.Replica.Merge(d)
 	if d.To.Kind == rillreach.KindRow && (verdict == replicate.MergeApplied || verdict == replicate.MergeConfirmed) {
 		c.confirmed.Store(c.Clock.Now().UnixNano())
 	}
@@ -236,7 +236,7 @@
 		c.Log.V(1).Info("change not handed on", "peer", to, "cause", err.Error())
 		return
 	}
-	if _, err := peer.Ask[fleet.Push, fleet.Pushed](ctx, conn, peer.MethodPush, fleet.Push{Delta: d}); err != nil {
+	if _, err := peer.Invoke[fleet.PushRequest, fleet.PushResponse](ctx, conn, peer.MethodPush, fleet.PushRequest{Delta: d}); err != nil {
 		c.Log.V(1).Info("change not handed on", "peer", to, "cause", err.Error())
 	}
 }
@@ -249,21 +249,21 @@
 	return c.Pool.Get(ctx, m.Address)
 }
 
-func (c *Controller) takePush(ctx context.Context, from *peer.Conn, p fleet.Push) (fleet.Pushed, error) {
+func (c *Controller) takePush(ctx context.Context, from *peer.Conn, p fleet.PushRequest) (fleet.PushResponse, error) {
 	if c.merge(p.Delta, from.Peer.ID) == replicate.MergeGap {
 		if err := c.syncOver(ctx, from); err != nil {
-			return fleet.Pushed{}, err
+			return fleet.PushResponse{}, err
 		}
 	}
-	return fleet.Pushed{Mark: c.Copy.Watermark(p.Delta.To.Kind)}, nil
+	return fleet.PushResponse{Watermark: c.Replica.Watermark(p.Delta.To.Kind)}, nil
 }
 
-func (c *Controller) takeNotice(_ context.Context, from *peer.Conn, n fleet.Notice) (fleet.Noted, error) {
+func (c *Controller) takeNotice(_ context.Context, from *peer.Conn, n fleet.AnnounceRequest) (fleet.AnnounceResponse, error) {
 	if n.Instance.ID != from.Peer.ID {
-		return fleet.Noted{}, rillreach.NotRun(rillreach.ReasonBadRequest, "notice is about another instance than its sender")
+		return fleet.AnnounceResponse{}, rillreach.NotRun(rillreach.ReasonBadRequest, "notice is about another instance than its sender")
 	}
 	c.Members.Upsert(n.Instance)
-	return fleet.Noted{}, nil
+	return fleet.AnnounceResponse{}, nil
 }
 
 func jitter(wait time.Duration) time.Duration {
--- a/controller/spread/spread_test.go
+++ b/controller/spread/spread_test.go
@@ -120,12 +120,12 @@
 	version := f.write("row-1", "counted")
 	f.awaitAll(version, count)
 	t.Run("every process is counted once", func(t *testing.T) {
-		counted := f.nodes[3].CountAll(context.Background(), rillreach.KindRow, version)
-		assert.Equal(t, fleet.Counted{InForce: count}, counted)
+		counted := f.nodes[3].CountReplicas(context.Background(), rillreach.KindRow, version)
+		assert.Equal(t, fleet.VersionCounts{InForce: count}, counted)
 	})
 	t.Run("a later version is in force nowhere", func(t *testing.T) {
-		counted := f.nodes[3].CountAll(context.Background(), rillreach.KindRow, version+1000)
-		assert.Equal(t, fleet.Counted{Behind: count}, counted)
+		counted := f.nodes[3].CountReplicas(context.Background(), rillreach.KindRow, version+1000)
+		assert.Equal(t, fleet.VersionCounts{Behind: count}, counted)
 	})
 }
 
--- a/controller/subscribe/subscribe.go
+++ b/controller/subscribe/subscribe.go
@@ -26,10 +26,10 @@
 	Pool *peer.Pool
 	// Agent is the agent's address.
 	Agent netip.AddrPort
-	// Ask says who follows, and what it wants to know.
-	Ask bulletin.FollowRequest
-	// Take is given each bulletin and when it came.
-	Take func(b *bulletin.Bulletin, now time.Time)
+	// Request says who follows, and what it wants to know.
+	Request bulletin.FollowRequest
+	// OnBulletin is given each bulletin and when it came.
+	OnBulletin func(b *bulletin.Bulletin, now time.Time)
 	// Log takes the agent's loss and return.
 	Log logr.Logger
 
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	body, err := peer.Encode(s.Ask)
+	body, err := peer.Encode(s.Request)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 			s.lost = false
 			s.Log.Info("dependency regained", "dependency", "agent", "agent", s.Agent)
 		}
-		s.Take(&b, time.Now())
+		s.OnBulletin(&b, time.Now())
 	}
 }
 
--- a/filter/dispatch/attempt.go
+++ b/filter/dispatch/attempt.go
@@ -37,7 +37,7 @@
 		Key:          req.IdempotencyKey,
 		Ticket:       req.Ticket,
 		Sides:        allowedSides(req.Row.Weights),
-		Mark:         f.Node.Copy.Watermark(rillreach.KindRow).Version,
+		RowVersion:   f.Node.Copy.Watermark(rillreach.KindRow).Version,
 	}
 	if req.Service == "" {
 		d.Model, d.Version = req.Row.Model, req.Row.Version
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	stream, err := conn.Open(ctx, peer.MethodServe, body)
+	stream, err := conn.Open(ctx, peer.MethodDispatch, body)
 	if err != nil {
 		return rillreach.NotRun(rillreach.ReasonNoBackend, "request could not be sent: "+err.Error())
 	}
@@ -88,7 +88,7 @@
 
 // awaitAck waits for the agent to acknowledge the request. It marks the agent as suspected if it does not do so in
 // time or the connection closes.
-func (f *Filter) awaitAck(ctx context.Context, stream *peer.Stream, conn *peer.Conn, m *membership.Member) error {
+func (f *Filter) awaitAck(ctx context.Context, stream *peer.ClientStream, conn *peer.Conn, m *membership.Member) error {
 	timeout := f.AckTimeout
 	if timeout == 0 {
 		timeout = DefaultAckTimeout
@@ -107,7 +107,7 @@
 }
 
 // readAck reads an agent's acknowledgement of the request.
-func readAck(ctx context.Context, stream *peer.Stream) (fleet.Ack, error) {
+func readAck(ctx context.Context, stream *peer.ClientStream) (fleet.Ack, error) {
 	part, err := stream.Next(ctx)
 	if err != nil {
 		return fleet.Ack{}, err
@@ -128,12 +128,12 @@
 	hint := ack.Hint
 	hint.ReceivedAt = f.Node.Clock.Now()
 	m.SetLoadHint(hint)
-	f.Node.Spread.CatchUp(conn, ack.Mark)
+	f.Node.Spread.CatchUp(conn, ack.RowVersion)
 }
 
 // relayResponse relays the response to the caller. A streamed response is relayed as it arrives, any other one once
 // it is complete, so that the request can be retried until then.
-func (f *Filter) relayResponse(ctx context.Context, x *rillreach.Exchange, stream *peer.Stream) error {
+func (f *Filter) relayResponse(ctx context.Context, x *rillreach.Exchange, stream *peer.ClientStream) error {
 	w := responseWriter{x: x, now: f.Node.Clock.Now}
 	for {
 		part, err := stream.Next(ctx)
--- a/filter/dispatch/silent.go
+++ b/filter/dispatch/silent.go
@@ -13,12 +13,12 @@
 // stalled and respond later, so its stream stays open until another agent has responded. Streams of a dead connection
 // end by themselves.
 type unackedStreams struct {
-	streams []*peer.Stream
+	streams []*peer.ClientStream
 }
 
 // add adds the stream if the error is errAckTimeout, and reports whether it did. The caller must not close an added
 // stream.
-func (s *unackedStreams) add(stream *peer.Stream, err error) bool {
+func (s *unackedStreams) add(stream *peer.ClientStream, err error) bool {
 	if s == nil || !errors.Is(err, errAckTimeout) {
 		return false
 	}
--- a/filter/dispatch/silent_test.go
+++ b/filter/dispatch/silent_test.go
@@ -36,7 +36,7 @@
 			Side: rillreach.SideOld, Model: "m", Versions: []rillreach.VersionID{"v1"},
 		}
 		pool := &peer.Pool{Mux: &peer.Mux{Log: logr.Discard()}, Log: logr.Discard()}
-		pool.Mux.Handle(peer.MethodServe, serve)
+		pool.Mux.Handle(peer.MethodDispatch, serve)
 		pool.Start(t.Context())
 		server := httptest.NewServer(pool)
 		t.Cleanup(server.Close)
@@ -48,7 +48,7 @@
 }
 
 // sendResponse sends a complete response.
-func sendResponse(ctx context.Context, call *peer.Call, body string) error {
+func sendResponse(ctx context.Context, call *peer.ServerStream, body string) error {
 	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{})
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 func TestLateAckIsUsedIfOtherAgentRefuses(t *testing.T) {
 	var calls atomic.Int64
 	refused := make(chan struct{})
-	f := newListeningFleet(t, func(ctx context.Context, call *peer.Call) error {
+	f := newListeningFleet(t, func(ctx context.Context, call *peer.ServerStream) error {
 		if calls.Add(1) > 1 {
 			defer close(refused)
 			return rillreach.NotRun(rillreach.ReasonOverload, "queue is full")
--- a/fleet/dispatch.go
+++ b/fleet/dispatch.go
@@ -30,12 +30,12 @@
 	Once         bool                 `cbor:"18,keyasint,omitempty"`
 	Key          string               `cbor:"19,keyasint,omitempty"`
 	Ticket       string               `cbor:"20,keyasint,omitempty"`
-	// Insist says that the agent must not send the request elsewhere for a better place.
-	Insist bool `cbor:"21,keyasint,omitempty"`
+	// NoDelegate says that the agent must not send the request elsewhere for a better place.
+	NoDelegate bool `cbor:"21,keyasint,omitempty"`
 	// Sides says which sides may run the request.
 	Sides []rillreach.Side `cbor:"22,keyasint,omitempty"`
-	// Mark is how far the sender's copy of the rows goes.
-	Mark uint64 `cbor:"23,keyasint,omitempty"`
+	// RowVersion is how far the sender's copy of the rows goes.
+	RowVersion uint64 `cbor:"23,keyasint,omitempty"`
 	// Salt keeps the request's scope apart in an engine.
 	Salt string `cbor:"24,keyasint,omitempty"`
 }
@@ -56,8 +56,8 @@
 
 // Ack says that an agent has taken a request.
 type Ack struct {
-	Hint membership.LoadHint `cbor:"1,keyasint"`
-	Mark uint64              `cbor:"2,keyasint,omitempty"`
+	Hint       membership.LoadHint `cbor:"1,keyasint"`
+	RowVersion uint64              `cbor:"2,keyasint,omitempty"`
 }
 
 // Check accepts every acknowledgement.
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -8,20 +8,20 @@
 
 const maxLeases = 1024
 
-// Ask asks an owner of parts of rows' limits for leases.
-type Ask struct {
-	Rows []AskRow `cbor:"1,keyasint"`
+// LeaseRequest asks an owner of parts of rows' limits for leases.
+type LeaseRequest struct {
+	Rows []RowDemand `cbor:"1,keyasint"`
 }
 
-// AskRow is what is asked of one row.
-type AskRow struct {
+// RowDemand is what is asked of one row.
+type RowDemand struct {
 	Row    string        `cbor:"1,keyasint"`
 	Part   limit.Part    `cbor:"2,keyasint"`
 	Demand limit.Amounts `cbor:"3,keyasint"`
 }
 
 // Check reports the first fault of the message.
-func (a Ask) Check() error {
+func (a LeaseRequest) Check() error {
 	if len(a.Rows) > maxLeases {
 		return errors.Newf("%d leases are asked for at once, more than %d", len(a.Rows), maxLeases)
 	}
@@ -36,13 +36,13 @@
 	return nil
 }
 
-// Leases answers with an amount for each row asked for, in the same order.
-type Leases struct {
+// LeaseResponse answers with an amount for each row asked for, in the same order.
+type LeaseResponse struct {
 	Granted []limit.Amounts `cbor:"1,keyasint"`
 }
 
 // Check reports an amount that is not one.
-func (l Leases) Check() error {
+func (l LeaseResponse) Check() error {
 	for _, g := range l.Granted {
 		if err := g.Check(); err != nil {
 			return err
--- a/fleet/self.go
+++ b/fleet/self.go
@@ -10,8 +10,8 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// Self is what a process on the users' platform says of itself to its peers; the port is the same on all instances.
-func Self(role rillreach.Role, s *deployment.Settings) (rillreach.Instance, error) {
+// NewInstance is what a process on the users' platform says of itself to its peers; the port is the same on all instances.
+func NewInstance(role rillreach.Role, s *deployment.Settings) (rillreach.Instance, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
 		return rillreach.Instance{}, errors.Wrap(err, "make incarnation")
--- a/fleet/spread.go
+++ b/fleet/spread.go
@@ -7,44 +7,44 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// Push hands on a change of the platform's objects.
-type Push struct {
+// PushRequest hands on a change of the platform's objects.
+type PushRequest struct {
 	Delta replicate.Delta `cbor:"1,keyasint"`
 }
 
 // Check checks the delta.
-func (p Push) Check() error { return p.Delta.Check() }
+func (p PushRequest) Check() error { return p.Delta.Check() }
 
-// Pushed answers a push with how far the receiver's copy then goes.
-type Pushed struct {
-	Mark replicate.Watermark `cbor:"1,keyasint"`
+// PushResponse answers a push with how far the receiver's copy then goes.
+type PushResponse struct {
+	Watermark replicate.Watermark `cbor:"1,keyasint"`
 }
 
 // Check accepts every answer.
-func (Pushed) Check() error { return nil }
+func (PushResponse) Check() error { return nil }
 
-// Sync compares marks: it says how far the asker's copy goes.
-type Sync struct {
-	Marks []replicate.Watermark `cbor:"1,keyasint"`
+// SyncRequest compares marks: it says how far the asker's copy goes.
+type SyncRequest struct {
+	Watermarks []replicate.Watermark `cbor:"1,keyasint"`
 }
 
 // Check reports more marks than there are kinds.
-func (s Sync) Check() error {
+func (s SyncRequest) Check() error {
 	const most = 16
-	if len(s.Marks) > most {
-		return errors.Newf("sync has %d marks, more than %d", len(s.Marks), most)
+	if len(s.Watermarks) > most {
+		return errors.Newf("sync has %d marks, more than %d", len(s.Watermarks), most)
 	}
 	return nil
 }
 
-// Synced answers with what the asker lacks, and with the answerer's own marks.
-type Synced struct {
-	Deltas []replicate.Delta     `cbor:"1,keyasint,omitempty"`
-	Marks  []replicate.Watermark `cbor:"2,keyasint"`
+// SyncResponse answers with what the asker lacks, and with the answerer's own marks.
+type SyncResponse struct {
+	Deltas     []replicate.Delta     `cbor:"1,keyasint,omitempty"`
+	Watermarks []replicate.Watermark `cbor:"2,keyasint"`
 }
 
 // Check checks every delta.
-func (s Synced) Check() error {
+func (s SyncResponse) Check() error {
 	for _, d := range s.Deltas {
 		if err := d.Check(); err != nil {
 			return err
@@ -53,53 +53,53 @@
 	return nil
 }
 
-// Notice tells the peers of a process that its instance has changed, as when it leaves.
-type Notice struct {
+// AnnounceRequest tells the peers of a process that its instance has changed, as when it leaves.
+type AnnounceRequest struct {
 	Instance rillreach.Instance `cbor:"1,keyasint"`
 }
 
 // Check checks the instance.
-func (n Notice) Check() error { return n.Instance.Check() }
+func (n AnnounceRequest) Check() error { return n.Instance.Check() }
 
-// Noted answers a notice.
-type Noted struct{}
+// AnnounceResponse answers a notice.
+type AnnounceResponse struct{}
 
 // Check accepts every answer.
-func (Noted) Check() error { return nil }
+func (AnnounceResponse) Check() error { return nil }
 
-// Count asks how many processes below one in a zone's tree hold a kind up to a version.
-type Count struct {
+// CountRequest asks how many processes below one in a zone's tree hold a kind up to a version.
+type CountRequest struct {
 	Kind    rillreach.ObjectKind `cbor:"1,keyasint"`
 	Version uint64               `cbor:"2,keyasint"`
 	Root    rillreach.InstanceID `cbor:"3,keyasint"`
 }
 
 // Check reports a count without its kind.
-func (c Count) Check() error {
+func (c CountRequest) Check() error {
 	if c.Kind == "" {
 		return errors.New("count has no kind")
 	}
 	return nil
 }
 
-// Counted is how many processes hold the version, how many do not yet, and how many did not answer.
-type Counted struct {
-	InForce int `cbor:"1,keyasint" json:"inForce"`
-	Behind  int `cbor:"2,keyasint" json:"behind"`
-	Silent  int `cbor:"3,keyasint" json:"silent"`
+// VersionCounts is how many processes hold the version, how many do not yet, and how many did not answer.
+type VersionCounts struct {
+	InForce      int `cbor:"1,keyasint" json:"inForce"`
+	Behind       int `cbor:"2,keyasint" json:"behind"`
+	Unresponsive int `cbor:"3,keyasint" json:"silent"`
 }
 
 // Check reports a negative count.
-func (c Counted) Check() error {
-	if c.InForce < 0 || c.Behind < 0 || c.Silent < 0 {
+func (c VersionCounts) Check() error {
+	if c.InForce < 0 || c.Behind < 0 || c.Unresponsive < 0 {
 		return errors.New("a count is negative")
 	}
 	return nil
 }
 
 // Add adds another count to this one.
-func (c *Counted) Add(other Counted) {
+func (c *VersionCounts) Add(other VersionCounts) {
 	c.InForce += other.InForce
 	c.Behind += other.Behind
-	c.Silent += other.Silent
+	c.Unresponsive += other.Unresponsive
 }
--- a/gateway/agents.go
+++ b/gateway/agents.go
@@ -96,13 +96,13 @@
 	}
 	s := &subscribe.Subscription{
 		Pool: a.pool, Agent: address, Log: g.Log,
-		Take: func(b *bulletin.Bulletin, now time.Time) {
+		OnBulletin: func(b *bulletin.Bulletin, now time.Time) {
 			f.heard.Store(g.Clock.Now().UnixNano())
 			take(b, now)
 			g.applyPermits(w.runner, b, now)
 			a.applyQuotas(address, b, now)
 		},
-		Ask: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.sparse},
+		Request: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.sparse},
 	}
 	a.wg.Go(func() { s.Run(one) })
 	return f
--- a/gateway/crash_reporter.go
+++ b/gateway/crash_reporter.go
@@ -124,7 +124,7 @@
 	g := c.gateway
 	crashes, next := from.Since(g.Clock.Now(), *version, reportSize)
 	if len(crashes) > 0 {
-		if _, err := peer.Ask[poison.Report, poison.Receipt](ctx, t.conn, peer.MethodCrashes, poison.Report{Crashes: crashes}); err != nil {
+		if _, err := peer.Invoke[poison.Report, poison.Receipt](ctx, t.conn, peer.MethodCrashes, poison.Report{Crashes: crashes}); err != nil {
 			g.Log.Info("crashes not reported", "decision", "retry", "agent", t.address, "crashes", len(crashes), "cause", err.Error())
 			return false
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -139,7 +139,7 @@
 	over, finish := context.WithCancel(life)
 	defer finish()
 	g.over = over
-	self, err := fleet.Self(rillreach.RoleEntry, g.Settings)
+	self, err := fleet.NewInstance(rillreach.RoleEntry, g.Settings)
 	if err != nil {
 		return err
 	}
--- a/gateway/limit_reporter.go
+++ b/gateway/limit_reporter.go
@@ -115,7 +115,7 @@
 	}
 	conn, err := l.pool.Get(ctx, agent)
 	if err == nil {
-		_, err = peer.Ask[bulletin.LimitReport, bulletin.LimitReceipt](ctx, conn, peer.MethodLimits, report)
+		_, err = peer.Invoke[bulletin.LimitReport, bulletin.LimitReceipt](ctx, conn, peer.MethodLimits, report)
 	}
 	if err != nil {
 		g.Log.Info("limits not reported", "decision", "retry", "agent", agent, "limits", len(report.Limits), "cause", err.Error())
--- a/node/node.go
+++ b/node/node.go
@@ -88,14 +88,14 @@
 	n.Members = membership.New()
 	n.Owners = &once.OwnerView{LeadTime: n.Lead}
 	n.Mux = &peer.Mux{Log: n.Log}
-	n.Pool = &peer.Pool{Self: n.Self, Mux: n.Mux, TLS: n.TLS, Log: n.Log, Met: n.Members.Upsert}
+	n.Pool = &peer.Pool{Self: n.Self, Mux: n.Mux, TLS: n.TLS, Log: n.Log, OnConnect: n.Members.Upsert}
 	n.followAll()
 	n.Spread = &spread.Controller{
-		Self: n.Self, Store: n.Store, Copy: n.Copy, Members: n.Members, Pool: n.Pool, Clock: n.Clock, Log: n.Log,
-		DigestEvery: n.DigestEvery, WatchWait: n.WatchWait,
+		Self: n.Self, Store: n.Store, Replica: n.Copy, Members: n.Members, Pool: n.Pool, Clock: n.Clock, Log: n.Log,
+		SyncInterval: n.DigestEvery, WatchTimeout: n.WatchWait,
 	}
 	n.Spread.Register(n.Mux)
-	n.Register = &register.Controller{Self: n.Self, Store: n.Store, Log: n.Log, Superseded: n.markLeaving}
+	n.Register = &register.Controller{Self: n.Self, Store: n.Store, Log: n.Log, OnSuperseded: n.markLeaving}
 }
 
 // Run runs the node's controllers, and the given ones, until the context ends.
@@ -124,7 +124,7 @@
 		"rillreach.rows.version":   {"version up to which the copy of the rows goes", func() float64 { return float64(n.Copy.Watermark(rillreach.KindRow).Version) }},
 		"rillreach.platform.calls": {"calls of the platform for the copies of objects", func() float64 { return float64(n.Spread.Stats.PlatformCalls.Load()) }},
 		"rillreach.pushes":         {"changes handed on to peers", func() float64 { return float64(n.Spread.Stats.Pushes.Load()) }},
-		"rillreach.digests":        {"comparisons of marks with peers", func() float64 { return float64(n.Spread.Stats.Digests.Load()) }},
+		"rillreach.digests":        {"comparisons of marks with peers", func() float64 { return float64(n.Spread.Stats.Syncs.Load()) }},
 		"rillreach.peer.bytes":     {"bytes sent to peers", func() float64 { return float64(n.Pool.Traffic.Bytes.Load()) }},
 		"rillreach.peer.conns":     {"connections to peers", func() float64 { return float64(len(n.Pool.Conns())) }},
 	} {
@@ -148,7 +148,7 @@
 	n.markLeaving()
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		if err := n.Register.Leave(ctx); err != nil {
+		if err := n.Register.MarkLeaving(ctx); err != nil {
 			n.Log.Info("platform not told of leaving", "cause", err.Error())
 		}
 	})
@@ -165,7 +165,7 @@
 func (n *Node) Settle(ctx context.Context, grace time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, FinalAnswerTime(grace))
 	defer cancel()
-	n.Pool.Settle(ctx)
+	n.Pool.Drain(ctx)
 }
 
 // Removed takes the process off the platform's list, at the end of a planned stop.
@@ -183,7 +183,7 @@
 func (n *Node) notify(ctx context.Context, c *peer.Conn, leaving rillreach.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
-	if _, err := peer.Ask[fleet.Notice, fleet.Noted](ctx, c, peer.MethodNotice, fleet.Notice{Instance: leaving}); err != nil {
+	if _, err := peer.Invoke[fleet.AnnounceRequest, fleet.AnnounceResponse](ctx, c, peer.MethodAnnounce, fleet.AnnounceRequest{Instance: leaving}); err != nil {
 		n.Log.V(1).Info("peer not told of leaving", "peer", c.Peer.ID, "cause", err.Error())
 	}
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -55,7 +55,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(n.Spread.CountAll(r.Context(), rillreach.KindRow, version))
+	_ = json.NewEncoder(w).Encode(n.Spread.CountReplicas(r.Context(), rillreach.KindRow, version))
 }
 
 func (n *Node) status(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/peer/call.go
+++ b/peer/call.go
@@ -13,10 +13,10 @@
 // maxPart is the largest part of an answer that travels in one frame.
 const maxPart = 16 << 10
 
-// Call is the answerer's end of a stream.
-type Call struct {
-	// From is the connection that the stream came on.
-	From *Conn
+// ServerStream is the answerer's end of a stream.
+type ServerStream struct {
+	// Conn is the connection that the stream came on.
+	Conn *Conn
 	// Body is what was asked.
 	Body []byte
 
@@ -30,7 +30,7 @@
 }
 
 // Send sends one part of the answer, and waits while the opener's window is full.
-func (c *Call) Send(ctx context.Context, part []byte) error {
+func (c *ServerStream) Send(ctx context.Context, part []byte) error {
 	for len(part) > maxPart {
 		if err := c.sendPart(ctx, part[:maxPart]); err != nil {
 			return err
@@ -40,16 +40,16 @@
 	return c.sendPart(ctx, part)
 }
 
-func (c *Call) sendPart(ctx context.Context, part []byte) error {
+func (c *ServerStream) sendPart(ctx context.Context, part []byte) error {
 	if err := c.waitWindow(ctx, int64(len(part))); err != nil {
 		return err
 	}
 	f := &Frame{Type: TypeData, Stream: c.id, Seq: c.seq, Body: part}
 	c.seq++
-	return c.From.send(ctx, f)
+	return c.Conn.send(ctx, f)
 }
 
-func (c *Call) waitWindow(ctx context.Context, size int64) error {
+func (c *ServerStream) waitWindow(ctx context.Context, size int64) error {
 	for {
 		if c.takeWindow(size) {
 			return nil
@@ -62,7 +62,7 @@
 	}
 }
 
-func (c *Call) takeWindow(size int64) bool {
+func (c *ServerStream) takeWindow(size int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.window <= 0 {
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (c *Call) grant(size int64) {
+func (c *ServerStream) grant(size int64) {
 	c.mu.Lock()
 	c.window += size
 	c.mu.Unlock()
@@ -86,7 +86,7 @@
 func (c *Conn) accept(ctx context.Context, f Frame) {
 	c.used.Store(time.Now().UnixNano())
 	ctx, cancel := context.WithCancelCause(ctx)
-	call := &Call{From: c, Body: f.Body, id: f.Stream, cancel: cancel, window: streamWindow, more: make(chan struct{}, 1)}
+	call := &ServerStream{Conn: c, Body: f.Body, id: f.Stream, cancel: cancel, window: streamWindow, more: make(chan struct{}, 1)}
 	c.mu.Lock()
 	full := len(c.served) >= maxOpenStreams
 	if !full {
@@ -101,7 +101,7 @@
 	go c.serve(ctx, call, f.Method)
 }
 
-func (c *Conn) serve(ctx context.Context, call *Call, method Method) {
+func (c *Conn) serve(ctx context.Context, call *ServerStream, method Method) {
 	defer call.cancel(nil)
 	c.finish(ctx, call, c.mux.serve(ctx, method, call))
 	c.mu.Lock()
@@ -110,10 +110,10 @@
 }
 
 // finish tells the opener how the stream ended.
-func (c *Conn) finish(ctx context.Context, call *Call, err error) {
+func (c *Conn) finish(ctx context.Context, call *ServerStream, err error) {
 	f := &Frame{Type: TypeEnd, Stream: call.id, Seq: call.seq}
 	if err != nil {
-		f.Type = TypeFail
+		f.Type = TypeError
 		f.Body = encodeFailure(err)
 	}
 	if sendErr := c.send(context.WithoutCancel(ctx), f); sendErr != nil && err == nil {
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -53,8 +53,8 @@
 	unsent atomic.Int64
 
 	mu     sync.Mutex
-	opened map[uint64]*Stream
-	served map[uint64]*Call
+	opened map[uint64]*ClientStream
+	served map[uint64]*ServerStream
 }
 
 func newConn(socket *websocket.Conn, pool *Pool, peer rillreach.Instance) *Conn {
@@ -66,8 +66,8 @@
 		traffic: &pool.Traffic,
 		out:     make(chan *Frame, sendQueue),
 		ended:   make(chan struct{}),
-		opened:  map[uint64]*Stream{},
-		served:  map[uint64]*Call{},
+		opened:  map[uint64]*ClientStream{},
+		served:  map[uint64]*ServerStream{},
 	}
 	c.used.Store(time.Now().UnixNano())
 	return c
@@ -277,20 +277,20 @@
 		if call := c.callOf(f.Stream); call != nil {
 			call.grant(int64(f.Seq))
 		}
-	case TypeData, TypeEnd, TypeFail:
+	case TypeData, TypeEnd, TypeError:
 		if s := c.streamOf(f.Stream); s != nil {
 			s.arrive(f)
 		}
 	}
 }
 
-func (c *Conn) callOf(id uint64) *Call {
+func (c *Conn) callOf(id uint64) *ServerStream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.served[id]
 }
 
-func (c *Conn) streamOf(id uint64) *Stream {
+func (c *Conn) streamOf(id uint64) *ClientStream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opened[id]
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -7,18 +7,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Type says what a frame means for its stream.
-type Type uint8
+// FrameType says what a frame means for its stream.
+type FrameType uint8
 
 const (
 	// TypeOpen opens a stream; Method and Body say what is asked.
-	TypeOpen Type = iota + 1
+	TypeOpen FrameType = iota + 1
 	// TypeData carries one part of the answer.
 	TypeData
 	// TypeEnd says that the answer is whole; Seq counts the data frames before it.
 	TypeEnd
-	// TypeFail ends the stream with an error in Body.
-	TypeFail
+	// TypeError ends the stream with an error in Body.
+	TypeError
 	// TypeCancel says that the opener wants no more of the stream.
 	TypeCancel
 	// TypeCredit grants the answerer Seq more bytes.
@@ -31,12 +31,12 @@
 
 // The methods that the system's processes offer each other.
 const (
-	MethodServe Method = iota + 1
+	MethodDispatch Method = iota + 1
 	MethodPush
 	MethodSync
 	MethodLease
-	MethodNotice
-	MethodStatus
+	MethodAnnounce
+	MethodCount
 	MethodFollow
 	MethodCrashes
 	MethodLimits
@@ -46,7 +46,7 @@
 // Frame is the unit of traffic on a connection.
 type Frame struct {
 	_      struct{} `cbor:",toarray"`
-	Type   Type
+	Type   FrameType
 	Method Method
 	Stream uint64
 	Seq    uint64
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -9,8 +9,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// RoleOf is the role that a certificate of the fleet was made for, from its organizational unit.
-func RoleOf(certificate *x509.Certificate) rillreach.Role {
+// CertificateRole is the role that a certificate of the fleet was made for, from its organizational unit.
+func CertificateRole(certificate *x509.Certificate) rillreach.Role {
 	if len(certificate.Subject.OrganizationalUnit) != 1 {
 		return ""
 	}
--- a/peer/mux.go
+++ b/peer/mux.go
@@ -11,7 +11,7 @@
 )
 
 // Handler answers the streams of one method; its error ends the stream, nil says that the answer is whole.
-type Handler func(ctx context.Context, call *Call) error
+type Handler func(ctx context.Context, call *ServerStream) error
 
 // Mux finds the handler of a method.
 type Mux struct {
@@ -26,7 +26,7 @@
 	m.handlers[method] = handler
 }
 
-func (m *Mux) serve(ctx context.Context, method Method, call *Call) error {
+func (m *Mux) serve(ctx context.Context, method Method, call *ServerStream) error {
 	handler := m.handlers[method]
 	if handler == nil {
 		return rillreach.NotRun(rillreach.ReasonBadRequest, "method is not offered here")
@@ -34,14 +34,14 @@
 	return handler(ctx, call)
 }
 
-// Answer sets a handler that takes one message and answers with one message.
-func Answer[Req Checker, Resp any](m *Mux, method Method, answer func(ctx context.Context, from *Conn, req Req) (Resp, error)) {
-	m.Handle(method, func(ctx context.Context, call *Call) error {
+// HandleUnary sets a handler that takes one message and answers with one message.
+func HandleUnary[Req Checker, Resp any](m *Mux, method Method, answer func(ctx context.Context, from *Conn, req Req) (Resp, error)) {
+	m.Handle(method, func(ctx context.Context, call *ServerStream) error {
 		req, err := Decode[Req](call.Body)
 		if err != nil {
 			return rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
 		}
-		resp, err := answer(ctx, call.From, req)
+		resp, err := answer(ctx, call.Conn, req)
 		if err != nil {
 			return err
 		}
@@ -53,8 +53,8 @@
 	})
 }
 
-// Ask sends one message on a connection and waits for the one that answers it.
-func Ask[Req any, Resp Checker](ctx context.Context, c *Conn, method Method, req Req) (Resp, error) {
+// Invoke sends one message on a connection and waits for the one that answers it.
+func Invoke[Req any, Resp Checker](ctx context.Context, c *Conn, method Method, req Req) (Resp, error) {
 	var none Resp
 	body, err := Encode(req)
 	if err != nil {
@@ -75,7 +75,7 @@
 const maxWhole = 64 << 20
 
 // readWhole collects the parts of an answer until it is whole.
-func (s *Stream) readWhole(ctx context.Context) ([]byte, error) {
+func (s *ClientStream) readWhole(ctx context.Context) ([]byte, error) {
 	var whole []byte
 	for {
 		part, err := s.Next(ctx)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	t.Cleanup(cancel)
 	far := &Pool{Self: instance(rillreach.RoleAgent), Mux: &Mux{Log: logr.Discard()}, Log: logr.Discard()}
-	far.Mux.Handle(MethodServe, handler)
+	far.Mux.Handle(MethodDispatch, handler)
 	far.Start(ctx)
 	server := httptest.NewServer(far)
 	t.Cleanup(server.Close)
@@ -46,8 +46,8 @@
 func TestStreams(t *testing.T) {
 	t.Run("an answer far larger than the window arrives whole", func(t *testing.T) {
 		want := bytes.Repeat([]byte("part of an answer "), 100_000)
-		ctx, conn := pair(t, func(ctx context.Context, call *Call) error { return call.Send(ctx, want) })
-		s, err := conn.Open(ctx, MethodServe, nil)
+		ctx, conn := pair(t, func(ctx context.Context, call *ServerStream) error { return call.Send(ctx, want) })
+		s, err := conn.Open(ctx, MethodDispatch, nil)
 		require.NoError(t, err)
 		defer s.Close()
 		got, err := s.readWhole(ctx)
@@ -56,7 +56,7 @@
 	})
 	t.Run("a stream that nobody reads stops its sender and no other stream", func(t *testing.T) {
 		blocked := make(chan struct{})
-		ctx, conn := pair(t, func(ctx context.Context, call *Call) error {
+		ctx, conn := pair(t, func(ctx context.Context, call *ServerStream) error {
 			if string(call.Body) == "fast" {
 				return call.Send(ctx, []byte("answer"))
 			}
@@ -64,9 +64,9 @@
 			close(blocked)
 			return err
 		})
-		slow, err := conn.Open(ctx, MethodServe, []byte("slow"))
+		slow, err := conn.Open(ctx, MethodDispatch, []byte("slow"))
 		require.NoError(t, err)
-		fast, err := conn.Open(ctx, MethodServe, []byte("fast"))
+		fast, err := conn.Open(ctx, MethodDispatch, []byte("fast"))
 		require.NoError(t, err)
 		got, err := fast.readWhole(ctx)
 		require.NoError(t, err)
@@ -81,8 +81,8 @@
 	})
 	t.Run("a refusal arrives as it was given", func(t *testing.T) {
 		refusal := rillreach.NotRun(rillreach.ReasonOverload, "full").WithRetryAfter(3 * time.Second)
-		ctx, conn := pair(t, func(context.Context, *Call) error { return refusal })
-		s, err := conn.Open(ctx, MethodServe, nil)
+		ctx, conn := pair(t, func(context.Context, *ServerStream) error { return refusal })
+		s, err := conn.Open(ctx, MethodDispatch, nil)
 		require.NoError(t, err)
 		_, err = s.Next(ctx)
 		var got *rillreach.Refusal
@@ -91,19 +91,19 @@
 	})
 	t.Run("a stream that is closed cancels its handler", func(t *testing.T) {
 		cancelled := make(chan error, 1)
-		ctx, conn := pair(t, func(ctx context.Context, _ *Call) error {
+		ctx, conn := pair(t, func(ctx context.Context, _ *ServerStream) error {
 			<-ctx.Done()
 			cancelled <- context.Cause(ctx)
 			return nil
 		})
-		s, err := conn.Open(ctx, MethodServe, nil)
+		s, err := conn.Open(ctx, MethodDispatch, nil)
 		require.NoError(t, err)
 		s.Close()
 		assert.ErrorIs(t, <-cancelled, ErrCancelled)
 	})
 	t.Run("a connection that ends ends its streams with an error that is not an end", func(t *testing.T) {
-		ctx, conn := pair(t, func(ctx context.Context, _ *Call) error { <-ctx.Done(); return nil })
-		s, err := conn.Open(ctx, MethodServe, nil)
+		ctx, conn := pair(t, func(ctx context.Context, _ *ServerStream) error { <-ctx.Done(); return nil })
+		s, err := conn.Open(ctx, MethodDispatch, nil)
 		require.NoError(t, err)
 		conn.Close()
 		_, err = s.Next(ctx)
@@ -114,7 +114,7 @@
 		ctx, conn := pair(t, nil)
 		conn.Close()
 		for range 100 {
-			_, err := conn.Open(ctx, MethodServe, nil)
+			_, err := conn.Open(ctx, MethodDispatch, nil)
 			require.ErrorIs(t, err, ErrClosed)
 		}
 	})
@@ -133,12 +133,12 @@
 // were it closed then, the next request on its way would be cut.
 func TestSweepKeepsWhatIsInUse(t *testing.T) {
 	accepted := make(chan *Conn, 1)
-	ctx, conn := pair(t, func(_ context.Context, call *Call) error {
-		accepted <- call.From
+	ctx, conn := pair(t, func(_ context.Context, call *ServerStream) error {
+		accepted <- call.Conn
 		return nil
 	})
 	ask := func() *Conn {
-		s, err := conn.Open(ctx, MethodServe, nil)
+		s, err := conn.Open(ctx, MethodDispatch, nil)
 		require.NoError(t, err)
 		defer s.Close()
 		_, err = s.readWhole(ctx)
@@ -176,7 +176,7 @@
 }
 
 func FuzzSplitFrames(f *testing.F) {
-	f.Add(frames(f, Frame{Type: TypeOpen, Method: MethodServe, Stream: 1, Body: []byte("x")}, Frame{Type: TypeEnd, Stream: 1}))
+	f.Add(frames(f, Frame{Type: TypeOpen, Method: MethodDispatch, Stream: 1, Body: []byte("x")}, Frame{Type: TypeEnd, Stream: 1}))
 	f.Add([]byte{0x85})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, message []byte) {
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -54,8 +54,8 @@
 	TLS *tls.Config
 	// Log takes connects and disconnects.
 	Log logr.Logger
-	// Met is called with what each peer says of itself when it connects; it may be nil.
-	Met func(rillreach.Instance)
+	// OnConnect is called with what each peer says of itself when it connects; it may be nil.
+	OnConnect func(rillreach.Instance)
 	// MessageLimit bounds one message; zero means DefaultMessageLimit.
 	MessageLimit int64
 	// Dial makes the connections; nil means TCP.
@@ -120,8 +120,8 @@
 	return conns
 }
 
-// Settle waits until all peers have read the answers to what they asked, or the context ends; what they ask meanwhile counts.
-func (p *Pool) Settle(ctx context.Context) {
+// Drain waits until all peers have read the answers to what they asked, or the context ends; what they ask meanwhile counts.
+func (p *Pool) Drain(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, c := range p.Conns() {
 		wg.Go(func() {
@@ -190,8 +190,8 @@
 		p.conns[address] = c
 	}
 	p.mu.Unlock()
-	if p.Met != nil {
-		p.Met(c.Peer)
+	if p.OnConnect != nil {
+		p.OnConnect(c.Peer)
 	}
 }
 
@@ -254,7 +254,7 @@
 	if state == nil || len(state.PeerCertificates) == 0 {
 		return errors.New("peer has no certificate of this fleet")
 	}
-	if role := RoleOf(state.PeerCertificates[0]); role != peer.Role {
+	if role := CertificateRole(state.PeerCertificates[0]); role != peer.Role {
 		return errors.Newf("peer says it is of role %q, its certificate says %q", peer.Role, role)
 	}
 	return nil
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -11,8 +11,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Stream is the opener's end of a stream.
-type Stream struct {
+// ClientStream is the opener's end of a stream.
+type ClientStream struct {
 	conn *Conn
 	id   uint64
 
@@ -27,8 +27,8 @@
 }
 
 // Open opens a stream for a method; the caller has to Close it.
-func (c *Conn) Open(ctx context.Context, method Method, body []byte) (*Stream, error) {
-	s := &Stream{conn: c, id: c.next.Add(1), arrived: make(chan struct{}, 1)}
+func (c *Conn) Open(ctx context.Context, method Method, body []byte) (*ClientStream, error) {
+	s := &ClientStream{conn: c, id: c.next.Add(1), arrived: make(chan struct{}, 1)}
 	c.mu.Lock()
 	c.opened[s.id] = s
 	c.mu.Unlock()
@@ -42,7 +42,7 @@
 
 // Next returns the next part of the answer, io.EOF once it is whole, a *rillreach.Refusal where the other side
 // refused, or another error when the stream broke.
-func (s *Stream) Next(ctx context.Context) ([]byte, error) {
+func (s *ClientStream) Next(ctx context.Context) ([]byte, error) {
 	for {
 		f, ok, err := s.pop()
 		if err != nil {
@@ -62,7 +62,7 @@
 }
 
 // Close gives the stream up; the other side is told if the answer was not whole yet.
-func (s *Stream) Close() {
+func (s *ClientStream) Close() {
 	s.mu.Lock()
 	open := !s.closed && s.err == nil
 	s.closed = true
@@ -75,7 +75,7 @@
 	}
 }
 
-func (s *Stream) pop() (Frame, bool, error) {
+func (s *ClientStream) pop() (Frame, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.inbox) > 0 {
@@ -88,7 +88,7 @@
 	return Frame{}, false, s.err
 }
 
-func (s *Stream) read(f Frame) ([]byte, error) {
+func (s *ClientStream) read(f Frame) ([]byte, error) {
 	switch f.Type {
 	case TypeEnd:
 		s.fail(io.EOF)
@@ -96,7 +96,7 @@
 			return nil, errors.Newf("answer has %d parts where %d were sent", s.next, f.Seq)
 		}
 		return nil, io.EOF
-	case TypeFail:
+	case TypeError:
 		err := decodeFailure(f.Body)
 		s.fail(err)
 		return nil, err
@@ -111,7 +111,7 @@
 }
 
 // credit returns the window to the answerer in steps of half its size.
-func (s *Stream) credit(size int) {
+func (s *ClientStream) credit(size int) {
 	s.taken += size
 	if s.taken < streamWindow/2 {
 		return
@@ -120,7 +120,7 @@
 	s.taken = 0
 }
 
-func (s *Stream) arrive(f Frame) {
+func (s *ClientStream) arrive(f Frame) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.err != nil {
@@ -135,7 +135,7 @@
 	s.wake()
 }
 
-func (s *Stream) fail(err error) {
+func (s *ClientStream) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil {
@@ -144,7 +144,7 @@
 	s.wake()
 }
 
-func (s *Stream) wake() {
+func (s *ClientStream) wake() {
 	select {
 	case s.arrived <- struct{}{}:
 	default:
--- a/sidecar/publisher.go
+++ b/sidecar/publisher.go
@@ -77,7 +77,7 @@
 }
 
 // serve sends bulletins to one follower until it leaves.
-func (p *publisher) serve(ctx context.Context, call *peer.Call) error {
+func (p *publisher) serve(ctx context.Context, call *peer.ServerStream) error {
 	follow, err := peer.Decode[bulletin.FollowRequest](call.Body)
 	if err != nil {
 		return err
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -83,9 +83,9 @@
 	s.stores = &collector{sidecar: s}
 	mux := &peer.Mux{Log: s.Log}
 	mux.Handle(peer.MethodFollow, s.publisher.serve)
-	peer.Answer(mux, peer.MethodCrashes, s.takeCrashes)
-	peer.Answer(mux, peer.MethodLimits, s.takeLimits)
-	self, err := fleet.Self(rillreach.RoleAgent, s.Settings)
+	peer.HandleUnary(mux, peer.MethodCrashes, s.takeCrashes)
+	peer.HandleUnary(mux, peer.MethodLimits, s.takeLimits)
+	self, err := fleet.NewInstance(rillreach.RoleAgent, s.Settings)
 	if err != nil {
 		return err
 	}
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -222,7 +222,7 @@
 func TestBulletins(t *testing.T) {
 	f := begin(t, &engine{version: 1})
 	f.name(1)
-	self, err := fleet.Self(rillreach.RoleEntry, &deployment.Settings{Name: "entry-1", Host: netip.MustParseAddr("127.0.0.1"), FirstPort: 1, Zone: "z"})
+	self, err := fleet.NewInstance(rillreach.RoleEntry, &deployment.Settings{Name: "entry-1", Host: netip.MustParseAddr("127.0.0.1"), FirstPort: 1, Zone: "z"})
 	require.NoError(t, err)
 	pool := &peer.Pool{Self: self, Mux: &peer.Mux{Log: testr.New(t)}, Log: testr.New(t)}
 	ctx, stop := context.WithCancel(context.Background())
@@ -231,8 +231,8 @@
 	bulletins := make(chan bulletin.Bulletin, 100)
 	s := &subscribe.Subscription{
 		Pool: pool, Agent: netip.AddrPortFrom(f.agent.Settings.Host, f.agent.Settings.FirstPort), Log: testr.New(t),
-		Ask:  bulletin.FollowRequest{Name: "entry-1"},
-		Take: func(b *bulletin.Bulletin, _ time.Time) { bulletins <- *b },
+		Request:    bulletin.FollowRequest{Name: "entry-1"},
+		OnBulletin: func(b *bulletin.Bulletin, _ time.Time) { bulletins <- *b },
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { s.Run(ctx) })
