--- a/fleet/dispatch.go
+++ b/fleet/dispatch.go
@@ -9,7 +9,7 @@
 	"github.com/rillreach/rillreach/membership"
 )
 
-// Dispatch asks an agent to run a request.
+// Dispatch is a request that an entry or agent sends to an agent to run.
 type Dispatch struct {
 	ID           rillreach.RequestID  `cbor:"1,keyasint"`
 	Attempt      int                  `cbor:"2,keyasint"`
@@ -30,17 +30,17 @@
 	Once         bool                 `cbor:"18,keyasint,omitempty"`
 	Key          string               `cbor:"19,keyasint,omitempty"`
 	Ticket       string               `cbor:"20,keyasint,omitempty"`
-	// NoDelegate says that the agent must not send the request elsewhere for a better place.
+	// NoDelegate means that the agent must run the request itself rather than delegate it to a better placed agent.
 	NoDelegate bool `cbor:"21,keyasint,omitempty"`
-	// Sides says which sides may run the request.
+	// Sides are the sides that may run the request.
 	Sides []rillreach.Side `cbor:"22,keyasint,omitempty"`
-	// RowVersion is how far the sender's copy of the rows goes.
+	// RowVersion is the version that the sender's replica of the rows has reached.
 	RowVersion uint64 `cbor:"23,keyasint,omitempty"`
-	// Salt keeps the request's scope apart in an engine.
+	// Salt separates the request's scope from others in the engine's cache.
 	Salt string `cbor:"24,keyasint,omitempty"`
 }
 
-// Check reports the first fault of the message.
+// Check returns an error if the dispatch is invalid.
 func (d Dispatch) Check() error {
 	if d.ID == "" || d.Account == "" || d.Path == "" || d.Method == "" {
 		return errors.New("dispatch lacks its request, account, method or path")
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Ack says that an agent has taken a request.
+// Ack means that an agent has accepted a request.
 type Ack struct {
 	Hint       membership.LoadHint `cbor:"1,keyasint"`
 	RowVersion uint64              `cbor:"2,keyasint,omitempty"`
@@ -63,13 +63,13 @@
 // Check accepts every acknowledgement.
 func (Ack) Check() error { return nil }
 
-// Head is the start of an answer.
+// Head is the status and header of a response.
 type Head struct {
 	Status int                 `cbor:"1,keyasint"`
 	Header map[string][]string `cbor:"2,keyasint,omitempty"`
 }
 
-// Check reports a status that HTTP does not have.
+// Check returns an error if the status is not that of a final HTTP response.
 func (h Head) Check() error {
 	if h.Status < 200 || h.Status > 599 {
 		return errors.Newf("status %d is not one of a final answer", h.Status)
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,2 +1,2 @@
-// Package fleet holds the messages that the system's processes send each other.
+// Package fleet defines the messages that the processes of a fleet exchange.
 package fleet
--- a/fleet/part.go
+++ b/fleet/part.go
@@ -6,17 +6,17 @@
 	"github.com/rillreach/rillreach/peer"
 )
 
-// PartKind is the first byte of each part of an answer.
+// PartKind identifies the content of a part of a response. It is the part's first byte.
 type PartKind byte
 
-// The kinds of parts, in the order in which they come: one acknowledgement, one head, any number of body parts.
+// The kinds of parts, in the order in which they are sent: one acknowledgement, one head, any number of body parts.
 const (
 	PartAck  PartKind = 'a'
 	PartHead PartKind = 'h'
 	PartBody PartKind = 'b'
 )
 
-// EncodePart makes a part of an answer from a message.
+// EncodePart encodes a message as a part of a response.
 func EncodePart[T any](kind PartKind, message T) ([]byte, error) {
 	data, err := peer.Encode(message)
 	if err != nil {
@@ -25,14 +25,14 @@
 	return append([]byte{byte(kind)}, data...), nil
 }
 
-// BodyPart makes a part of an answer from bytes of its body.
+// BodyPart returns a part of a response that holds a piece of its body.
 func BodyPart(body []byte) []byte {
 	part := make([]byte, 0, len(body)+1)
 	part = append(part, byte(PartBody))
 	return append(part, body...)
 }
 
-// SplitPart takes the kind off a part.
+// SplitPart splits a part into its kind and its content.
 func SplitPart(part []byte) (PartKind, []byte, error) {
 	if len(part) == 0 {
 		return 0, nil, errors.New("part of an answer is empty")
--- a/fleet/self.go
+++ b/fleet/self.go
@@ -10,7 +10,8 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// NewInstance is what a process on the users' platform says of itself to its peers; the port is the same on all instances.
+// NewInstance returns this process's instance with a new incarnation, as it is sent to peers. The port is the same on
+// all instances.
 func NewInstance(role rillreach.Role, s *deployment.Settings) (rillreach.Instance, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
--- a/fleet/spread.go
+++ b/fleet/spread.go
@@ -7,43 +7,43 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// PushRequest hands on a change of the platform's objects.
+// PushRequest sends a change of the platform's objects.
 type PushRequest struct {
 	Delta replicate.Delta `cbor:"1,keyasint"`
 }
 
-// Check checks the delta.
+// Check returns an error if the delta is inconsistent.
 func (p PushRequest) Check() error { return p.Delta.Check() }
 
-// PushResponse answers a push with how far the receiver's copy then goes.
+// PushResponse holds the watermark of the receiver's replica after the push.
 type PushResponse struct {
 	Watermark replicate.Watermark `cbor:"1,keyasint"`
 }
 
-// Check accepts every answer.
+// Check accepts every response.
 func (PushResponse) Check() error { return nil }
 
-// SyncRequest compares marks: it says how far the asker's copy goes.
+// SyncRequest holds the watermarks of the sender's replica.
 type SyncRequest struct {
 	Watermarks []replicate.Watermark `cbor:"1,keyasint"`
 }
 
-// Check reports more marks than there are kinds.
+// Check returns an error if there are more watermarks than kinds can exist.
 func (s SyncRequest) Check() error {
-	const most = 16
-	if len(s.Watermarks) > most {
-		return errors.Newf("sync has %d marks, more than %d", len(s.Watermarks), most)
+	const maxWatermarks = 16
+	if len(s.Watermarks) > maxWatermarks {
+		return errors.Newf("sync has %d marks, more than %d", len(s.Watermarks), maxWatermarks)
 	}
 	return nil
 }
 
-// SyncResponse answers with what the asker lacks, and with the answerer's own marks.
+// SyncResponse holds the deltas that the requester lacks and the responder's own watermarks.
 type SyncResponse struct {
 	Deltas     []replicate.Delta     `cbor:"1,keyasint,omitempty"`
 	Watermarks []replicate.Watermark `cbor:"2,keyasint"`
 }
 
-// Check checks every delta.
+// Check returns an error if a delta is inconsistent.
 func (s SyncResponse) Check() error {
 	for _, d := range s.Deltas {
 		if err := d.Check(); err != nil {
@@ -53,28 +53,29 @@
 	return nil
 }
 
-// AnnounceRequest tells the peers of a process that its instance has changed, as when it leaves.
+// AnnounceRequest tells peers that the sender's instance has changed, for example because it is leaving.
 type AnnounceRequest struct {
 	Instance rillreach.Instance `cbor:"1,keyasint"`
 }
 
-// Check checks the instance.
-func (n AnnounceRequest) Check() error { return n.Instance.Check() }
+// Check returns an error if the instance is invalid.
+func (a AnnounceRequest) Check() error { return a.Instance.Check() }
 
-// AnnounceResponse answers a notice.
+// AnnounceResponse confirms an AnnounceRequest.
 type AnnounceResponse struct{}
 
-// Check accepts every answer.
+// Check accepts every response.
 func (AnnounceResponse) Check() error { return nil }
 
-// CountRequest asks how many processes below one in a zone's tree hold a kind up to a version.
+// CountRequest asks how many processes in the receiver's subtree have reached a version of a kind. Root is the root of
+// the tree.
 type CountRequest struct {
 	Kind    rillreach.ObjectKind `cbor:"1,keyasint"`
 	Version uint64               `cbor:"2,keyasint"`
 	Root    rillreach.InstanceID `cbor:"3,keyasint"`
 }
 
-// Check reports a count without its kind.
+// Check returns an error if the kind is missing.
 func (c CountRequest) Check() error {
 	if c.Kind == "" {
 		return errors.New("count has no kind")
@@ -82,14 +83,15 @@
 	return nil
 }
 
-// VersionCounts is how many processes hold the version, how many do not yet, and how many did not answer.
+// VersionCounts holds the number of processes that have reached a version, of those that have not yet, and of those
+// that did not respond.
 type VersionCounts struct {
 	InForce      int `cbor:"1,keyasint" json:"inForce"`
 	Behind       int `cbor:"2,keyasint" json:"behind"`
 	Unresponsive int `cbor:"3,keyasint" json:"silent"`
 }
 
-// Check reports a negative count.
+// Check returns an error if a count is negative.
 func (c VersionCounts) Check() error {
 	if c.InForce < 0 || c.Behind < 0 || c.Unresponsive < 0 {
 		return errors.New("a count is negative")
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// Add adds another count to this one.
+// Add adds other to the counts.
 func (c *VersionCounts) Add(other VersionCounts) {
 	c.InForce += other.InForce
 	c.Behind += other.Behind
