--- a/controller/doc.go
+++ b/controller/doc.go
@@ -1,2 +1,2 @@
-// Package controller runs the controllers that keep a daemon's state right.
+// Package controller runs a daemon's controllers, the loops that keep its state current.
 package controller
--- a/controller/group.go
+++ b/controller/group.go
@@ -10,7 +10,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Run runs all controllers until the context ends or one of them fails, and returns the first failure.
+// Run runs all controllers until the context ends or one of them fails. A failure cancels the others, and Run returns
+// the first one.
 func Run(ctx context.Context, log logr.Logger, controllers ...rillreach.Controller) error {
 	group := pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
 	for _, c := range controllers {
