--- a/controller/lease/books.go
+++ b/controller/lease/books.go
@@ -12,67 +12,68 @@
 	"github.com/rillreach/rillreach/membership"
 )
 
-// books are what this entry has leased out as an owner.
-type books struct {
+// ownedParts holds the parts of rows' limits that this entry owns and leases out.
+type ownedParts struct {
 	mu     sync.Mutex
-	owners map[bookKey]*limit.Owner
-	// since is when this process, or the set of entries, last changed: until then another entry may have owned a row.
-	since   time.Time
-	entries []rillreach.Incarnation
+	owners map[partKey]*limit.Owner
+	// changedAt is when this process started or the set of entries last changed. Before that, another entry may have
+	// owned a part.
+	changedAt time.Time
+	entries   []rillreach.Incarnation
 }
 
-type bookKey struct {
+type partKey struct {
 	row  string
 	part limit.Part
 }
 
-// grantAll leases to an entry what it asks for, as far as this entry owns it and has it.
-func (c *Controller) grantAll(to rillreach.InstanceID, ask fleet.LeaseRequest) fleet.LeaseResponse {
-	leases := fleet.LeaseResponse{Granted: make([]limit.Amounts, len(ask.Rows))}
-	for i, r := range ask.Rows {
-		if c.owners(r.Row)[r.Part] == c.Self.ID {
-			leases.Granted[i] = c.grant(to, r)
+// grantAll grants an entry leases on the parts that this entry owns, within their capacity. Other parts get zero.
+func (c *Controller) grantAll(to rillreach.InstanceID, req fleet.LeaseRequest) fleet.LeaseResponse {
+	resp := fleet.LeaseResponse{Granted: make([]limit.Amounts, len(req.Rows))}
+	for i, demand := range req.Rows {
+		if c.owners(demand.Row)[demand.Part] == c.Self.ID {
+			resp.Granted[i] = c.grant(to, demand)
 		}
 	}
-	return leases
+	return resp
 }
 
-func (c *Controller) grant(to rillreach.InstanceID, r fleet.RowDemand) limit.Amounts {
-	line, ok := c.Table.Get(r.Row)
+func (c *Controller) grant(to rillreach.InstanceID, demand fleet.RowDemand) limit.Amounts {
+	row, ok := c.Table.Get(demand.Row)
 	if !ok {
 		return limit.Amounts{}
 	}
-	caps, _ := limit.AmountsOf(line.Row.Limits)
+	capacity, _ := limit.AmountsOf(row.Row.Limits)
 	now := c.Clock.Now()
-	c.books.mu.Lock()
-	defer c.books.mu.Unlock()
-	return c.books.owner(bookKey{row: r.Row, part: r.Part}).Grant(now, to, limit.Split(caps)[r.Part], r.Demand)
+	c.owned.mu.Lock()
+	defer c.owned.mu.Unlock()
+	return c.owned.get(partKey{row: demand.Row, part: demand.Part}).Grant(now, to, limit.Split(capacity)[demand.Part], demand.Demand)
 }
 
-func (b *books) owner(key bookKey) *limit.Owner {
-	if b.owners == nil {
-		b.owners = map[bookKey]*limit.Owner{}
+func (p *ownedParts) get(key partKey) *limit.Owner {
+	if p.owners == nil {
+		p.owners = map[partKey]*limit.Owner{}
 	}
-	o := b.owners[key]
+	o := p.owners[key]
 	if o == nil {
-		o = &limit.Owner{Since: b.since}
-		b.owners[key] = o
+		o = &limit.Owner{Since: p.changedAt}
+		p.owners[key] = o
 	}
 	return o
 }
 
-// tidy drops the books that nobody uses and those of rows that this entry no longer owns.
-func (c *Controller) tidy() {
+// pruneOwned updates the set of entries, and removes owned parts that are idle or that this entry no longer owns.
+func (c *Controller) pruneOwned() {
 	now := c.Clock.Now()
 	entries := incarnations(c.entries())
-	c.books.mu.Lock()
-	defer c.books.mu.Unlock()
-	if c.books.since.IsZero() || !slices.Equal(entries, c.books.entries) {
-		c.books.since, c.books.entries = now, entries
+	c.owned.mu.Lock()
+	defer c.owned.mu.Unlock()
+	if c.owned.changedAt.IsZero() || !slices.Equal(entries, c.owned.entries) {
+		c.owned.changedAt, c.owned.entries = now, entries
 	}
-	for key, o := range c.books.owners {
+	for key, o := range c.owned.owners {
 		if o.Idle(now) || c.owners(key.row)[key.part] != c.Self.ID {
-			delete(c.books.owners, key)
+			delete(c.owned.owners, key)
 		}
 	}
 }
@@ -85,8 +86,8 @@
 	return list
 }
 
-// owners are the owners of a row's parts: the first entries by rank that the platform lists and that are not leaving.
-// Suspicion plays no part, so that entries that see each other differently still agree.
+// owners returns the owners of a row's parts: the listed entries with the highest hash that are not leaving. Suspected
+// entries count too, so that entries with different suspicions agree on the owners.
 func (c *Controller) owners(row string) []rillreach.InstanceID {
 	entries := c.entries()
 	owners := make([]rillreach.InstanceID, 0, limit.OwnedPartCount)
@@ -104,19 +105,19 @@
 	return owners
 }
 
-func bestByRank(row string, entries []*membership.Member, taken []rillreach.InstanceID) rillreach.InstanceID {
+func bestByRank(row string, entries []*membership.Member, excluded []rillreach.InstanceID) rillreach.InstanceID {
 	var best rillreach.InstanceID
 	var bestWeight uint64
 	for _, m := range entries {
 		weight := hash.Mix(hash.String(row), m.PlacementHash)
-		if weight >= bestWeight && (len(taken) == 0 || m.ID != taken[0]) {
+		if weight >= bestWeight && (len(excluded) == 0 || m.ID != excluded[0]) {
 			best, bestWeight = m.ID, weight
 		}
 	}
 	return best
 }
 
-// rank is this entry's place among all entries for a row, and how many entries there are.
+// rank returns this entry's rank among all entries for a row, and the number of entries.
 func (c *Controller) rank(row string) (int, int) {
 	entries := c.entries()
 	own := hash.Mix(hash.String(row), hash.String(string(c.Self.ID)))
--- a/controller/lease/lease.go
+++ b/controller/lease/lease.go
@@ -1,4 +1,4 @@
-// Package lease keeps an entry's leases on rows' limits, and its books for those that it owns.
+// Package lease renews an entry's leases on rows' limits, and grants leases on the parts that the entry owns.
 package lease
 
 import (
@@ -21,139 +21,139 @@
 )
 
 const (
-	shardCount = 16
-	askTimeout = 500 * time.Millisecond
-	// askGap is the least time between two askings out of turn for a row.
-	askGap = 500 * time.Millisecond
+	shardCount     = 16
+	requestTimeout = 500 * time.Millisecond
+	// minRefreshInterval is the minimum time between two renewals of a row's leases outside the regular interval.
+	minRefreshInterval = 500 * time.Millisecond
 )
 
-// Controller holds the shares of one entry and the books of what it owns.
+// Controller holds the leases of one entry and the parts that it owns.
 type Controller struct {
 	// Self is this entry.
 	Self rillreach.Instance
-	// Members are the known instances, Table the rows.
+	// Members are the known instances, and Table holds the rows.
 	Members *membership.Members
 	Table   *table.Table
 	// Pool connects to the other entries.
 	Pool *peer.Pool
-	// Clock tells the time.
+	// Clock is the source of the current time.
 	Clock rillreach.Clock
-	// Log takes what goes wrong.
+	// Log receives failures to renew leases.
 	Log logr.Logger
 
-	shares [shardCount]shareShard
-	books  books
+	shards [shardCount]limiterShard
+	owned  ownedParts
 }
 
-type shareShard struct {
+type limiterShard struct {
 	mu   sync.Mutex
-	rows map[string]*rowShare
+	rows map[string]*rowLimiter
 }
 
-type rowShare struct {
+type rowLimiter struct {
 	limit.Limiter
 	row rillreach.Row
-	// asked is when the owners were last asked out of turn.
-	asked time.Time
+	// refreshedAt is when the leases were last renewed outside the regular interval.
+	refreshedAt time.Time
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *Controller) Name() string { return "lease" }
 
-// Register sets the handler for what entries ask of this one as an owner.
+// Register registers the handler of lease requests from other entries.
 func (c *Controller) Register(mux *peer.Mux) {
-	peer.HandleUnary(mux, peer.MethodLease, c.answer)
+	peer.HandleUnary(mux, peer.MethodLease, c.handleLease)
 }
 
 // Run renews the leases until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
-	c.tidy()
+	c.pruneOwned()
 	pause.Every(ctx, limit.RenewInterval, func(ctx context.Context) {
-		c.renew(ctx, c.inUse())
-		c.tidy()
+		c.renew(ctx, c.activeRows())
+		c.pruneOwned()
 	})
 	return nil
 }
 
-// Admit decides on a request of a row, and returns what has to be called when the request has ended. A request that
-// there is no room for waits, briefly, for the owners to be asked again, unless that was done a moment ago.
+// Admit decides on a request of a row. If it is admitted, the caller must call the returned function when the request
+// ends. Before Admit rejects a request, it renews the row's leases, unless it did so within minRefreshInterval.
 func (c *Controller) Admit(ctx context.Context, row rillreach.Row, tokens int) (limit.Verdict, func()) {
-	if _, set := limit.AmountsOf(row.Limits); set == [len(set)]bool{} {
+	if _, limited := limit.AmountsOf(row.Limits); limited == [len(limited)]bool{} {
 		return limit.Verdict{OK: true}, func() {}
 	}
 	name := row.Name()
-	v, askAgain := c.tryAdmit(name, row, tokens)
-	if !v.OK && askAgain {
+	verdict, refresh := c.tryAdmit(name, row, tokens)
+	if !verdict.OK && refresh {
 		c.renew(ctx, []string{name})
-		v, _ = c.tryAdmit(name, row, tokens)
+		verdict, _ = c.tryAdmit(name, row, tokens)
 	}
-	if !v.OK {
-		return v, nil
+	if !verdict.OK {
+		return verdict, nil
 	}
-	return v, func() { c.with(name, func(s *rowShare) { s.Done() }) }
+	return verdict, func() { c.withLimiter(name, func(limiter *rowLimiter) { limiter.Done() }) }
 }
 
-// tryAdmit decides by what is held, and says whether a refusal calls for asking the owners out of turn.
+// tryAdmit decides within the current leases, and reports whether the leases should be renewed before a rejection.
 func (c *Controller) tryAdmit(name string, row rillreach.Row, tokens int) (limit.Verdict, bool) {
 	shard := c.shardOf(name)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	s := shard.share(name)
-	c.setRow(s, row)
+	limiter := shard.get(name)
+	c.setRow(limiter, row)
 	now := c.Clock.Now()
-	v := s.Admit(now, float64(tokens))
-	if v.OK || now.Sub(s.asked) < askGap {
-		return v, false
+	verdict := limiter.Admit(now, float64(tokens))
+	if verdict.OK || now.Sub(limiter.refreshedAt) < minRefreshInterval {
+		return verdict, false
 	}
-	s.asked = now
-	return v, true
+	limiter.refreshedAt = now
+	return verdict, true
 }
 
-// setRow takes in a row's limits, and the entry's part of what needs no owner.
-func (c *Controller) setRow(s *rowShare, row rillreach.Row) {
-	if s.row.Limits == row.Limits && s.row.Account != "" {
+// setRow updates the limiter's row and its share of the static part if the limits have changed.
+func (c *Controller) setRow(limiter *rowLimiter, row rillreach.Row) {
+	if limiter.row.Limits == row.Limits && limiter.row.Account != "" {
 		return
 	}
-	s.row = row
-	caps, set := limit.AmountsOf(row.Limits)
-	s.SetMetrics(set)
+	limiter.row = row
+	capacity, limited := limit.AmountsOf(row.Limits)
+	limiter.SetMetrics(limited)
 	rank, entries := c.rank(row.Name())
-	s.SetLease(c.Clock.Now(), limit.PartStatic, limit.StaticShare(limit.Split(caps)[limit.PartStatic], rank, entries), time.Time{})
+	limiter.SetLease(c.Clock.Now(), limit.PartStatic, limit.StaticShare(limit.Split(capacity)[limit.PartStatic], rank, entries), time.Time{})
 }
 
-func (c *Controller) shardOf(name string) *shareShard {
-	return &c.shares[hash.String(name)%shardCount]
+func (c *Controller) shardOf(name string) *limiterShard {
+	return &c.shards[hash.String(name)%shardCount]
 }
 
-func (c *Controller) with(name string, do func(*rowShare)) {
+func (c *Controller) withLimiter(name string, do func(*rowLimiter)) {
 	shard := c.shardOf(name)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	if s := shard.rows[name]; s != nil {
-		do(s)
+	if limiter := shard.rows[name]; limiter != nil {
+		do(limiter)
 	}
 }
 
-func (s *shareShard) share(name string) *rowShare {
+func (s *limiterShard) get(name string) *rowLimiter {
 	if s.rows == nil {
-		s.rows = map[string]*rowShare{}
+		s.rows = map[string]*rowLimiter{}
 	}
-	share := s.rows[name]
-	if share == nil {
-		share = &rowShare{}
-		s.rows[name] = share
+	limiter := s.rows[name]
+	if limiter == nil {
+		limiter = &rowLimiter{}
+		s.rows[name] = limiter
 	}
-	return share
+	return limiter
 }
 
-// inUse returns the rows that are in use, and forgets the others.
-func (c *Controller) inUse() []string {
+// activeRows returns the names of the rows in use, and removes the limiters of idle ones.
+func (c *Controller) activeRows() []string {
 	var names []string
-	for i := range c.shares {
-		shard := &c.shares[i]
+	for i := range c.shards {
+		shard := &c.shards[i]
 		shard.mu.Lock()
-		for name, s := range shard.rows {
-			if s.Idle() {
+		for name, limiter := range shard.rows {
+			if limiter.Idle() {
 				delete(shard.rows, name)
 				continue
 			}
@@ -164,60 +164,63 @@
 	return names
 }
 
-// renew asks the owners of rows for leases, each owner once.
+// renew requests leases on the rows, with one request to each owner.
 func (c *Controller) renew(ctx context.Context, names []string) {
-	asks := map[rillreach.InstanceID]*fleet.LeaseRequest{}
+	requests := map[rillreach.InstanceID]*fleet.LeaseRequest{}
 	for _, name := range names {
 		owners := c.owners(name)
 		var demand limit.Amounts
-		c.with(name, func(s *rowShare) { demand = s.Demand(c.Clock.Now()) })
+		c.withLimiter(name, func(limiter *rowLimiter) { demand = limiter.Demand(c.Clock.Now()) })
 		for part, owner := range owners {
-			if asks[owner] == nil {
-				asks[owner] = &fleet.LeaseRequest{}
+			if requests[owner] == nil {
+				requests[owner] = &fleet.LeaseRequest{}
 			}
-			asks[owner].Rows = append(asks[owner].Rows, fleet.RowDemand{Row: name, Part: limit.Part(part), Demand: demand})
+			requests[owner].Rows = append(requests[owner].Rows, fleet.RowDemand{Row: name, Part: limit.Part(part), Demand: demand})
 		}
 	}
 	var wg conc.WaitGroup
-	for owner, ask := range asks {
-		wg.Go(func() { c.ask(ctx, owner, *ask) })
+	for owner, req := range requests {
+		wg.Go(func() { c.requestLeases(ctx, owner, *req) })
 	}
 	wg.Wait()
 }
 
-// ask asks one owner. A lease's time runs from before the asking, so that it ends here before it ends at the owner.
-func (c *Controller) ask(ctx context.Context, owner rillreach.InstanceID, ask fleet.LeaseRequest) {
-	asked := c.Clock.Now()
-	leases, err := c.askOwner(ctx, owner, ask)
-	if err != nil || len(leases.Granted) != len(ask.Rows) {
-		c.Log.V(1).Info("no leases", "owner", owner, "cause", err)
+// requestLeases requests leases from one owner. A lease's TTL starts before the request is sent, so that the lease
+// expires here before it expires at the owner.
+func (c *Controller) requestLeases(ctx context.Context, owner rillreach.InstanceID, req fleet.LeaseRequest) {
+	sentAt := c.Clock.Now()
+	resp, err := c.callOwner(ctx, owner, req)
+	if err != nil || len(resp.Granted) != len(req.Rows) {
+		c.Log.V(1).Info("leases not renewed", "owner", owner, "cause", err)
 		return
 	}
-	for i, r := range ask.Rows {
-		c.with(r.Row, func(s *rowShare) { s.SetLease(c.Clock.Now(), r.Part, leases.Granted[i], asked.Add(limit.LeaseTTL)) })
+	for i, demand := range req.Rows {
+		c.withLimiter(demand.Row, func(limiter *rowLimiter) {
+			limiter.SetLease(c.Clock.Now(), demand.Part, resp.Granted[i], sentAt.Add(limit.LeaseTTL))
+		})
 	}
 }
 
-func (c *Controller) askOwner(ctx context.Context, owner rillreach.InstanceID, ask fleet.LeaseRequest) (fleet.LeaseResponse, error) {
+func (c *Controller) callOwner(ctx context.Context, owner rillreach.InstanceID, req fleet.LeaseRequest) (fleet.LeaseResponse, error) {
 	if owner == c.Self.ID {
-		return c.grantAll(c.Self.ID, ask), nil
+		return c.grantAll(c.Self.ID, req), nil
 	}
 	m := c.Members.Find(owner)
 	if m == nil {
-		return fleet.LeaseResponse{}, errors.Newf("owner %s is not known", owner)
+		return fleet.LeaseResponse{}, errors.Newf("owner %s is not a known member", owner)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	conn, err := c.Pool.Get(ctx, m.Address)
 	if err != nil {
 		return fleet.LeaseResponse{}, err
 	}
-	return peer.Invoke[fleet.LeaseRequest, fleet.LeaseResponse](ctx, conn, peer.MethodLease, ask)
+	return peer.Invoke[fleet.LeaseRequest, fleet.LeaseResponse](ctx, conn, peer.MethodLease, req)
 }
 
-func (c *Controller) answer(_ context.Context, from *peer.Conn, ask fleet.LeaseRequest) (fleet.LeaseResponse, error) {
+func (c *Controller) handleLease(_ context.Context, from *peer.Conn, req fleet.LeaseRequest) (fleet.LeaseResponse, error) {
 	if from.Peer.Role != rillreach.RoleEntry {
 		return fleet.LeaseResponse{}, rillreach.NotRun(rillreach.ReasonUnauthorized, "only entries have leases")
 	}
-	return c.grantAll(from.Peer.ID, ask), nil
+	return c.grantAll(from.Peer.ID, req), nil
 }
