--- a/controller/spread/count.go
+++ b/controller/spread/count.go
@@ -12,7 +12,8 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// CountReplicas asks every known process, by way of one process of each zone, whether it holds a kind up to a version.
+// CountReplicas counts the processes whose replica has reached a version of a kind. The requests go to one process in
+// each availability zone, which forwards them down its tree.
 func (c *Controller) CountReplicas(ctx context.Context, kind rillreach.ObjectKind, version uint64) fleet.VersionCounts {
 	zones := map[rillreach.ZoneID][]rillreach.InstanceID{}
 	for _, n := range nodesOf(c.Members.All()) {
@@ -20,59 +21,59 @@
 			zones[n.Zone] = append(zones[n.Zone], n.ID)
 		}
 	}
-	var total sum
+	var total countSum
 	var wg conc.WaitGroup
 	for _, ids := range zones {
 		wg.Go(func() {
-			total.add(c.countUnder(ctx, ids[0], fleet.CountRequest{Kind: kind, Version: version, Root: ids[0]}))
+			total.add(c.countSubtree(ctx, ids[0], fleet.CountRequest{Kind: kind, Version: version, Root: ids[0]}))
 		})
 	}
 	wg.Wait()
-	return total.counted
+	return total.counts
 }
 
-// countUnder asks a process for itself and all below it in the tree of the count's root.
-func (c *Controller) countUnder(ctx context.Context, id rillreach.InstanceID, count fleet.CountRequest) fleet.VersionCounts {
+// countSubtree returns the counts of a process and its descendants in the tree with the request's root.
+func (c *Controller) countSubtree(ctx context.Context, id rillreach.InstanceID, req fleet.CountRequest) fleet.VersionCounts {
 	if id == c.Self.ID {
-		counted, err := c.answerCount(ctx, nil, count)
+		counts, err := c.handleCount(ctx, nil, req)
 		if err != nil {
 			return fleet.VersionCounts{Unresponsive: 1}
 		}
-		return counted
+		return counts
 	}
 	conn, err := c.connect(ctx, id)
 	if err != nil {
 		return fleet.VersionCounts{Unresponsive: 1}
 	}
-	counted, err := peer.Invoke[fleet.CountRequest, fleet.VersionCounts](ctx, conn, peer.MethodCount, count)
+	counts, err := peer.Invoke[fleet.CountRequest, fleet.VersionCounts](ctx, conn, peer.MethodCount, req)
 	if err != nil {
 		return fleet.VersionCounts{Unresponsive: 1}
 	}
-	return counted
+	return counts
 }
 
-func (c *Controller) answerCount(ctx context.Context, _ *peer.Conn, count fleet.CountRequest) (fleet.VersionCounts, error) {
-	var total sum
-	if c.Replica.Watermark(count.Kind).Version >= count.Version {
-		total.counted.InForce = 1
+func (c *Controller) handleCount(ctx context.Context, _ *peer.Conn, req fleet.CountRequest) (fleet.VersionCounts, error) {
+	var total countSum
+	if c.Replica.Watermark(req.Kind).Version >= req.Version {
+		total.counts.InForce = 1
 	} else {
-		total.counted.Behind = 1
+		total.counts.Behind = 1
 	}
 	var wg conc.WaitGroup
-	for _, child := range replicate.ChildrenInTree(c.Self.ID, count.Root, nodesOf(c.Members.All())) {
-		wg.Go(func() { total.add(c.countUnder(ctx, child, count)) })
+	for _, child := range replicate.ChildrenInTree(c.Self.ID, req.Root, nodesOf(c.Members.All())) {
+		wg.Go(func() { total.add(c.countSubtree(ctx, child, req)) })
 	}
 	wg.Wait()
-	return total.counted, nil
+	return total.counts, nil
 }
 
-type sum struct {
-	mu      sync.Mutex
-	counted fleet.VersionCounts
+type countSum struct {
+	mu     sync.Mutex
+	counts fleet.VersionCounts
 }
 
-func (s *sum) add(c fleet.VersionCounts) {
+func (s *countSum) add(c fleet.VersionCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.counted.Add(c)
+	s.counts.Add(c)
 }
--- a/controller/spread/digest.go
+++ b/controller/spread/digest.go
@@ -14,8 +14,8 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// digestAll compares marks with one partner after another.
-func (c *Controller) digestAll(ctx context.Context) {
+// syncLoop compares watermarks with a random partner at each interval.
+func (c *Controller) syncLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, jitter(c.SyncInterval))
 		partners := c.currentPlan().Partners
@@ -24,75 +24,76 @@
 		}
 		id := partners[rand.IntN(len(partners))]
 		if err := c.syncWith(ctx, id); err != nil {
-			c.Log.V(1).Info("marks not compared", "peer", id, "cause", err.Error())
+			c.Log.V(1).Info("sync failed", "peer", id, "cause", err.Error())
 		}
-		if c.stale() {
-			c.lookAfterWatchers(ctx)
+		if c.isStale() {
+			c.suspectUnresponsiveWatchers(ctx)
 		}
 	}
 }
 
-// stale reports whether nothing has confirmed the copy of the rows for longer than watchers that work would let pass.
-func (c *Controller) stale() bool {
-	return c.Clock.Now().UnixNano()-c.confirmed.Load() > int64(staleWatches*c.WatchTimeout)
+// isStale reports whether the replica of the rows has been unconfirmed for longer than working watchers would allow.
+func (c *Controller) isStale() bool {
+	return c.Clock.Now().UnixNano()-c.confirmedAt.Load() > int64(staleAfterWatches*c.WatchTimeout)
 }
 
-// lookAfterWatchers suspects the zone's watchers that do not answer, so that others take their place. All processes of
-// the zone come to look when the watchers are gone; in an outage of the platform the watchers answer, and stay.
-func (c *Controller) lookAfterWatchers(ctx context.Context) {
+// suspectUnresponsiveWatchers suspects the zone's watchers that do not respond, so that other processes replace them.
+// Every process of the zone does this once its rows are stale. If only the platform is down, the watchers still
+// respond and remain watchers.
+func (c *Controller) suspectUnresponsiveWatchers(ctx context.Context) {
 	for _, id := range c.currentPlan().Watchers {
 		if id == c.Self.ID || c.syncWith(ctx, id) == nil {
 			continue
 		}
 		if m := c.Members.Find(id); m != nil && ctx.Err() == nil {
 			m.Suspect(c.Clock.Now())
-			c.Log.Info("watcher out of reach", "peer", id)
+			c.Log.Info("watcher unreachable, marked as suspected", "peer", id)
 		}
 	}
 }
 
 func (c *Controller) syncWith(ctx context.Context, id rillreach.InstanceID) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	conn, err := c.connect(ctx, id)
 	if err != nil {
 		return err
 	}
-	return c.syncOver(ctx, conn)
+	return c.syncOn(ctx, conn)
 }
 
-// CatchUp compares marks with a peer when real traffic has shown that its copy of the rows goes up to a mark that this
-// process has not reached.
-func (c *Controller) CatchUp(conn *peer.Conn, mark uint64) {
-	if mark <= c.Replica.Watermark(rillreach.KindRow).Version {
+// CatchUp syncs with a peer in the background if the peer's rows are at a later version than this process's. Callers
+// learn that version from requests and responses.
+func (c *Controller) CatchUp(conn *peer.Conn, version uint64) {
+	if version <= c.Replica.Watermark(rillreach.KindRow).Version {
 		return
 	}
 	c.Stats.CatchUps.Add(1)
 	c.pushes.Go(func() {
-		ctx, cancel := context.WithTimeout(c.base, askTimeout)
+		ctx, cancel := context.WithTimeout(c.baseCtx, requestTimeout)
 		defer cancel()
-		if err := c.syncOver(ctx, conn); err != nil {
-			c.Log.V(1).Info("not caught up", "peer", conn.Peer.ID, "cause", err.Error())
+		if err := c.syncOn(ctx, conn); err != nil {
+			c.Log.V(1).Info("catch-up failed", "peer", conn.Peer.ID, "cause", err.Error())
 		}
 	})
 }
 
-func (c *Controller) syncOver(ctx context.Context, conn *peer.Conn) error {
+func (c *Controller) syncOn(ctx context.Context, conn *peer.Conn) error {
 	c.Stats.Syncs.Add(1)
-	reply, err := peer.Invoke[fleet.SyncRequest, fleet.SyncResponse](ctx, conn, peer.MethodSync, fleet.SyncRequest{Watermarks: c.Replica.Watermarks()})
+	resp, err := peer.Invoke[fleet.SyncRequest, fleet.SyncResponse](ctx, conn, peer.MethodSync, fleet.SyncRequest{Watermarks: c.Replica.Watermarks()})
 	if err != nil {
 		return errors.Wrapf(err, "compare marks with %s", conn.Peer.ID)
 	}
-	for _, d := range reply.Deltas {
+	for _, d := range resp.Deltas {
 		c.merge(d, conn.Peer.ID)
 	}
-	return c.giveBack(ctx, conn, reply.Watermarks)
+	return c.pushMissing(ctx, conn, resp.Watermarks)
 }
 
-// giveBack sends the peer what it lacks itself.
-func (c *Controller) giveBack(ctx context.Context, conn *peer.Conn, marks []replicate.Watermark) error {
-	for _, mark := range marks {
-		d, ok := c.Replica.DeltaSince(mark)
+// pushMissing pushes to the peer the deltas that it lacks according to its watermarks.
+func (c *Controller) pushMissing(ctx context.Context, conn *peer.Conn, watermarks []replicate.Watermark) error {
+	for _, watermark := range watermarks {
+		d, ok := c.Replica.DeltaSince(watermark)
 		if !ok {
 			continue
 		}
@@ -104,31 +105,32 @@
 	return nil
 }
 
-func (c *Controller) answerSync(_ context.Context, _ *peer.Conn, s fleet.SyncRequest) (fleet.SyncResponse, error) {
-	reply := fleet.SyncResponse{Watermarks: c.Replica.Watermarks()}
-	for _, mark := range s.Watermarks {
-		if d, ok := c.Replica.DeltaSince(mark); ok {
-			reply.Deltas = append(reply.Deltas, d)
+func (c *Controller) handleSync(_ context.Context, _ *peer.Conn, req fleet.SyncRequest) (fleet.SyncResponse, error) {
+	resp := fleet.SyncResponse{Watermarks: c.Replica.Watermarks()}
+	for _, watermark := range req.Watermarks {
+		if d, ok := c.Replica.DeltaSince(watermark); ok {
+			resp.Deltas = append(resp.Deltas, d)
 		}
 	}
-	return reply, nil
+	return resp, nil
 }
 
-// currentPlan returns this process's part, made anew when the instances have changed or its partners are to be redrawn.
+// currentPlan returns this process's plan. It is recomputed when the members have changed or a new round selects other
+// partners.
 func (c *Controller) currentPlan() replicate.Plan {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	changes, now := c.Members.ChangeCount(), c.Clock.Now()
-	redraw := now.Sub(c.drawn) > redrawEvery
-	if !redraw && changes == c.planned && c.turn > 0 {
+	changeCount, now := c.Members.ChangeCount(), c.Clock.Now()
+	newRound := now.Sub(c.roundStartedAt) > roundDuration
+	if !newRound && changeCount == c.planChangeCount && c.round > 0 {
 		return c.plan
 	}
-	if redraw {
-		c.turn++
-		c.drawn = now
+	if newRound {
+		c.round++
+		c.roundStartedAt = now
 	}
-	c.planned = changes
-	c.plan = replicate.MakePlan(c.Self.ID, nodesOf(c.Members.All()), c.turn)
+	c.planChangeCount = changeCount
+	c.plan = replicate.MakePlan(c.Self.ID, nodesOf(c.Members.All()), c.round)
 	return c.plan
 }
 
--- a/controller/spread/doc.go
+++ b/controller/spread/doc.go
@@ -1,3 +1,3 @@
-// Package spread keeps a process's copy of the platform's objects close to the platform: it watches where it is the
-// process's turn, hands changes on down its zone's tree, and compares marks with a few partners.
+// Package spread replicates the platform's objects to a process: it watches the platform if the process is a watcher,
+// pushes changes down the tree of its availability zone, and compares watermarks with a few partners to fill gaps.
 package spread
--- a/controller/spread/fleet_test.go
+++ b/controller/spread/fleet_test.go
@@ -25,27 +25,27 @@
 )
 
 const (
-	zoneCount = 4
-	patience  = 60 * time.Second
+	zoneCount   = 4
+	waitTimeout = 60 * time.Second
 )
 
-// network lets a test cut and freeze processes.
+// network connects the processes of a test, which can disconnect and freeze them.
 type network struct {
-	mu     sync.Mutex
-	cut    map[string]bool
-	frozen map[string]chan struct{}
-	conns  map[string][]net.Conn
+	mu           sync.Mutex
+	disconnected map[string]bool
+	frozen       map[string]chan struct{}
+	conns        map[string][]net.Conn
 }
 
 func newNetwork() *network {
-	return &network{cut: map[string]bool{}, frozen: map[string]chan struct{}{}, conns: map[string][]net.Conn{}}
+	return &network{disconnected: map[string]bool{}, frozen: map[string]chan struct{}{}, conns: map[string][]net.Conn{}}
 }
 
-// dialFrom makes the connections of one process.
+// dialFrom returns the dial function of one process.
 func (n *network) dialFrom(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
-		refused := n.cut[from] || n.cut[address]
+		refused := n.disconnected[from] || n.disconnected[address]
 		n.mu.Unlock()
 		if refused {
 			return nil, net.ErrClosed
@@ -58,42 +58,42 @@
 		defer n.mu.Unlock()
 		n.conns[from] = append(n.conns[from], conn)
 		n.conns[address] = append(n.conns[address], conn)
-		return &heldConn{Conn: conn, network: n, ends: [2]string{from, address}}, nil
+		return &freezableConn{Conn: conn, network: n, ends: [2]string{from, address}}, nil
 	}
 }
 
-// cutOff ends a process's connections, and has it make no new ones until it is joined again.
-func (n *network) cutOff(address string) {
+// disconnect closes a process's connections and rejects new ones until reconnect is called.
+func (n *network) disconnect(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[address] = true
+	n.disconnected[address] = true
 	for _, conn := range n.conns[address] {
 		_ = conn.Close()
 	}
 	n.conns[address] = nil
 }
 
-func (n *network) join(address string) {
+func (n *network) reconnect(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cut, address)
+	delete(n.disconnected, address)
 }
 
-// freeze has nothing get to or from a process, while its connections stay open.
+// freeze blocks all traffic from and to a process, while its connections stay open.
 func (n *network) freeze(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.frozen[address] = make(chan struct{})
 }
 
-func (n *network) thaw(address string) {
+func (n *network) unfreeze(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.frozen[address])
 	delete(n.frozen, address)
 }
 
-func (n *network) hold(ends [2]string) {
+func (n *network) waitWhileFrozen(ends [2]string) {
 	for _, end := range ends {
 		n.mu.Lock()
 		frozen := n.frozen[end]
@@ -104,24 +104,24 @@
 	}
 }
 
-type heldConn struct {
+type freezableConn struct {
 	net.Conn
 	network *network
 	ends    [2]string
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *freezableConn) Read(p []byte) (int, error) {
 	count, err := c.Conn.Read(p)
-	c.network.hold(c.ends)
+	c.network.waitWhileFrozen(c.ends)
 	return count, err
 }
 
-func (c *heldConn) Write(p []byte) (int, error) {
-	c.network.hold(c.ends)
+func (c *freezableConn) Write(p []byte) (int, error) {
+	c.network.waitWhileFrozen(c.ends)
 	return c.Conn.Write(p)
 }
 
-// testFleet is a number of processes' spreading over loopback, in one process.
+// testFleet runs the controllers of several processes in the test's process, connected over loopback.
 type testFleet struct {
 	t        testing.TB
 	platform *standin.Server
@@ -133,7 +133,7 @@
 
 type node struct {
 	*Controller
-	gate    *gate
+	store   *blockableStore
 	address netip.AddrPort
 	stop    func()
 }
@@ -155,7 +155,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(tb, err)
 		listeners[i] = listener
-		f.list(f.instance(i, listener, 1))
+		f.register(f.instance(i, listener, 1))
 	}
 	for i, listener := range listeners {
 		f.nodes = append(f.nodes, f.start(i, listener, 1))
@@ -191,12 +191,12 @@
 	mux := &peer.Mux{Log: logr.Discard()}
 	pool := &peer.Pool{Self: self, Mux: mux, Log: logr.Discard(), OnConnect: members.Upsert, Dial: f.network.dialFrom(self.Address.String())}
 	pool.Start(ctx)
-	copied := replicate.NewReplica()
-	copied.AddKind(rillreach.KindRow, func(rillreach.Object) {}, nil)
-	copied.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = members.Apply(o) }, nil)
-	g := &gate{ObjectStore: f.store}
+	replica := replicate.NewReplica()
+	replica.AddKind(rillreach.KindRow, func(rillreach.Object) {}, nil)
+	replica.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = members.Apply(o) }, nil)
+	store := &blockableStore{ObjectStore: f.store}
 	c := &Controller{
-		Self: self, Store: g, Replica: copied, Members: members, Pool: pool, Log: logr.Discard(),
+		Self: self, Store: store, Replica: replica, Members: members, Pool: pool, Log: logr.Discard(),
 		Clock:        rillreach.ClockFunc(time.Now),
 		SyncInterval: 100 * time.Millisecond,
 		WatchTimeout: time.Second,
@@ -209,36 +209,36 @@
 		defer close(done)
 		_ = c.Run(ctx)
 	}()
-	return &node{Controller: c, gate: g, address: self.Address, stop: func() {
+	return &node{Controller: c, store: store, address: self.Address, stop: func() {
 		cancel()
 		_ = server.Close()
 		<-done
 	}}
 }
 
-// gate is the platform as one process reaches it, or does not while the gate is shut.
-type gate struct {
+// blockableStore is one process's access to the platform, which a test can block.
+type blockableStore struct {
 	rillreach.ObjectStore
-	shut atomic.Bool
+	blocked atomic.Bool
 }
 
-// List lists unless the gate is shut.
-func (g *gate) List(ctx context.Context, kind rillreach.ObjectKind) (rillreach.ObjectPage, error) {
-	if g.shut.Load() {
+// List calls the store unless it is blocked.
+func (s *blockableStore) List(ctx context.Context, kind rillreach.ObjectKind) (rillreach.ObjectPage, error) {
+	if s.blocked.Load() {
 		return rillreach.ObjectPage{}, net.ErrClosed
 	}
-	return g.ObjectStore.List(ctx, kind)
+	return s.ObjectStore.List(ctx, kind)
 }
 
-// Watch watches unless the gate is shut.
-func (g *gate) Watch(ctx context.Context, kind rillreach.ObjectKind, after uint64, wait time.Duration) (rillreach.ObjectPage, error) {
-	if g.shut.Load() {
+// Watch calls the store unless it is blocked.
+func (s *blockableStore) Watch(ctx context.Context, kind rillreach.ObjectKind, after uint64, wait time.Duration) (rillreach.ObjectPage, error) {
+	if s.blocked.Load() {
 		return rillreach.ObjectPage{}, net.ErrClosed
 	}
-	return g.ObjectStore.Watch(ctx, kind, after, wait)
+	return s.ObjectStore.Watch(ctx, kind, after, wait)
 }
 
-// restart replaces a process by a new incarnation at the same address.
+// restart replaces a process with a new incarnation at the same address.
 func (f *testFleet) restart(i int) {
 	f.t.Helper()
 	f.nodes[i].stop()
@@ -247,7 +247,7 @@
 	f.nodes[i] = f.start(i, listener, 2)
 }
 
-func (f *testFleet) list(instance rillreach.Instance) {
+func (f *testFleet) register(instance rillreach.Instance) {
 	f.t.Helper()
 	value, err := json.Marshal(instance)
 	require.NoError(f.t, err)
@@ -255,20 +255,20 @@
 	require.NoError(f.t, err)
 }
 
-// write changes a row in the platform and returns its version.
+// write writes a row to the platform and returns its version.
 func (f *testFleet) write(name, value string) uint64 {
 	f.t.Helper()
 	ctx := context.Background()
-	var seen uint64
+	var expected uint64
 	if old, err := f.store.Get(ctx, rillreach.KindRow, name); err == nil {
-		seen = old.Version
+		expected = old.Version
 	}
-	o, err := f.store.Put(ctx, rillreach.KindRow, name, seen, []byte(value))
+	o, err := f.store.Put(ctx, rillreach.KindRow, name, expected, []byte(value))
 	require.NoError(f.t, err)
 	return o.Version
 }
 
-func (f *testFleet) holding(version uint64) int {
+func (f *testFleet) countAtVersion(version uint64) int {
 	count := 0
 	for _, n := range f.nodes {
 		if n.Replica.Watermark(rillreach.KindRow).Version >= version {
@@ -278,21 +278,21 @@
 	return count
 }
 
-// awaitAll waits until all processes, or the given number of them, hold a version of the rows.
-func (f *testFleet) awaitAll(version uint64, count int) time.Duration {
+// awaitVersion waits until count processes have reached a version of the rows.
+func (f *testFleet) awaitVersion(version uint64, count int) time.Duration {
 	f.t.Helper()
 	start := time.Now()
-	for f.holding(version) < count {
-		if time.Since(start) > patience {
-			require.FailNow(f.t, "change does not get around", "%d of %d hold version %d", f.holding(version), count, version)
+	for f.countAtVersion(version) < count {
+		if time.Since(start) > waitTimeout {
+			require.FailNow(f.t, "change has not reached all processes", "%d of %d have version %d", f.countAtVersion(version), count, version)
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-// settled waits until every process knows all the others.
-func (f *testFleet) settled() {
+// awaitSettled waits until every process knows all others and has received a change.
+func (f *testFleet) awaitSettled() {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		for _, n := range f.nodes {
@@ -301,20 +301,20 @@
 			}
 		}
 		return true
-	}, patience, 10*time.Millisecond)
-	f.awaitAll(f.write("row-0", "second"), len(f.nodes))
+	}, waitTimeout, 10*time.Millisecond)
+	f.awaitVersion(f.write("row-0", "second"), len(f.nodes))
 }
 
-// callsFail waits until the processes have called the platform some times more.
-func (f *testFleet) callsFail(count int64) {
+// awaitCalls waits until the processes have called the platform count more times.
+func (f *testFleet) awaitCalls(count int64) {
 	f.t.Helper()
 	before := f.cost().calls
-	require.Eventually(f.t, func() bool { return f.cost().calls >= before+count }, patience, 10*time.Millisecond)
+	require.Eventually(f.t, func() bool { return f.cost().calls >= before+count }, waitTimeout, 10*time.Millisecond)
 }
 
-// cost is what the fleet has spent so far.
+// cost is the work of the fleet so far.
 type cost struct {
-	calls, pushes, digests, frames, bytes int64
+	calls, pushes, syncs, frames, bytes int64
 }
 
 func (f *testFleet) cost() cost {
@@ -322,7 +322,7 @@
 	for _, n := range f.nodes {
 		c.calls += n.Stats.PlatformCalls.Load()
 		c.pushes += n.Stats.Pushes.Load()
-		c.digests += n.Stats.Syncs.Load()
+		c.syncs += n.Stats.Syncs.Load()
 		c.frames += n.Pool.Traffic.Frames.Load()
 		c.bytes += n.Pool.Traffic.Bytes.Load()
 	}
--- a/controller/spread/push_test.go
+++ b/controller/spread/push_test.go
@@ -8,19 +8,19 @@
 )
 
 func TestPushGroup(t *testing.T) {
-	t.Run("what runs is waited for, and nothing begins after the end", func(t *testing.T) {
+	t.Run("Close waits for running pushes, and no push starts after it", func(t *testing.T) {
 		var p pushGroup
 		var pushed atomic.Int64
 		for range 100 {
 			p.Go(func() { pushed.Add(1) })
 		}
-		p.End()
+		p.Close()
 		assert.Equal(t, int64(100), pushed.Load())
 		p.Go(func() { pushed.Add(1) })
-		p.End()
+		p.Close()
 		assert.Equal(t, int64(100), pushed.Load())
 	})
-	t.Run("pushes may come while the group ends", func(*testing.T) {
+	t.Run("pushes can be started while the group is being closed", func(*testing.T) {
 		var p pushGroup
 		begun, done := make(chan struct{}), make(chan struct{})
 		go func() {
@@ -33,7 +33,7 @@
 			}
 		}()
 		<-begun
-		p.End() // the race detector says whether a push may begin during the wait
+		p.Close() // the race detector fails if a push can start during the wait
 		<-done
 	})
 }
--- a/controller/spread/spread.go
+++ b/controller/spread/spread.go
@@ -20,116 +20,119 @@
 )
 
 const (
-	// DefaultSyncInterval is how often marks are compared with a partner.
+	// DefaultSyncInterval is the default time between two comparisons of watermarks with a partner.
 	DefaultSyncInterval = 2 * time.Second
-	// DefaultWatchTimeout is how long one watch waits for a change.
+	// DefaultWatchTimeout is the default for how long one watch waits for a change.
 	DefaultWatchTimeout = 5 * time.Second
 
-	// watchGap is the least time between two watches of a kind, so that a burst of changes costs the platform no more
-	// than five calls a second for each watcher; the changes of one gap come together.
-	watchGap       = 200 * time.Millisecond
-	askTimeout     = 2 * time.Second
-	minBackoff     = 200 * time.Millisecond
+	// coalesceDelay is the pause between two watches of a kind. It limits each watcher to five calls a second in a burst
+	// of changes, because the changes during the pause arrive in one response.
+	coalesceDelay  = 200 * time.Millisecond
+	requestTimeout = 2 * time.Second
+	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	redrawEvery    = 10 * time.Minute
-	planCheckEvery = 500 * time.Millisecond
-	// staleWatches is after how many watches' length without a confirmation the watchers are looked after.
-	staleWatches = 3
+	// roundDuration is how long a process keeps the same partners.
+	roundDuration     = 10 * time.Minute
+	planCheckInterval = 500 * time.Millisecond
+	// staleAfterWatches is the number of watch timeouts without a confirmation after which the rows are stale.
+	staleAfterWatches = 3
 )
 
-// Stats counts what the spreading has cost this process.
+// Stats counts the replication work of this process.
 type Stats struct {
 	PlatformCalls atomic.Int64
 	Pushes        atomic.Int64
 	Syncs         atomic.Int64
 	Deltas        atomic.Int64
-	// CatchUps counts how often real traffic has shown that this process was behind.
+	// CatchUps counts the syncs that were started because a request or response showed that this process was behind.
 	CatchUps atomic.Int64
 }
 
-// Controller is the spreading of one process.
+// Controller replicates the platform's objects to one process.
 type Controller struct {
 	// Self is this process.
 	Self rillreach.Instance
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
-	// Replica is what is kept close to the platform.
+	// Replica holds the replicated objects.
 	Replica *replicate.Replica
 	// Members are the known processes.
 	Members *membership.Members
 	// Pool connects to peers.
 	Pool *peer.Pool
-	// Clock tells the time.
+	// Clock is the source of the current time.
 	Clock rillreach.Clock
-	// Log takes what goes wrong.
+	// Log receives failed calls and unreachable peers.
 	Log logr.Logger
-	// SyncInterval and WatchWait are the rhythm; zero means the defaults.
+	// SyncInterval is the mean time between two syncs, and WatchTimeout how long one watch waits for a change; zero
+	// means the default.
 	SyncInterval time.Duration
 	WatchTimeout time.Duration
-	// Stats counts the cost.
+	// Stats counts the replication work.
 	Stats Stats
 
-	mu      sync.Mutex
-	plan    replicate.Plan
-	planned uint64
-	drawn   time.Time
-	turn    uint64
-	pushes  pushGroup
-	// confirmed is when the copy of the rows was last confirmed to be all there is, by this process's clock.
-	confirmed atomic.Int64
-	base      context.Context
+	mu              sync.Mutex
+	plan            replicate.Plan
+	planChangeCount uint64
+	roundStartedAt  time.Time
+	round           uint64
+	pushes          pushGroup
+	// confirmedAt is when the replica of the rows was last confirmed to be up to date, by this process's clock, in
+	// nanoseconds since the Unix epoch.
+	confirmedAt atomic.Int64
+	baseCtx     context.Context
 }
 
-// pushGroup runs pushes to children until it is ended: peers go on sending what would be pushed on while the controller ends. Its
-// zero value is ready.
+// pushGroup runs pushes to children until it is closed. It is needed because peers still send changes, which would be
+// pushed on, while the controller shuts down. Its zero value is ready to use.
 type pushGroup struct {
-	mu    sync.Mutex
-	ended bool
-	wg    conc.WaitGroup
+	mu     sync.Mutex
+	closed bool
+	wg     conc.WaitGroup
 }
 
-// Go runs a push, unless the group has ended.
+// Go starts a push unless the group is closed.
 func (p *pushGroup) Go(push func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ended {
+	if !p.closed {
 		p.wg.Go(push)
 	}
 }
 
-// End starts no more pushes, and waits for those that run.
-func (p *pushGroup) End() {
+// Close prevents new pushes and waits for the running ones.
+func (p *pushGroup) Close() {
 	p.mu.Lock()
-	p.ended = true
+	p.closed = true
 	p.mu.Unlock()
 	p.wg.Wait()
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *Controller) Name() string { return "spread" }
 
-// Register sets the handlers for what peers ask of this controller.
+// Register registers the handlers of requests from peers.
 func (c *Controller) Register(mux *peer.Mux) {
-	peer.HandleUnary(mux, peer.MethodPush, c.takePush)
-	peer.HandleUnary(mux, peer.MethodSync, c.answerSync)
-	peer.HandleUnary(mux, peer.MethodAnnounce, c.takeNotice)
-	peer.HandleUnary(mux, peer.MethodCount, c.answerCount)
+	peer.HandleUnary(mux, peer.MethodPush, c.handlePush)
+	peer.HandleUnary(mux, peer.MethodSync, c.handleSync)
+	peer.HandleUnary(mux, peer.MethodAnnounce, c.handleAnnounce)
+	peer.HandleUnary(mux, peer.MethodCount, c.handleCount)
 }
 
-// Run keeps the copy close to the platform until the context ends.
+// Run replicates the objects until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.setDefaults()
-	c.base = ctx
+	c.baseCtx = ctx
 	c.Members.Upsert(c.Self)
-	c.confirmed.Store(c.Clock.Now().UnixNano())
+	c.confirmedAt.Store(c.Clock.Now().UnixNano())
 	c.bootstrap(ctx)
 	var wg conc.WaitGroup
 	for _, kind := range c.Replica.Kinds() {
-		wg.Go(func() { c.watchAll(ctx, kind) })
+		wg.Go(func() { c.watchLoop(ctx, kind) })
 	}
-	wg.Go(func() { c.digestAll(ctx) })
+	wg.Go(func() { c.syncLoop(ctx) })
 	wg.Wait()
-	c.pushes.End()
+	c.pushes.Close()
 	return nil
 }
 
@@ -142,11 +145,11 @@
 	}
 }
 
-// bootstrap learns the instances from the platform and the rest from a peer, so that many processes that start
-// together do not all read everything from the platform.
+// bootstrap lists the instances from the platform and syncs the rest from a peer, so that many processes starting
+// together do not all list everything from the platform.
 func (c *Controller) bootstrap(ctx context.Context) {
 	if err := c.list(ctx, rillreach.KindInstance); err != nil {
-		c.Log.Info("instances not listed at start", "cause", err.Error())
+		c.Log.Info("listing instances at start failed", "cause", err.Error())
 	}
 	for _, id := range c.currentPlan().Partners {
 		if c.syncWith(ctx, id) == nil {
@@ -155,12 +158,12 @@
 	}
 }
 
-// watchAll watches one kind whenever that is this process's task.
-func (c *Controller) watchAll(ctx context.Context, kind rillreach.ObjectKind) {
-	backoff := minBackoff
+// watchLoop watches one kind while this process is a watcher.
+func (c *Controller) watchLoop(ctx context.Context, kind rillreach.ObjectKind) {
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		if !c.currentPlan().IsWatcher {
-			pause.For(ctx, planCheckEvery)
+			pause.For(ctx, planCheckInterval)
 			continue
 		}
 		if err := c.watch(ctx, kind); err != nil {
@@ -169,18 +172,18 @@
 			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		backoff = minBackoff
-		pause.For(ctx, watchGap)
+		backoff = initialBackoff
+		pause.For(ctx, coalesceDelay)
 	}
 }
 
 func (c *Controller) watch(ctx context.Context, kind rillreach.ObjectKind) error {
-	mark := c.Replica.Watermark(kind)
-	if mark.Version == 0 {
+	watermark := c.Replica.Watermark(kind)
+	if watermark.Version == 0 {
 		return c.list(ctx, kind)
 	}
 	c.Stats.PlatformCalls.Add(1)
-	page, err := c.Store.Watch(ctx, kind, mark.Version, c.WatchTimeout)
+	page, err := c.Store.Watch(ctx, kind, watermark.Version, c.WatchTimeout)
 	if errors.Is(err, rillreach.ErrNotFound) {
 		return c.list(ctx, kind)
 	}
@@ -188,7 +191,7 @@
 		return err
 	}
 	c.merge(replicate.Delta{
-		From:    mark.Version,
+		From:    watermark.Version,
 		To:      replicate.Watermark{Kind: kind, Version: page.Version, Time: page.Time},
 		Objects: page.Objects,
 	}, "")
@@ -209,14 +212,15 @@
 	return nil
 }
 
-// merge takes a delta in and hands it on if it was new.
+// merge merges a delta into the replica. If that changed objects, merge pushes the delta to this process's children,
+// except the sender of the delta. Snapshots are not pushed.
 func (c *Controller) merge(d replicate.Delta, from rillreach.InstanceID) replicate.MergeResult {
-	verdict := c.Replica.Merge(d)
-	if d.To.Kind == rillreach.KindRow && (verdict == replicate.MergeApplied || verdict == replicate.MergeConfirmed) {
-		c.confirmed.Store(c.Clock.Now().UnixNano())
+	result := c.Replica.Merge(d)
+	if d.To.Kind == rillreach.KindRow && (result == replicate.MergeApplied || result == replicate.MergeConfirmed) {
+		c.confirmedAt.Store(c.Clock.Now().UnixNano())
 	}
-	if verdict != replicate.MergeApplied || d.Snapshot {
-		return verdict
+	if result != replicate.MergeApplied || d.Snapshot {
+		return result
 	}
 	c.Stats.Deltas.Add(1)
 	for _, child := range c.currentPlan().Children {
@@ -224,45 +228,45 @@
 			c.pushes.Go(func() { c.push(child, d) })
 		}
 	}
-	return verdict
+	return result
 }
 
 func (c *Controller) push(to rillreach.InstanceID, d replicate.Delta) {
 	c.Stats.Pushes.Add(1)
-	ctx, cancel := context.WithTimeout(c.base, askTimeout)
+	ctx, cancel := context.WithTimeout(c.baseCtx, requestTimeout)
 	defer cancel()
 	conn, err := c.connect(ctx, to)
 	if err != nil {
-		c.Log.V(1).Info("change not handed on", "peer", to, "cause", err.Error())
+		c.Log.V(1).Info("push failed", "peer", to, "cause", err.Error())
 		return
 	}
 	if _, err := peer.Invoke[fleet.PushRequest, fleet.PushResponse](ctx, conn, peer.MethodPush, fleet.PushRequest{Delta: d}); err != nil {
-		c.Log.V(1).Info("change not handed on", "peer", to, "cause", err.Error())
+		c.Log.V(1).Info("push failed", "peer", to, "cause", err.Error())
 	}
 }
 
 func (c *Controller) connect(ctx context.Context, id rillreach.InstanceID) (*peer.Conn, error) {
 	m := c.Members.Find(id)
 	if m == nil {
-		return nil, errors.Newf("peer %s is not known", id)
+		return nil, errors.Newf("peer %s is not a known member", id)
 	}
 	return c.Pool.Get(ctx, m.Address)
 }
 
-func (c *Controller) takePush(ctx context.Context, from *peer.Conn, p fleet.PushRequest) (fleet.PushResponse, error) {
-	if c.merge(p.Delta, from.Peer.ID) == replicate.MergeGap {
-		if err := c.syncOver(ctx, from); err != nil {
+func (c *Controller) handlePush(ctx context.Context, from *peer.Conn, req fleet.PushRequest) (fleet.PushResponse, error) {
+	if c.merge(req.Delta, from.Peer.ID) == replicate.MergeGap {
+		if err := c.syncOn(ctx, from); err != nil {
 			return fleet.PushResponse{}, err
 		}
 	}
-	return fleet.PushResponse{Watermark: c.Replica.Watermark(p.Delta.To.Kind)}, nil
+	return fleet.PushResponse{Watermark: c.Replica.Watermark(req.Delta.To.Kind)}, nil
 }
 
-func (c *Controller) takeNotice(_ context.Context, from *peer.Conn, n fleet.AnnounceRequest) (fleet.AnnounceResponse, error) {
-	if n.Instance.ID != from.Peer.ID {
+func (c *Controller) handleAnnounce(_ context.Context, from *peer.Conn, req fleet.AnnounceRequest) (fleet.AnnounceResponse, error) {
+	if req.Instance.ID != from.Peer.ID {
 		return fleet.AnnounceResponse{}, rillreach.NotRun(rillreach.ReasonBadRequest, "notice is about another instance than its sender")
 	}
-	c.Members.Upsert(n.Instance)
+	c.Members.Upsert(req.Instance)
 	return fleet.AnnounceResponse{}, nil
 }
 
--- a/controller/spread/spread_test.go
+++ b/controller/spread/spread_test.go
@@ -14,15 +14,15 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-func TestChangeGetsAround(t *testing.T) {
+func TestChangeReachesAllProcesses(t *testing.T) {
 	for _, count := range []int{8, 32} {
 		t.Run(fmt.Sprintf("among %d processes", count), func(t *testing.T) {
 			f := newFleet(t, count)
-			f.settled()
+			f.awaitSettled()
 			before := f.cost()
 			const changes = 5
 			for i := range changes {
-				f.awaitAll(f.write("row-1", fmt.Sprint(i)), count)
+				f.awaitVersion(f.write("row-1", fmt.Sprint(i)), count)
 			}
 			after := f.cost()
 			assert.LessOrEqual(t, after.pushes-before.pushes, int64(changes*count*2*replicate.WatchersPerZone), "pushes")
@@ -30,95 +30,95 @@
 	}
 }
 
-func TestChangeGetsAroundWithAThirdInTrouble(t *testing.T) {
+func TestChangeReachesAllAfterThirdIsUnavailable(t *testing.T) {
 	const count = 32
-	t.Run("cut off and joined again", func(t *testing.T) {
+	t.Run("disconnected and reconnected", func(t *testing.T) {
 		f := newFleet(t, count)
-		f.settled()
+		f.awaitSettled()
 		for i := 0; i < count; i += 3 {
-			f.network.cutOff(f.nodes[i].address.String())
-			f.nodes[i].gate.shut.Store(true)
+			f.network.disconnect(f.nodes[i].address.String())
+			f.nodes[i].store.blocked.Store(true)
 		}
-		version := f.write("row-1", "while cut")
-		f.awaitAll(version, count-(count+2)/3)
+		version := f.write("row-1", "while disconnected")
+		f.awaitVersion(version, count-(count+2)/3)
 		for i := 0; i < count; i += 3 {
-			f.network.join(f.nodes[i].address.String())
-			f.nodes[i].gate.shut.Store(false)
+			f.network.reconnect(f.nodes[i].address.String())
+			f.nodes[i].store.blocked.Store(false)
 		}
-		f.awaitAll(version, count)
+		f.awaitVersion(version, count)
 	})
-	t.Run("frozen and thawed", func(t *testing.T) {
+	t.Run("frozen and unfrozen", func(t *testing.T) {
 		f := newFleet(t, count)
-		f.settled()
+		f.awaitSettled()
 		for i := 0; i < count; i += 3 {
 			f.network.freeze(f.nodes[i].address.String())
 		}
 		version := f.write("row-1", "while frozen")
-		f.awaitAll(version, count-(count+2)/3)
+		f.awaitVersion(version, count-(count+2)/3)
 		for i := 0; i < count; i += 3 {
-			f.network.thaw(f.nodes[i].address.String())
+			f.network.unfreeze(f.nodes[i].address.String())
 		}
-		f.awaitAll(version, count)
+		f.awaitVersion(version, count)
 	})
 	t.Run("restarted", func(t *testing.T) {
 		f := newFleet(t, count)
-		f.settled()
+		f.awaitSettled()
 		for i := 0; i < count; i += 3 {
 			f.restart(i)
 		}
-		f.awaitAll(f.write("row-1", "after restart"), count)
+		f.awaitVersion(f.write("row-1", "after restart"), count)
 	})
 }
 
 func TestPlatformOutage(t *testing.T) {
 	const count = 16
-	t.Run("a process that restarts learns the table from its peers", func(t *testing.T) {
+	t.Run("a restarted process gets the table from its peers", func(t *testing.T) {
 		f := newFleet(t, count)
-		f.settled()
+		f.awaitSettled()
 		version := f.write("row-1", "before the outage")
-		f.awaitAll(version, count)
+		f.awaitVersion(version, count)
 		f.platform.SetFaults(standin.Faults{Down: true})
 		f.restart(5)
 		f.restart(6)
-		f.awaitAll(version, count)
+		f.awaitVersion(version, count)
 	})
-	t.Run("a change after the outage gets around", func(t *testing.T) {
+	t.Run("a change after the outage reaches all processes", func(t *testing.T) {
 		f := newFleet(t, count)
-		f.settled()
+		f.awaitSettled()
 		f.platform.SetFaults(standin.Faults{Down: true})
-		f.callsFail(3)
+		f.awaitCalls(3)
 		f.platform.SetFaults(standin.Faults{})
-		f.awaitAll(f.write("row-1", "after the outage"), count)
+		f.awaitVersion(f.write("row-1", "after the outage"), count)
 	})
-	t.Run("a slow platform delays a change and loses none", func(t *testing.T) {
+	t.Run("a slow platform delays a change but does not lose it", func(t *testing.T) {
 		f := newFleet(t, count)
-		f.settled()
+		f.awaitSettled()
 		f.platform.SetFaults(standin.Faults{Delay: 300 * time.Millisecond})
-		f.awaitAll(f.write("row-1", "slowly"), count)
+		f.awaitVersion(f.write("row-1", "while slow"), count)
 	})
 }
 
-func TestBurstIsSparingOnThePlatform(t *testing.T) {
+func TestBurstLimitsPlatformCalls(t *testing.T) {
 	const count, changes = 8, 100
 	f := newFleet(t, count)
-	f.settled()
+	f.awaitSettled()
 	before, start := f.cost(), time.Now()
 	var version uint64
 	for i := range changes {
 		version = f.write("row-1", fmt.Sprint(i))
 	}
-	f.awaitAll(version, count)
-	gaps := int64(time.Since(start)/watchGap) + 2
+	f.awaitVersion(version, count)
+	maxWatches := int64(time.Since(start)/coalesceDelay) + 2
 	const kinds = 2
-	assert.LessOrEqual(t, f.cost().calls-before.calls, gaps*zoneCount*replicate.WatchersPerZone*kinds, "calls of the platform")
+	assert.LessOrEqual(t, f.cost().calls-before.calls, maxWatches*zoneCount*replicate.WatchersPerZone*kinds, "platform calls")
 }
 
-func TestCountAll(t *testing.T) {
+func TestCountReplicas(t *testing.T) {
 	const count = 24
 	f := newFleet(t, count)
-	f.settled()
+	f.awaitSettled()
 	version := f.write("row-1", "counted")
-	f.awaitAll(version, count)
+	f.awaitVersion(version, count)
 	t.Run("every process is counted once", func(t *testing.T) {
 		counted := f.nodes[3].CountReplicas(context.Background(), rillreach.KindRow, version)
 		assert.Equal(t, fleet.VersionCounts{InForce: count}, counted)
@@ -129,18 +129,18 @@
 	})
 }
 
-// BenchmarkChange measures one change of a row among several sizes of fleet: the time until it is in force everywhere,
-// and what that costs each process and the platform.
+// BenchmarkChange measures one change of a row in fleets of several sizes: the time until it has reached all processes,
+// and the load on each process and the platform.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
 			f := newFleet(b, count)
-			f.settled()
+			f.awaitSettled()
 			before, start := f.cost(), time.Now()
 			var total, worst time.Duration
 			changes := 0
 			for b.Loop() {
-				took := f.awaitAll(f.write("row-1", fmt.Sprint(changes)), count)
+				took := f.awaitVersion(f.write("row-1", fmt.Sprint(changes)), count)
 				total += took
 				worst = max(worst, took)
 				changes++
@@ -159,42 +159,42 @@
 	b.ReportMetric(per(after.pushes-before.pushes), "pushes/node/change")
 	b.ReportMetric(per(after.bytes-before.bytes), "bytes/node/change")
 	b.ReportMetric(float64(after.calls-before.calls)/float64(changes), "platform-calls/change")
-	b.ReportMetric(float64(after.digests-before.digests)/float64(len(f.nodes))/took.Seconds(), "digests/node/s")
+	b.ReportMetric(float64(after.syncs-before.syncs)/float64(len(f.nodes))/took.Seconds(), "digests/node/s")
 }
 
-// BenchmarkRest measures what the fleet spends each second when nothing changes.
-func BenchmarkRest(b *testing.B) {
+// BenchmarkIdle measures the load of a fleet in which nothing changes.
+func BenchmarkIdle(b *testing.B) {
 	for _, count := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
 			f := newFleet(b, count)
-			f.settled()
+			f.awaitSettled()
 			before, start := f.cost(), time.Now()
 			for b.Loop() {
 				time.Sleep(100 * time.Millisecond)
 			}
 			after, took := f.cost(), time.Since(start).Seconds()
-			digests := float64(after.digests - before.digests)
-			b.ReportMetric(float64(after.bytes-before.bytes)/digests, "bytes/digest")
-			b.ReportMetric(digests/float64(count)/took, "digests/node/s")
+			syncs := float64(after.syncs - before.syncs)
+			b.ReportMetric(float64(after.bytes-before.bytes)/syncs, "bytes/digest")
+			b.ReportMetric(syncs/float64(count)/took, "digests/node/s")
 			b.ReportMetric(float64(after.calls-before.calls)/took, "platform-calls/s")
 		})
 	}
 }
 
-// TestDeadWatchersAreReplaced cuts off both watchers of the only zone, while the platform goes on listing them: another
-// process takes their place, and a change gets around.
+// TestDeadWatchersAreReplaced guards against changes that reach no process because all watchers of a zone are
+// unreachable while the platform still lists them. Other processes have to replace them as watchers.
 func TestDeadWatchersAreReplaced(t *testing.T) {
 	const count = 12
 	f := newFleetInZones(t, count, 1)
-	f.settled()
-	cut := 0
+	f.awaitSettled()
+	disconnected := 0
 	for _, n := range f.nodes {
 		if n.currentPlan().IsWatcher {
-			f.network.cutOff(n.address.String())
-			n.gate.shut.Store(true)
-			cut++
+			f.network.disconnect(n.address.String())
+			n.store.blocked.Store(true)
+			disconnected++
 		}
 	}
-	assert.Equal(t, replicate.WatchersPerZone, cut)
-	f.awaitAll(f.write("row-1", "after the watchers' death"), count-cut)
+	assert.Equal(t, replicate.WatchersPerZone, disconnected)
+	f.awaitVersion(f.write("row-1", "after loss of the watchers"), count-disconnected)
 }
