--- a/controller/epochs/epochs.go
+++ b/controller/epochs/epochs.go
@@ -1,4 +1,4 @@
-// Package epochs keeps the epochs of key owners of one plain service in step with the agents beside it.
+// Package epochs records a new epoch of key owners of a plain service when the service's agents change.
 package epochs
 
 import (
@@ -20,67 +20,68 @@
 )
 
 const (
-	// DefaultInterval is how often the owners are compared with the members.
+	// DefaultInterval is the default time between two comparisons of the owners with the members.
 	DefaultInterval = 500 * time.Millisecond
-	// margin is how much later than it must an epoch comes into force, for the time its recording takes.
-	margin = 2 * time.Second
+	// recordingMargin is added to the lead time of an epoch, because recording it takes time.
+	recordingMargin = 2 * time.Second
 )
 
-// Controller proposes a new epoch when the agents of its service have changed. All agents of the service run it; each
-// waits for those before it by rank, so that as a rule one of them writes.
+// Controller records a new epoch when the agents of its service have changed. All agents of the service run it. Each
+// waits one interval for every agent of a higher rank, so that usually only one of them writes.
 type Controller struct {
 	// Self is this agent.
 	Self rillreach.Instance
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
-	// Owners and Members are what the process knows.
+	// Owners are the recorded epochs, and Members the known instances.
 	Owners  *once.OwnerView
 	Members *membership.Members
-	// Clock tells the time.
+	// Clock is the source of the current time.
 	Clock rillreach.Clock
-	// Log takes a line for each epoch.
+	// Log receives a line for each recorded epoch and each failure.
 	Log logr.Logger
-	// KeyTTL is how long a key may be used after its minting.
+	// KeyTTL is how long a key can be used after its creation.
 	KeyTTL time.Duration
-	// Interval is how often to compare; zero means the default.
+	// Interval is the time between two comparisons; zero means the default.
 	Interval time.Duration
 
-	differing int
+	// mismatches is the number of consecutive comparisons that found a difference.
+	mismatches int
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *Controller) Name() string { return "epochs" }
 
-// Run compares and proposes until the context ends.
+// Run compares owners and members until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
 	if c.Interval == 0 {
 		c.Interval = DefaultInterval
 	}
-	pause.Every(ctx, c.Interval, c.round)
+	pause.Every(ctx, c.Interval, c.reconcile)
 	return nil
 }
 
-func (c *Controller) round(ctx context.Context) {
-	wanted := c.wanted()
+func (c *Controller) reconcile(ctx context.Context) {
+	desired := c.desiredOwners()
 	_, newest := c.Owners.NewestEpoch(c.Self.Service)
-	if len(wanted) == 0 || slices.Equal(wanted, newest.Owners) {
-		c.differing = 0
-		c.tidy(ctx, wanted)
+	if len(desired) == 0 || slices.Equal(desired, newest.Owners) {
+		c.mismatches = 0
+		c.deleteSuperseded(ctx, desired)
 		return
 	}
-	c.differing++
-	if c.differing <= c.rank(wanted) {
+	c.mismatches++
+	if c.mismatches <= c.rank(desired) {
 		return
 	}
-	c.differing = 0
-	if err := c.propose(ctx, wanted); err != nil {
+	c.mismatches = 0
+	if err := c.propose(ctx, desired); err != nil {
 		c.Log.Info("epoch of owners not recorded", "service", c.Self.Service, "cause", err.Error())
 	}
 }
 
-// wanted are the owners that the members call for: the agents beside the service that are not leaving. An agent out of
-// reach stays, since only the platform's list says that it is gone.
-func (c *Controller) wanted() []once.Owner {
+// desiredOwners returns the owners of the next epoch: the service's agents that are not leaving. Unreachable agents
+// remain owners, because only the platform's list shows that an agent is gone.
+func (c *Controller) desiredOwners() []once.Owner {
 	var owners []once.Owner
 	for _, side := range []rillreach.Side{rillreach.SideNew, rillreach.SideOld} {
 		for _, m := range c.Members.Group(membership.Group{Role: rillreach.RoleAgent, Side: side, Service: c.Self.Service}) {
@@ -93,38 +94,38 @@
 	return owners
 }
 
-// rank is how many agents are before this one in proposing; the order differs from service to service.
-func (c *Controller) rank(wanted []once.Owner) int {
+// rank returns the number of agents that propose before this one. The order is different for each service.
+func (c *Controller) rank(desired []once.Owner) int {
 	weight := func(id rillreach.InstanceID) uint64 {
 		return hash.Mix(hash.String(string(c.Self.Service)), hash.String(string(id)))
 	}
-	before := 0
-	for _, o := range wanted {
+	higher := 0
+	for _, o := range desired {
 		if weight(o.ID) > weight(c.Self.ID) {
-			before++
+			higher++
 		}
 	}
-	return before
+	return higher
 }
 
-// propose records the next epoch. It reads the platform first, for the last number and the platform's own time.
-func (c *Controller) propose(ctx context.Context, wanted []once.Owner) error {
+// propose records the next epoch. It lists the epochs first to get the latest number and the platform's time.
+func (c *Controller) propose(ctx context.Context, desired []once.Owner) error {
 	page, err := c.Store.List(ctx, rillreach.KindOwners)
 	if err != nil {
 		return err
 	}
-	last := lastOf(page.Objects, c.Self.Service)
-	if slices.Equal(last.Owners, wanted) {
+	latest := latestEpoch(page.Objects, c.Self.Service)
+	if slices.Equal(latest.Owners, desired) {
 		return nil
 	}
 	e := once.Epoch{
 		Service: c.Self.Service,
-		Number:  last.Number + 1,
-		From:    page.Time.Add(c.Owners.LeadTime + margin),
-		Owners:  wanted,
+		Number:  latest.Number + 1,
+		From:    page.Time.Add(c.Owners.LeadTime + recordingMargin),
+		Owners:  desired,
 	}
-	if !e.From.After(last.From) {
-		e.From = last.From.Add(time.Millisecond)
+	if !e.From.After(latest.From) {
+		e.From = latest.From.Add(time.Millisecond)
 	}
 	value, err := json.Marshal(e)
 	if err != nil {
@@ -133,13 +134,14 @@
 	if _, err := c.Store.Put(ctx, rillreach.KindOwners, objectName(e.Service, e.Number), 0, value); err != nil {
 		return err
 	}
-	c.Log.Info("epoch of owners", "decision", "recorded", "service", e.Service, "number", e.Number, "from", e.From, "owners", len(wanted))
+	c.Log.Info("epoch of owners", "decision", "recorded", "service", e.Service, "number", e.Number, "from", e.From, "owners", len(desired))
 	return nil
 }
 
-// tidy removes, from the first agent by rank, an epoch that no usable key falls into any more.
-func (c *Controller) tidy(ctx context.Context, wanted []once.Owner) {
-	if c.rank(wanted) > 0 {
+// deleteSuperseded deletes the epochs that contain no usable keys any more. Only the agent with the highest rank does
+// this.
+func (c *Controller) deleteSuperseded(ctx context.Context, desired []once.Owner) {
+	if c.rank(desired) > 0 {
 		return
 	}
 	for _, number := range c.Owners.SupersededEpochs(c.Self.Service, c.Clock.Now().Add(-c.KeyTTL)) {
@@ -153,15 +155,15 @@
 	}
 }
 
-func lastOf(objects []rillreach.Object, service rillreach.ServiceID) once.Epoch {
-	var last once.Epoch
+func latestEpoch(objects []rillreach.Object, service rillreach.ServiceID) once.Epoch {
+	var latest once.Epoch
 	for _, o := range objects {
 		e, err := once.DecodeEpoch(o.Value)
-		if err == nil && e.Service == service && e.Number > last.Number {
-			last = e
+		if err == nil && e.Service == service && e.Number > latest.Number {
+			latest = e
 		}
 	}
-	return last
+	return latest
 }
 
 func objectName(service rillreach.ServiceID, number uint64) string {
