--- a/controller/register/register.go
+++ b/controller/register/register.go
@@ -1,4 +1,4 @@
-// Package register keeps a process's own record in the platform's list of instances.
+// Package register maintains a process's record in the platform's list of instances.
 package register
 
 import (
@@ -15,26 +15,27 @@
 )
 
 const (
-	retryEvery = time.Second
-	lastCall   = 2 * time.Second
+	retryInterval   = time.Second
+	shutdownTimeout = 2 * time.Second
 )
 
 // Controller registers one instance.
 type Controller struct {
-	// Self is the instance as it is to be listed.
+	// Self is the instance to register.
 	Self rillreach.Instance
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
-	// Log takes what goes wrong.
+	// Log receives the registration and its failures.
 	Log logr.Logger
-	// OnSuperseded is called once a later incarnation is found in this instance's place; it may be nil.
+	// OnSuperseded is called if a later incarnation of the instance is registered already; it may be nil.
 	OnSuperseded func()
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *Controller) Name() string { return "register" }
 
-// Run registers the instance, tries again for as long as the platform does not take it, and then waits.
+// Run registers the instance, retries until that succeeds or a later incarnation is found, and then waits for the end
+// of the context.
 func (c *Controller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := c.put(ctx, c.Self)
@@ -43,31 +44,31 @@
 			break
 		}
 		if errors.Is(err, errSuperseded) {
-			c.Log.Info("a later incarnation has this place", "instance", c.Self.ID)
+			c.Log.Info("a later incarnation is already registered", "instance", c.Self.ID)
 			if c.OnSuperseded != nil {
 				c.OnSuperseded()
 			}
 			break
 		}
-		c.Log.V(1).Info("not registered yet", "cause", err.Error())
-		pause.For(ctx, retryEvery/2+rand.N(retryEvery))
+		c.Log.V(1).Info("registration failed, will retry", "cause", err.Error())
+		pause.For(ctx, retryInterval/2+rand.N(retryInterval))
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// MarkLeaving records that the instance leaves; it does not depend on Run.
+// MarkLeaving records that the instance is leaving. It works whether or not Run is running.
 func (c *Controller) MarkLeaving(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, lastCall)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	leaving := c.Self
 	leaving.Leaving = true
 	return c.put(ctx, leaving)
 }
 
-// Remove takes the instance's record away if it is still this incarnation's.
+// Remove deletes the instance's record unless it belongs to another incarnation.
 func (c *Controller) Remove(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, lastCall)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	object, err := c.Store.Get(ctx, rillreach.KindInstance, string(c.Self.ID))
 	if err != nil {
