--- a/controller/subscribe/subscribe.go
+++ b/controller/subscribe/subscribe.go
@@ -1,4 +1,4 @@
-// Package subscribe reads the bulletins of one agent, over and over, for as long as they are wanted.
+// Package subscribe receives the bulletins of one agent, and reconnects when the stream breaks.
 package subscribe
 
 import (
@@ -14,23 +14,23 @@
 )
 
 const (
-	// again is a pause after an agent could not be followed.
-	again = 400 * time.Millisecond
-	// silentMost is how long an agent may be silent before the connection is given up.
-	silentMost = 2 * time.Second
+	// retryDelay is the pause before reconnecting to an agent.
+	retryDelay = 400 * time.Millisecond
+	// silenceTimeout bounds connecting to the agent and the wait for each bulletin.
+	silenceTimeout = 2 * time.Second
 )
 
-// Subscription follows one agent; exported fields are set before Run.
+// Subscription follows one agent. Exported fields are set before Run.
 type Subscription struct {
 	// Pool connects to peers.
 	Pool *peer.Pool
 	// Agent is the agent's address.
 	Agent netip.AddrPort
-	// Request says who follows, and what it wants to know.
+	// Request identifies the follower and selects the content of the bulletins.
 	Request bulletin.FollowRequest
-	// OnBulletin is given each bulletin and when it came.
+	// OnBulletin is called with each bulletin and the time of its arrival.
 	OnBulletin func(b *bulletin.Bulletin, now time.Time)
-	// Log takes the agent's loss and return.
+	// Log receives a line when the agent becomes unavailable and when it is available again.
 	Log logr.Logger
 
 	lost bool
@@ -39,18 +39,18 @@
 // Run follows the agent until the context ends.
 func (s *Subscription) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := s.read(ctx)
+		err := s.readBulletins(ctx)
 		if ctx.Err() == nil && !s.lost {
 			s.lost = true
 			s.Log.Error(err, "dependency lost", "dependency", "agent", "agent", s.Agent)
 		}
-		pause.For(ctx, again)
+		pause.For(ctx, retryDelay)
 	}
 }
 
-// read takes bulletins from one connection until it fails.
-func (s *Subscription) read(ctx context.Context) error {
-	conn, err := inTime(ctx, func(ctx context.Context) (*peer.Conn, error) { return s.Pool.Get(ctx, s.Agent) })
+// readBulletins reads bulletins from one stream until it fails.
+func (s *Subscription) readBulletins(ctx context.Context) error {
+	conn, err := withTimeout(ctx, func(ctx context.Context) (*peer.Conn, error) { return s.Pool.Get(ctx, s.Agent) })
 	if err != nil {
 		return err
 	}
@@ -63,9 +63,9 @@
 		return err
 	}
 	defer stream.Close()
-	var before bulletin.Bulletin
+	var previous bulletin.Bulletin
 	for {
-		part, err := inTime(ctx, stream.Next)
+		part, err := withTimeout(ctx, stream.Next)
 		if err != nil {
 			conn.Close()
 			return err
@@ -74,10 +74,10 @@
 		if err != nil {
 			return err
 		}
-		if err := b.FillFrom(&before); err != nil {
+		if err := b.FillFrom(&previous); err != nil {
 			return err
 		}
-		before = b
+		previous = b
 		if s.lost {
 			s.lost = false
 			s.Log.Info("dependency regained", "dependency", "agent", "agent", s.Agent)
@@ -86,9 +86,9 @@
 	}
 }
 
-// inTime bounds one step of following.
-func inTime[T any](ctx context.Context, do func(context.Context) (T, error)) (T, error) {
-	ctx, cancel := context.WithTimeout(ctx, silentMost)
+// withTimeout calls do with a context that is limited to silenceTimeout.
+func withTimeout[T any](ctx context.Context, do func(context.Context) (T, error)) (T, error) {
+	ctx, cancel := context.WithTimeout(ctx, silenceTimeout)
 	defer cancel()
 	return do(ctx)
 }
