--- a/controller/probe/probe.go
+++ b/controller/probe/probe.go
@@ -1,5 +1,4 @@
-// Package probe looks after instances that were found out of reach: it connects to them again, off the path of
-// requests, and ends the suspicion of those that answer.
+// Package probe reconnects to unreachable instances in the background, and clears the suspicion of those that respond.
 package probe
 
 import (
@@ -17,32 +16,32 @@
 )
 
 const (
-	every   = 500 * time.Millisecond
-	timeout = 2 * time.Second
+	probeInterval = 500 * time.Millisecond
+	probeTimeout  = 2 * time.Second
 )
 
-// Controller probes the members that are suspected.
+// Controller probes failing members once their suspicion has expired.
 type Controller struct {
 	// Members are the known instances.
 	Members *membership.Members
 	// Pool connects to them.
 	Pool *peer.Pool
-	// Clock tells the time.
+	// Clock is the source of the current time.
 	Clock rillreach.Clock
-	// Log takes what was found.
+	// Log receives the results of probes.
 	Log logr.Logger
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (c *Controller) Name() string { return "probe" }
 
-// Run probes until the context ends.
+// Run probes members until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
-	pause.Every(ctx, every, c.round)
+	pause.Every(ctx, probeInterval, c.probeAll)
 	return nil
 }
 
-func (c *Controller) round(ctx context.Context) {
+func (c *Controller) probeAll(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, m := range c.Members.All() {
 		if m.Failing() && !m.Suspected(c.Clock.Now()) {
@@ -53,12 +52,12 @@
 }
 
 func (c *Controller) probe(ctx context.Context, m *membership.Member) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	conn, err := c.reach(ctx, m)
+	conn, err := c.connect(ctx, m)
 	if err != nil {
 		wait := m.Suspect(c.Clock.Now())
-		c.Log.V(1).Info("instance still out of reach", "instance", m.ID, "wait", wait, "cause", err.Error())
+		c.Log.V(1).Info("instance still unreachable", "instance", m.ID, "wait", wait, "cause", err.Error())
 		return
 	}
 	c.Members.Upsert(conn.Peer)
@@ -66,8 +65,8 @@
 	c.Log.Info("instance back in reach", "instance", m.ID, "incarnation", conn.Peer.Incarnation)
 }
 
-// reach connects to the member and has it answer, since a process that is frozen still accepts connections.
-func (c *Controller) reach(ctx context.Context, m *membership.Member) (*peer.Conn, error) {
+// connect connects to the member and waits for a response, because a frozen process still accepts connections.
+func (c *Controller) connect(ctx context.Context, m *membership.Member) (*peer.Conn, error) {
 	conn, err := c.Pool.Get(ctx, m.Address)
 	if err != nil {
 		return nil, err
