--- a/peer/call.go
+++ b/peer/call.go
@@ -10,123 +10,123 @@
 	"github.com/rillreach/rillreach"
 )
 
-// maxPart is the largest part of an answer that travels in one frame.
-const maxPart = 16 << 10
+// maxDataSize is the maximum size of a data frame's body. Longer parts are split.
+const maxDataSize = 16 << 10
 
-// ServerStream is the answerer's end of a stream.
+// ServerStream is the responder's end of a stream.
 type ServerStream struct {
-	// Conn is the connection that the stream came on.
+	// Conn is the connection of the stream.
 	Conn *Conn
-	// Body is what was asked.
+	// Body is the request.
 	Body []byte
 
 	id     uint64
 	seq    uint64
 	cancel context.CancelCauseFunc
 
-	mu     sync.Mutex
-	window int64
-	more   chan struct{}
+	mu          sync.Mutex
+	window      int64
+	windowGrown chan struct{}
 }
 
-// Send sends one part of the answer, and waits while the opener's window is full.
-func (c *ServerStream) Send(ctx context.Context, part []byte) error {
-	for len(part) > maxPart {
-		if err := c.sendPart(ctx, part[:maxPart]); err != nil {
+// Send sends one part of the response. It blocks while the opener's window is exhausted.
+func (s *ServerStream) Send(ctx context.Context, part []byte) error {
+	for len(part) > maxDataSize {
+		if err := s.sendPart(ctx, part[:maxDataSize]); err != nil {
 			return err
 		}
-		part = part[maxPart:]
+		part = part[maxDataSize:]
 	}
-	return c.sendPart(ctx, part)
+	return s.sendPart(ctx, part)
 }
 
-func (c *ServerStream) sendPart(ctx context.Context, part []byte) error {
-	if err := c.waitWindow(ctx, int64(len(part))); err != nil {
+func (s *ServerStream) sendPart(ctx context.Context, part []byte) error {
+	if err := s.waitWindow(ctx, int64(len(part))); err != nil {
 		return err
 	}
-	f := &Frame{Type: TypeData, Stream: c.id, Seq: c.seq, Body: part}
-	c.seq++
-	return c.Conn.send(ctx, f)
+	f := &Frame{Type: TypeData, Stream: s.id, Seq: s.seq, Body: part}
+	s.seq++
+	return s.Conn.send(ctx, f)
 }
 
-func (c *ServerStream) waitWindow(ctx context.Context, size int64) error {
+func (s *ServerStream) waitWindow(ctx context.Context, size int64) error {
 	for {
-		if c.takeWindow(size) {
+		if s.takeWindow(size) {
 			return nil
 		}
 		select {
-		case <-c.more:
+		case <-s.windowGrown:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
 	}
 }
 
-func (c *ServerStream) takeWindow(size int64) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.window <= 0 {
+func (s *ServerStream) takeWindow(size int64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.window <= 0 {
 		return false
 	}
-	c.window -= size
+	s.window -= size
 	return true
 }
 
-func (c *ServerStream) grant(size int64) {
-	c.mu.Lock()
-	c.window += size
-	c.mu.Unlock()
+func (s *ServerStream) addWindow(size int64) {
+	s.mu.Lock()
+	s.window += size
+	s.mu.Unlock()
 	select {
-	case c.more <- struct{}{}:
+	case s.windowGrown <- struct{}{}:
 	default:
 	}
 }
 
-// accept starts the handler for a stream that the other side has opened.
+// accept starts the handler of a stream that the peer has opened.
 func (c *Conn) accept(ctx context.Context, f Frame) {
-	c.used.Store(time.Now().UnixNano())
+	c.lastUsed.Store(time.Now().UnixNano())
 	ctx, cancel := context.WithCancelCause(ctx)
-	call := &ServerStream{Conn: c, Body: f.Body, id: f.Stream, cancel: cancel, window: streamWindow, more: make(chan struct{}, 1)}
+	s := &ServerStream{Conn: c, Body: f.Body, id: f.Stream, cancel: cancel, window: streamWindow, windowGrown: make(chan struct{}, 1)}
 	c.mu.Lock()
-	full := len(c.served) >= maxOpenStreams
+	full := len(c.serverStreams) >= maxOpenStreams
 	if !full {
-		c.served[f.Stream] = call
+		c.serverStreams[f.Stream] = s
 	}
 	c.mu.Unlock()
 	if full {
 		cancel(nil)
-		c.finish(ctx, call, rillreach.NotRun(rillreach.ReasonOverload, "too many streams on one connection"))
+		c.sendEnd(ctx, s, rillreach.NotRun(rillreach.ReasonOverload, "too many streams on one connection"))
 		return
 	}
-	go c.serve(ctx, call, f.Method)
+	go c.serve(ctx, s, f.Method)
 }
 
-func (c *Conn) serve(ctx context.Context, call *ServerStream, method Method) {
-	defer call.cancel(nil)
-	c.finish(ctx, call, c.mux.serve(ctx, method, call))
+func (c *Conn) serve(ctx context.Context, s *ServerStream, method Method) {
+	defer s.cancel(nil)
+	c.sendEnd(ctx, s, c.mux.serve(ctx, method, s))
 	c.mu.Lock()
-	delete(c.served, call.id)
+	delete(c.serverStreams, s.id)
 	c.mu.Unlock()
 }
 
-// finish tells the opener how the stream ended.
-func (c *Conn) finish(ctx context.Context, call *ServerStream, err error) {
-	f := &Frame{Type: TypeEnd, Stream: call.id, Seq: call.seq}
+// sendEnd tells the opener how the stream ended.
+func (c *Conn) sendEnd(ctx context.Context, s *ServerStream, err error) {
+	f := &Frame{Type: TypeEnd, Stream: s.id, Seq: s.seq}
 	if err != nil {
 		f.Type = TypeError
-		f.Body = encodeFailure(err)
+		f.Body = encodeError(err)
 	}
 	if sendErr := c.send(context.WithoutCancel(ctx), f); sendErr != nil && err == nil {
 		c.mux.Log.V(1).Info("end of stream not sent", "cause", sendErr.Error())
 	}
 }
 
-func encodeFailure(err error) []byte {
+func encodeError(err error) []byte {
 	var refusal *rillreach.Refusal
 	if !errors.As(err, &refusal) {
 		refusal = rillreach.MayHaveRun(rillreach.ReasonInterrupted, err.Error())
 	}
-	body, err := Encode(failure(*refusal))
+	body, err := Encode(wireRefusal(*refusal))
 	if err != nil {
 		return nil
 	}
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -15,193 +15,194 @@
 )
 
 const (
-	sendQueue     = 256
-	messageTarget = 32 << 10
-	writeTimeout  = 10 * time.Second
-	// pingEvery is for connections with open streams; idlePings as many times are let pass on the others, of which an
-	// entry has hundreds.
-	pingEvery   = 3 * time.Second
-	idlePings   = 10
-	pingTimeout = 6 * time.Second
-	// settlePoll is how often it is looked at whether a peer still has something coming.
-	settlePoll     = 5 * time.Millisecond
-	streamWindow   = 64 << 10
-	maxOpenStreams = 4096
+	sendQueueLength   = 256
+	targetMessageSize = 32 << 10
+	writeTimeout      = 10 * time.Second
+	// pingInterval is the time between pings on connections with open streams. Other connections, of which an entry has
+	// hundreds, are pinged only at every idlePingTicks-th interval.
+	pingInterval  = 3 * time.Second
+	idlePingTicks = 10
+	pingTimeout   = 6 * time.Second
+	// drainPollInterval is how often drain checks for pending responses.
+	drainPollInterval = 5 * time.Millisecond
+	streamWindow      = 64 << 10
+	maxOpenStreams    = 4096
 )
 
 var (
-	// ErrClosed says that the connection has ended; what its streams had asked may or may not have been done.
+	// ErrClosed means that the connection is closed. The requests of its open streams may or may not have run.
 	ErrClosed = errors.New("connection to peer has ended")
-	// ErrCancelled says that the opener wants no more of a stream.
+	// ErrCancelled means that the opener has cancelled the stream.
 	ErrCancelled = errors.New("stream was cancelled by its opener")
 )
 
-// Conn is one connection between two processes; both sides may open streams on it.
+// Conn is a connection between two processes. Both sides can open streams on it.
 type Conn struct {
-	// Peer is what the other process has said of itself.
+	// Peer is the other process's instance, received when the connection was opened.
 	Peer rillreach.Instance
 
-	socket  *websocket.Conn
-	mux     *Mux
-	traffic *Traffic
-	out     chan *Frame
-	ended   chan struct{}
-	endOnce sync.Once
-	next    atomic.Uint64
-	used    atomic.Int64
-	// unsent counts the frames that are not written yet.
-	unsent atomic.Int64
+	socket       *websocket.Conn
+	mux          *Mux
+	traffic      *Traffic
+	sendQueue    chan *Frame
+	done         chan struct{}
+	closeOnce    sync.Once
+	lastStreamID atomic.Uint64
+	lastUsed     atomic.Int64
+	// unsentFrames is the number of queued frames that have not been written.
+	unsentFrames atomic.Int64
 
-	mu     sync.Mutex
-	opened map[uint64]*ClientStream
-	served map[uint64]*ServerStream
+	mu            sync.Mutex
+	clientStreams map[uint64]*ClientStream
+	serverStreams map[uint64]*ServerStream
 }
 
 func newConn(socket *websocket.Conn, pool *Pool, peer rillreach.Instance) *Conn {
 	socket.SetReadLimit(pool.MessageLimit)
 	c := &Conn{
-		Peer:    peer,
-		socket:  socket,
-		mux:     pool.Mux,
-		traffic: &pool.Traffic,
-		out:     make(chan *Frame, sendQueue),
-		ended:   make(chan struct{}),
-		opened:  map[uint64]*ClientStream{},
-		served:  map[uint64]*ServerStream{},
+		Peer:          peer,
+		socket:        socket,
+		mux:           pool.Mux,
+		traffic:       &pool.Traffic,
+		sendQueue:     make(chan *Frame, sendQueueLength),
+		done:          make(chan struct{}),
+		clientStreams: map[uint64]*ClientStream{},
+		serverStreams: map[uint64]*ServerStream{},
 	}
-	c.used.Store(time.Now().UnixNano())
+	c.lastUsed.Store(time.Now().UnixNano())
 	return c
 }
 
-// run carries the connection until it ends.
+// run serves the connection until it is closed.
 func (c *Conn) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg conc.WaitGroup
-	wg.Go(func() { c.end(c.readAll(ctx)) })
-	wg.Go(func() { c.end(c.writeAll(ctx)) })
-	wg.Go(func() { c.end(c.pingAll(ctx)) })
+	wg.Go(func() { c.shutdown(c.readLoop(ctx)) })
+	wg.Go(func() { c.shutdown(c.writeLoop(ctx)) })
+	wg.Go(func() { c.shutdown(c.pingLoop(ctx)) })
 	wg.Go(func() {
-		<-c.ended
+		<-c.done
 		cancel()
 	})
 	wg.Wait()
 }
 
-// Close ends the connection and every stream on it.
+// Close closes the connection and all its streams.
 func (c *Conn) Close() {
-	c.end(nil)
+	c.shutdown(nil)
 }
 
-// Done is closed once the connection has ended.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} {
-	return c.ended
+	return c.done
 }
 
-// Busy reports whether a stream is open on the connection.
+// Busy reports whether the connection has open streams.
 func (c *Conn) Busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.opened)+len(c.served) > 0
+	return len(c.clientStreams)+len(c.serverStreams) > 0
 }
 
-// settle waits until the peer has read the answer to all that it asked, or the context ends. A peer answers a ping once it
-// has read what came before.
-func (c *Conn) settle(ctx context.Context) error {
-	for c.answering() {
+// drain waits until the peer has read the responses to all its requests, or the context ends. The final ping confirms
+// this, because a peer responds to a ping only after it has read the messages before it.
+func (c *Conn) drain(ctx context.Context) error {
+	for c.hasPendingResponses() {
 		select {
-		case <-c.ended:
+		case <-c.done:
 			return ErrClosed
 		case <-ctx.Done():
 			return context.Cause(ctx)
-		case <-time.After(settlePoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 	return errors.Wrap(c.socket.Ping(ctx), "ping peer")
 }
 
-// answering reports whether a stream of the peer has no answer yet, or one that is not written yet.
-func (c *Conn) answering() bool {
+// hasPendingResponses reports whether the peer has an unanswered stream or a response that is not fully written.
+func (c *Conn) hasPendingResponses() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.served) > 0 || c.unsent.Load() > 0
+	return len(c.serverStreams) > 0 || c.unsentFrames.Load() > 0
 }
 
-// LastUsed is when either side last opened a stream on the connection.
+// LastUsed returns when either side last opened a stream on the connection.
 func (c *Conn) LastUsed() time.Time {
-	return time.Unix(0, c.used.Load())
+	return time.Unix(0, c.lastUsed.Load())
 }
 
-func (c *Conn) end(error) {
-	c.endOnce.Do(func() {
-		close(c.ended)
+func (c *Conn) shutdown(error) {
+	c.closeOnce.Do(func() {
+		close(c.done)
 		_ = c.socket.CloseNow()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for _, s := range c.opened {
+		for _, s := range c.clientStreams {
 			s.fail(ErrClosed)
 		}
-		for _, call := range c.served {
-			call.cancel(ErrClosed)
+		for _, s := range c.serverStreams {
+			s.cancel(ErrClosed)
 		}
 	})
 }
 
-// send queues a frame. An error says that it certainly does not go out: where the queue has room and the connection has
-// ended, select alone would choose either.
+// send queues a frame. If it returns an error, the frame is certain not to be sent. The first check is needed because
+// select chooses at random if the connection is closed and the queue has room.
 func (c *Conn) send(ctx context.Context, f *Frame) error {
 	select {
-	case <-c.ended:
+	case <-c.done:
 		return ErrClosed
 	default:
 	}
-	c.unsent.Add(1)
+	c.unsentFrames.Add(1)
 	select {
-	case c.out <- f:
+	case c.sendQueue <- f:
 		return nil
-	case <-c.ended:
-		c.unsent.Add(-1)
+	case <-c.done:
+		c.unsentFrames.Add(-1)
 		return ErrClosed
 	case <-ctx.Done():
-		c.unsent.Add(-1)
+		c.unsentFrames.Add(-1)
 		return context.Cause(ctx)
 	}
 }
 
-// sendNow queues a frame whose sender must not wait; a full queue ends the connection.
-func (c *Conn) sendNow(f *Frame) {
-	c.unsent.Add(1)
+// sendOrClose queues a frame without blocking. If the queue is full, it closes the connection.
+func (c *Conn) sendOrClose(f *Frame) {
+	c.unsentFrames.Add(1)
 	select {
-	case c.out <- f:
-	case <-c.ended:
-		c.unsent.Add(-1)
+	case c.sendQueue <- f:
+	case <-c.done:
+		c.unsentFrames.Add(-1)
 	default:
-		c.unsent.Add(-1)
-		go c.end(ErrClosed)
+		c.unsentFrames.Add(-1)
+		go c.shutdown(ErrClosed)
 	}
 }
 
-func (c *Conn) writeAll(ctx context.Context) error {
+func (c *Conn) writeLoop(ctx context.Context) error {
 	var message bytes.Buffer
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case f := <-c.out:
-			frames, err := c.fill(&message, f)
+		case f := <-c.sendQueue:
+			frames, err := c.fillMessage(&message, f)
 			if err != nil {
 				return err
 			}
-			if err := c.flush(ctx, &message); err != nil {
+			if err := c.writeMessage(ctx, &message); err != nil {
 				return err
 			}
-			c.unsent.Add(-frames)
+			c.unsentFrames.Add(-frames)
 		}
 	}
 }
 
-// fill puts the first frame and those that wait behind it into one message, and counts them.
-func (c *Conn) fill(message *bytes.Buffer, first *Frame) (frames int64, err error) {
+// fillMessage encodes the first frame and those queued behind it into one message, up to about targetMessageSize, and
+// returns their number.
+func (c *Conn) fillMessage(message *bytes.Buffer, first *Frame) (frames int64, err error) {
 	message.Reset()
 	defer func() { c.traffic.Frames.Add(frames) }()
 	for f := first; ; {
@@ -209,18 +210,18 @@
 		if err := appendFrame(message, f); err != nil {
 			return frames, err
 		}
-		if message.Len() >= messageTarget {
+		if message.Len() >= targetMessageSize {
 			return frames, nil
 		}
 		select {
-		case f = <-c.out:
+		case f = <-c.sendQueue:
 		default:
 			return frames, nil
 		}
 	}
 }
 
-func (c *Conn) flush(ctx context.Context, message *bytes.Buffer) error {
+func (c *Conn) writeMessage(ctx context.Context, message *bytes.Buffer) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	c.traffic.Messages.Add(1)
@@ -228,27 +229,27 @@
 	return errors.Wrap(c.socket.Write(ctx, websocket.MessageBinary, message.Bytes()), "write to peer")
 }
 
-func (c *Conn) readAll(ctx context.Context) error {
+func (c *Conn) readLoop(ctx context.Context) error {
 	for {
 		_, message, err := c.socket.Read(ctx)
 		if err != nil {
 			return errors.Wrap(err, "read from peer")
 		}
-		if err := splitFrames(message, func(f Frame) { c.take(ctx, f) }); err != nil {
+		if err := splitFrames(message, func(f Frame) { c.handleFrame(ctx, f) }); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *Conn) pingAll(ctx context.Context) error {
-	ticker := time.NewTicker(pingEvery)
+func (c *Conn) pingLoop(ctx context.Context) error {
+	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
-	for turn := 0; ; turn++ {
+	for tick := 0; ; tick++ {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			if turn%idlePings != 0 && !c.Busy() {
+			if tick%idlePingTicks != 0 && !c.Busy() {
 				continue
 			}
 			if err := c.ping(ctx); err != nil {
@@ -264,34 +265,34 @@
 	return errors.Wrap(c.socket.Ping(ctx), "ping peer")
 }
 
-// take hands a frame that has arrived to the stream it belongs to; frames of ended streams are dropped.
-func (c *Conn) take(ctx context.Context, f Frame) {
+// handleFrame passes a received frame to its stream. Frames of ended streams are dropped.
+func (c *Conn) handleFrame(ctx context.Context, f Frame) {
 	switch f.Type {
 	case TypeOpen:
 		c.accept(ctx, f)
 	case TypeCancel:
-		if call := c.callOf(f.Stream); call != nil {
-			call.cancel(ErrCancelled)
+		if s := c.findServerStream(f.Stream); s != nil {
+			s.cancel(ErrCancelled)
 		}
 	case TypeCredit:
-		if call := c.callOf(f.Stream); call != nil {
-			call.grant(int64(f.Seq))
+		if s := c.findServerStream(f.Stream); s != nil {
+			s.addWindow(int64(f.Seq))
 		}
 	case TypeData, TypeEnd, TypeError:
-		if s := c.streamOf(f.Stream); s != nil {
-			s.arrive(f)
+		if s := c.findClientStream(f.Stream); s != nil {
+			s.receive(f)
 		}
 	}
 }
 
-func (c *Conn) callOf(id uint64) *ServerStream {
+func (c *Conn) findServerStream(id uint64) *ServerStream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.served[id]
+	return c.serverStreams[id]
 }
 
-func (c *Conn) streamOf(id uint64) *ClientStream {
+func (c *Conn) findClientStream(id uint64) *ClientStream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.opened[id]
+	return c.clientStreams[id]
 }
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer does the traffic between the system's own processes: many streams of CBOR frames
-// over one WebSocket connection for each pair of processes, with a window for each stream.
+// Package peer implements RPC between the processes of a fleet. Streams of CBOR frames are multiplexed over one
+// WebSocket connection to each peer, with flow control for each stream.
 package peer
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -7,29 +7,29 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FrameType says what a frame means for its stream.
+// FrameType identifies the purpose of a frame.
 type FrameType uint8
 
 const (
-	// TypeOpen opens a stream; Method and Body say what is asked.
+	// TypeOpen opens a stream. Method selects the handler, and Body is the request.
 	TypeOpen FrameType = iota + 1
-	// TypeData carries one part of the answer.
+	// TypeData carries one part of the response.
 	TypeData
-	// TypeEnd says that the answer is whole; Seq counts the data frames before it.
+	// TypeEnd ends a complete response. Seq is the number of its data frames.
 	TypeEnd
 	// TypeError ends the stream with an error in Body.
 	TypeError
-	// TypeCancel says that the opener wants no more of the stream.
+	// TypeCancel means that the opener has cancelled the stream.
 	TypeCancel
-	// TypeCredit grants the answerer Seq more bytes.
+	// TypeCredit adds Seq bytes to the responder's flow control window.
 	TypeCredit
 	maxType = TypeCredit
 )
 
-// Method says which handler a stream is opened for.
+// Method identifies the handler of a stream.
 type Method uint8
 
-// The methods that the system's processes offer each other.
+// The methods that processes call on each other.
 const (
 	MethodDispatch Method = iota + 1
 	MethodPush
@@ -43,7 +43,7 @@
 	maxMethod = MethodLimits
 )
 
-// Frame is the unit of traffic on a connection.
+// Frame is one frame of a stream. Its fields are encoded as an array, in their order.
 type Frame struct {
 	_      struct{} `cbor:",toarray"`
 	Type   FrameType
@@ -53,7 +53,7 @@
 	Body   []byte
 }
 
-// Check reports a frame of an unknown type or method.
+// Check returns an error if the type or method is unknown.
 func (f Frame) Check() error {
 	if f.Type == 0 || f.Type > maxType {
 		return errors.Newf("frame type %d is unknown", f.Type)
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Checker is a wire type that checks itself once it is decoded.
+// Checker is a wire type that validates itself after decoding.
 type Checker interface {
 	Check() error
 }
@@ -75,11 +75,11 @@
 )
 
 var (
-	encoding = mustEncoding()
-	decoding = mustDecoding()
+	encMode = mustEncMode()
+	decMode = mustDecMode()
 )
 
-func mustEncoding() cbor.UserBufferEncMode {
+func mustEncMode() cbor.UserBufferEncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano, BinaryMarshaler: cbor.BinaryMarshalerByteString, ShortestFloat: cbor.ShortestFloat16}.UserBufferEncMode()
 	if err != nil {
 		panic(errors.Wrap(err, "make CBOR encoding"))
@@ -87,7 +87,7 @@
 	return mode
 }
 
-func mustDecoding() cbor.DecMode {
+func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxNestedLevels:   maxNesting,
 		MaxArrayElements:  maxElements,
@@ -101,37 +101,37 @@
 	return mode
 }
 
-// Encode makes CBOR of a wire type.
+// Encode encodes a wire type as CBOR.
 func Encode[T any](value T) ([]byte, error) {
-	data, err := encoding.Marshal(value)
+	data, err := encMode.Marshal(value)
 	if err != nil {
 		return nil, errors.Wrapf(err, "encode %T", value)
 	}
 	return data, nil
 }
 
-// Decode reads one wire type from CBOR and has it check itself.
+// Decode decodes a wire type from CBOR and validates it with its Check method.
 func Decode[T Checker](data []byte) (T, error) {
-	var value, none T
-	if err := decoding.Unmarshal(data, &value); err != nil {
-		return none, errors.Wrapf(err, "decode %T", value)
+	var value, zero T
+	if err := decMode.Unmarshal(data, &value); err != nil {
+		return zero, errors.Wrapf(err, "decode %T", value)
 	}
 	if err := value.Check(); err != nil {
-		return none, errors.Wrapf(err, "check %T", value)
+		return zero, errors.Wrapf(err, "check %T", value)
 	}
 	return value, nil
 }
 
-// appendFrame adds the frame's CBOR to a message that is being filled.
+// appendFrame appends the encoded frame to a message.
 func appendFrame(message *bytes.Buffer, f *Frame) error {
-	return errors.Wrap(encoding.MarshalToBuffer(f, message), "encode frame")
+	return errors.Wrap(encMode.MarshalToBuffer(f, message), "encode frame")
 }
 
-// splitFrames reads the frames of one message in order.
+// splitFrames decodes the frames of a message and calls each with them in order.
 func splitFrames(message []byte, each func(Frame)) error {
 	for len(message) > 0 {
 		var f Frame
-		rest, err := decoding.UnmarshalFirst(message, &f)
+		rest, err := decMode.UnmarshalFirst(message, &f)
 		if err != nil {
 			return errors.Wrap(err, "decode frame")
 		}
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -9,7 +9,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// CertificateRole is the role that a certificate of the fleet was made for, from its organizational unit.
+// CertificateRole returns the role in the organizational unit of a fleet certificate, or an empty one if the
+// certificate does not have exactly one unit.
 func CertificateRole(certificate *x509.Certificate) rillreach.Role {
 	if len(certificate.Subject.OrganizationalUnit) != 1 {
 		return ""
--- a/peer/mux.go
+++ b/peer/mux.go
@@ -10,38 +10,39 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Handler answers the streams of one method; its error ends the stream, nil says that the answer is whole.
-type Handler func(ctx context.Context, call *ServerStream) error
+// Handler serves the streams of one method. If it returns an error, the stream fails with that error; nil means that
+// the response is complete.
+type Handler func(ctx context.Context, s *ServerStream) error
 
-// Mux finds the handler of a method.
+// Mux dispatches streams to the handlers of their methods.
 type Mux struct {
-	// Log takes what goes wrong on connections.
+	// Log receives failures on connections.
 	Log logr.Logger
 
 	handlers [maxMethod + 1]Handler
 }
 
-// Handle sets the handler of a method; it must be called before connections are served.
+// Handle sets the handler of a method. It must be called before connections are served.
 func (m *Mux) Handle(method Method, handler Handler) {
 	m.handlers[method] = handler
 }
 
-func (m *Mux) serve(ctx context.Context, method Method, call *ServerStream) error {
+func (m *Mux) serve(ctx context.Context, method Method, s *ServerStream) error {
 	handler := m.handlers[method]
 	if handler == nil {
 		return rillreach.NotRun(rillreach.ReasonBadRequest, "method is not offered here")
 	}
-	return handler(ctx, call)
+	return handler(ctx, s)
 }
 
-// HandleUnary sets a handler that takes one message and answers with one message.
-func HandleUnary[Req Checker, Resp any](m *Mux, method Method, answer func(ctx context.Context, from *Conn, req Req) (Resp, error)) {
-	m.Handle(method, func(ctx context.Context, call *ServerStream) error {
-		req, err := Decode[Req](call.Body)
+// HandleUnary sets a handler that receives one request message and returns one response message.
+func HandleUnary[Req Checker, Resp any](m *Mux, method Method, handle func(ctx context.Context, from *Conn, req Req) (Resp, error)) {
+	m.Handle(method, func(ctx context.Context, s *ServerStream) error {
+		req, err := Decode[Req](s.Body)
 		if err != nil {
 			return rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
 		}
-		resp, err := answer(ctx, call.Conn, req)
+		resp, err := handle(ctx, s.Conn, req)
 		if err != nil {
 			return err
 		}
@@ -49,45 +50,46 @@
 		if err != nil {
 			return err
 		}
-		return call.Send(ctx, body)
+		return s.Send(ctx, body)
 	})
 }
 
-// Invoke sends one message on a connection and waits for the one that answers it.
+// Invoke sends a request message on a connection and waits for the response message.
 func Invoke[Req any, Resp Checker](ctx context.Context, c *Conn, method Method, req Req) (Resp, error) {
-	var none Resp
+	var zero Resp
 	body, err := Encode(req)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	s, err := c.Open(ctx, method, body)
 	if err != nil {
-		return none, errors.Wrap(err, "open stream")
+		return zero, errors.Wrap(err, "open stream")
 	}
 	defer s.Close()
-	answer, err := s.readWhole(ctx)
+	response, err := s.readAll(ctx)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	return Decode[Resp](answer)
+	return Decode[Resp](response)
 }
 
-const maxWhole = 64 << 20
+// maxResponseSize is the maximum size, in bytes, of a response that Invoke reads.
+const maxResponseSize = 64 << 20
 
-// readWhole collects the parts of an answer until it is whole.
-func (s *ClientStream) readWhole(ctx context.Context) ([]byte, error) {
-	var whole []byte
+// readAll returns the complete response.
+func (s *ClientStream) readAll(ctx context.Context) ([]byte, error) {
+	var data []byte
 	for {
 		part, err := s.Next(ctx)
 		if errors.Is(err, io.EOF) {
-			return whole, nil
+			return data, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		if len(whole)+len(part) > maxWhole {
-			return nil, errors.Newf("answer is longer than %d bytes", maxWhole)
+		if len(data)+len(part) > maxResponseSize {
+			return nil, errors.Newf("answer is longer than %d bytes", maxResponseSize)
 		}
-		whole = append(whole, part...)
+		data = append(data, part...)
 	}
 }
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -21,83 +21,84 @@
 )
 
 const (
-	// Path is where a process accepts connections of its peers.
+	// Path is the HTTP path at which a process accepts peer connections.
 	Path = "/peer"
-	// DefaultMessageLimit bounds one message on a connection, in bytes.
+	// DefaultMessageLimit is the default of Pool.MessageLimit, in bytes.
 	DefaultMessageLimit = 9 << 20
 
-	helloHeader  = "Rillreach-Hello"
-	dialTimeout  = 2 * time.Second
-	idleTimeout  = 2 * time.Minute
-	sweepEvery   = 30 * time.Second
-	subprotocol  = "rillreach.peer.v1"
-	maxHelloSize = 4 << 10
+	helloHeader   = "Rillreach-Hello"
+	dialTimeout   = 2 * time.Second
+	idleTimeout   = 2 * time.Minute
+	sweepInterval = 30 * time.Second
+	subprotocol   = "rillreach.peer.v1"
+	maxHelloSize  = 4 << 10
 )
 
-// Traffic counts what a process has sent to its peers.
+// Traffic counts the data that a process has sent to its peers.
 type Traffic struct {
-	// Connections counts those that were dialled.
+	// Connections counts the connections that this process dialled.
 	Connections atomic.Int64
-	// Frames, Messages and Bytes count what was written on all connections.
+	// Frames, Messages and Bytes count the data written on all connections.
 	Frames   atomic.Int64
 	Messages atomic.Int64
 	Bytes    atomic.Int64
 }
 
-// Pool holds one connection to each peer that is in use, dials on demand and closes the idle ones.
+// Pool holds one dialled connection to each peer in use, and the connections accepted from peers. It dials on demand
+// and closes idle connections.
 type Pool struct {
-	// Self is what this process says of itself.
+	// Self is this process's instance, which is sent to peers.
 	Self rillreach.Instance
-	// Mux answers the streams that peers open.
+	// Mux serves the streams that peers open.
 	Mux *Mux
-	// TLS authenticates both sides; nil means plain TCP.
+	// TLS configures mutual TLS; nil means plain TCP.
 	TLS *tls.Config
-	// Log takes connects and disconnects.
+	// Log receives rejected peers and failures.
 	Log logr.Logger
-	// OnConnect is called with what each peer says of itself when it connects; it may be nil.
+	// OnConnect is called with the instance of each newly connected peer; it may be nil.
 	OnConnect func(rillreach.Instance)
-	// MessageLimit bounds one message; zero means DefaultMessageLimit.
+	// MessageLimit is the maximum size of a received message, in bytes; zero means DefaultMessageLimit.
 	MessageLimit int64
-	// Dial makes the connections; nil means TCP.
+	// Dial opens network connections; nil means the default TCP dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Traffic counts what goes out to peers.
+	// Traffic counts the data sent to peers.
 	Traffic Traffic
 
-	client *http.Client
-	flight singleflight.Group
-	base   context.Context
+	client  *http.Client
+	dials   singleflight.Group
+	baseCtx context.Context
 
-	mu    sync.Mutex
-	conns map[netip.AddrPort]*Conn
-	all   map[*Conn]struct{}
+	mu           sync.Mutex
+	dialledConns map[netip.AddrPort]*Conn
+	allConns     map[*Conn]struct{}
 }
 
-// Start readies the pool; its connections end with the context.
+// Start initializes the pool. Its connections are closed when the context ends.
 func (p *Pool) Start(ctx context.Context) {
-	p.base = ctx
-	p.conns = map[netip.AddrPort]*Conn{}
-	p.all = map[*Conn]struct{}{}
+	p.baseCtx = ctx
+	p.dialledConns = map[netip.AddrPort]*Conn{}
+	p.allConns = map[*Conn]struct{}{}
 	p.client = &http.Client{Transport: &http.Transport{TLSClientConfig: p.TLS, DialContext: p.Dial}}
 	if p.MessageLimit == 0 {
 		p.MessageLimit = DefaultMessageLimit
 	}
 }
 
-// Name is the controller's name.
+// Name returns the controller's name.
 func (p *Pool) Name() string { return "connections" }
 
-// Run closes connections that have been idle for long, until the context ends.
+// Run closes connections that have been idle for idleTimeout, until the context ends.
 func (p *Pool) Run(ctx context.Context) error {
-	pause.Every(ctx, sweepEvery, func(context.Context) { p.sweep(time.Now()) })
+	pause.Every(ctx, sweepInterval, func(context.Context) { p.closeIdle(time.Now()) })
 	return nil
 }
 
-// Get returns the connection to a peer and dials it when there is none.
+// Get returns the connection to a peer, and dials one if there is none.
 func (p *Pool) Get(ctx context.Context, address netip.AddrPort) (*Conn, error) {
-	if c := p.known(address); c != nil {
+	if c := p.find(address); c != nil {
 		return c, nil
 	}
-	dialled := p.flight.DoChan(address.String(), func() (any, error) { return p.dial(address) })
+	dialled := p.dials.DoChan(address.String(), func() (any, error) { return p.dial(address) })
 	select {
 	case result := <-dialled:
 		if result.Err != nil {
@@ -109,47 +110,48 @@
 	}
 }
 
-// Conns returns the connections that are open now, dialled and accepted.
+// Conns returns all open connections, both dialled and accepted.
 func (p *Pool) Conns() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conns := make([]*Conn, 0, len(p.all))
-	for c := range p.all {
+	conns := make([]*Conn, 0, len(p.allConns))
+	for c := range p.allConns {
 		conns = append(conns, c)
 	}
 	return conns
 }
 
-// Drain waits until all peers have read the answers to what they asked, or the context ends; what they ask meanwhile counts.
+// Drain waits until all peers have read the responses to their requests, including requests that arrive meanwhile, or
+// the context ends.
 func (p *Pool) Drain(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, c := range p.Conns() {
 		wg.Go(func() {
-			if err := c.settle(ctx); err != nil {
-				p.Log.Info("peer may not have all answers", "peer", c.Peer.ID, "cause", err.Error())
+			if err := c.drain(ctx); err != nil {
+				p.Log.Info("peer may not have received all responses", "peer", c.Peer.ID, "cause", err.Error())
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (p *Pool) known(address netip.AddrPort) *Conn {
+func (p *Pool) find(address netip.AddrPort) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conns[address]
+	return p.dialledConns[address]
 }
 
 func (p *Pool) dial(address netip.AddrPort) (*Conn, error) {
-	if c := p.known(address); c != nil {
+	if c := p.find(address); c != nil {
 		return c, nil
 	}
 	hello, err := encodeHello(p.Self)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(p.base, dialTimeout)
+	ctx, cancel := context.WithTimeout(p.baseCtx, dialTimeout)
 	defer cancel()
-	socket, resp, err := websocket.Dial( //nolint:bodyclose // the library says that this body is not to be closed
+	socket, resp, err := websocket.Dial( //nolint:bodyclose // the library documents that this body need not be closed
 		ctx, p.url(address), &websocket.DialOptions{
 			HTTPClient:   p.client,
 			HTTPHeader:   http.Header{helloHeader: {hello}},
@@ -170,7 +172,7 @@
 	p.Traffic.Connections.Add(1)
 	p.add(c, address)
 	go func() {
-		c.run(p.base)
+		c.run(p.baseCtx)
 		p.remove(c, address)
 	}()
 	return c, nil
@@ -185,9 +187,9 @@
 
 func (p *Pool) add(c *Conn, address netip.AddrPort) {
 	p.mu.Lock()
-	p.all[c] = struct{}{}
+	p.allConns[c] = struct{}{}
 	if address.IsValid() {
-		p.conns[address] = c
+		p.dialledConns[address] = c
 	}
 	p.mu.Unlock()
 	if p.OnConnect != nil {
@@ -198,13 +200,13 @@
 func (p *Pool) remove(c *Conn, address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.all, c)
-	if p.conns[address] == c {
-		delete(p.conns, address)
+	delete(p.allConns, c)
+	if p.dialledConns[address] == c {
+		delete(p.dialledConns, address)
 	}
 }
 
-func (p *Pool) sweep(now time.Time) {
+func (p *Pool) closeIdle(now time.Time) {
 	for _, c := range p.Conns() {
 		if now.Sub(c.LastUsed()) > idleTimeout && !c.Busy() {
 			c.Close()
@@ -212,7 +214,7 @@
 	}
 }
 
-// ServeHTTP accepts the connection of a peer.
+// ServeHTTP accepts a connection from a peer and serves it until it is closed.
 func (p *Pool) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	peer, err := decodeHello(r.Header.Get(helloHeader))
 	if err != nil {
@@ -220,7 +222,7 @@
 		return
 	}
 	if err := p.authenticate(r, peer); err != nil {
-		p.Log.Info("peer refused", "peer", peer.ID, "cause", err.Error())
+		p.Log.Info("peer rejected", "peer", peer.ID, "cause", err.Error())
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
@@ -232,16 +234,16 @@
 	w.Header().Set(helloHeader, hello)
 	socket, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{subprotocol}})
 	if err != nil {
-		p.Log.V(1).Info("peer not accepted", "peer", peer.ID, "cause", err.Error())
+		p.Log.V(1).Info("accepting the peer connection failed", "peer", peer.ID, "cause", err.Error())
 		return
 	}
 	c := newConn(socket, p, peer)
 	p.add(c, netip.AddrPort{})
-	c.run(p.base)
+	c.run(p.baseCtx)
 	p.remove(c, netip.AddrPort{})
 }
 
-// authenticate holds what the peer says of itself against its certificate.
+// authenticate checks a connecting peer's role if TLS is used.
 func (p *Pool) authenticate(r *http.Request, peer rillreach.Instance) error {
 	if p.TLS == nil {
 		return nil
@@ -249,7 +251,7 @@
 	return checkRole(r.TLS, peer)
 }
 
-// checkRole holds a peer's role against the certificate that the handshake has verified.
+// checkRole checks that a peer's role matches the certificate that the TLS handshake has verified.
 func checkRole(state *tls.ConnectionState, peer rillreach.Instance) error {
 	if state == nil || len(state.PeerCertificates) == 0 {
 		return errors.New("peer has no certificate of this fleet")
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -16,23 +16,23 @@
 	conn *Conn
 	id   uint64
 
-	mu      sync.Mutex
-	arrived chan struct{}
-	inbox   []Frame
-	size    int
-	taken   int
-	next    uint64
-	err     error
-	closed  bool
+	mu         sync.Mutex
+	notify     chan struct{}
+	inbox      []Frame
+	inboxBytes int
+	uncredited int
+	nextSeq    uint64
+	err        error
+	closed     bool
 }
 
-// Open opens a stream for a method; the caller has to Close it.
+// Open opens a stream to a method's handler. The caller must close it.
 func (c *Conn) Open(ctx context.Context, method Method, body []byte) (*ClientStream, error) {
-	s := &ClientStream{conn: c, id: c.next.Add(1), arrived: make(chan struct{}, 1)}
+	s := &ClientStream{conn: c, id: c.lastStreamID.Add(1), notify: make(chan struct{}, 1)}
 	c.mu.Lock()
-	c.opened[s.id] = s
+	c.clientStreams[s.id] = s
 	c.mu.Unlock()
-	c.used.Store(time.Now().UnixNano())
+	c.lastUsed.Store(time.Now().UnixNano())
 	if err := c.send(ctx, &Frame{Type: TypeOpen, Method: method, Stream: s.id, Body: body}); err != nil {
 		s.Close()
 		return nil, err
@@ -40,8 +40,8 @@
 	return s, nil
 }
 
-// Next returns the next part of the answer, io.EOF once it is whole, a *rillreach.Refusal where the other side
-// refused, or another error when the stream broke.
+// Next returns the next part of the response. It returns io.EOF after a complete response, a *rillreach.Refusal if the
+// responder refused the request, and another error if the stream broke.
 func (s *ClientStream) Next(ctx context.Context) ([]byte, error) {
 	for {
 		f, ok, err := s.pop()
@@ -49,11 +49,11 @@
 			return nil, err
 		}
 		if ok {
-			return s.read(f)
+			return s.consume(f)
 		}
 		select {
-		case <-s.arrived:
-		case <-s.conn.ended:
+		case <-s.notify:
+		case <-s.conn.done:
 			s.fail(ErrClosed)
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
@@ -61,17 +61,17 @@
 	}
 }
 
-// Close gives the stream up; the other side is told if the answer was not whole yet.
+// Close closes the stream, and cancels it at the responder if the response is not complete.
 func (s *ClientStream) Close() {
 	s.mu.Lock()
 	open := !s.closed && s.err == nil
 	s.closed = true
 	s.mu.Unlock()
 	s.conn.mu.Lock()
-	delete(s.conn.opened, s.id)
+	delete(s.conn.clientStreams, s.id)
 	s.conn.mu.Unlock()
 	if open {
-		s.conn.sendNow(&Frame{Type: TypeCancel, Stream: s.id})
+		s.conn.sendOrClose(&Frame{Type: TypeCancel, Stream: s.id})
 	}
 }
 
@@ -82,57 +82,57 @@
 		f := s.inbox[0]
 		s.inbox[0] = Frame{}
 		s.inbox = s.inbox[1:]
-		s.size -= len(f.Body)
+		s.inboxBytes -= len(f.Body)
 		return f, true, nil
 	}
 	return Frame{}, false, s.err
 }
 
-func (s *ClientStream) read(f Frame) ([]byte, error) {
+func (s *ClientStream) consume(f Frame) ([]byte, error) {
 	switch f.Type {
 	case TypeEnd:
 		s.fail(io.EOF)
-		if f.Seq != s.next {
-			return nil, errors.Newf("answer has %d parts where %d were sent", s.next, f.Seq)
+		if f.Seq != s.nextSeq {
+			return nil, errors.Newf("answer has %d parts where %d were sent", s.nextSeq, f.Seq)
 		}
 		return nil, io.EOF
 	case TypeError:
-		err := decodeFailure(f.Body)
+		err := decodeError(f.Body)
 		s.fail(err)
 		return nil, err
 	default:
-		if f.Seq != s.next {
-			return nil, errors.Newf("part %d of the answer arrived where %d was due", f.Seq, s.next)
+		if f.Seq != s.nextSeq {
+			return nil, errors.Newf("part %d of the answer arrived where %d was due", f.Seq, s.nextSeq)
 		}
-		s.next++
+		s.nextSeq++
 		s.credit(len(f.Body))
 		return f.Body, nil
 	}
 }
 
-// credit returns the window to the answerer in steps of half its size.
+// credit returns window to the responder once half of it has been used.
 func (s *ClientStream) credit(size int) {
-	s.taken += size
-	if s.taken < streamWindow/2 {
+	s.uncredited += size
+	if s.uncredited < streamWindow/2 {
 		return
 	}
-	s.conn.sendNow(&Frame{Type: TypeCredit, Stream: s.id, Seq: uint64(s.taken)})
-	s.taken = 0
+	s.conn.sendOrClose(&Frame{Type: TypeCredit, Stream: s.id, Seq: uint64(s.uncredited)})
+	s.uncredited = 0
 }
 
-func (s *ClientStream) arrive(f Frame) {
+func (s *ClientStream) receive(f Frame) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.err != nil {
 		return
 	}
-	if s.size > 2*streamWindow+maxPart {
+	if s.inboxBytes > 2*streamWindow+maxDataSize {
 		s.err = errors.New("peer sent more than its window")
 	} else {
 		s.inbox = append(s.inbox, f)
-		s.size += len(f.Body)
+		s.inboxBytes += len(f.Body)
 	}
-	s.wake()
+	s.signal()
 }
 
 func (s *ClientStream) fail(err error) {
@@ -141,18 +141,18 @@
 	if s.err == nil {
 		s.err = err
 	}
-	s.wake()
+	s.signal()
 }
 
-func (s *ClientStream) wake() {
+func (s *ClientStream) signal() {
 	select {
-	case s.arrived <- struct{}{}:
+	case s.notify <- struct{}{}:
 	default:
 	}
 }
 
-func decodeFailure(body []byte) error {
-	refusal, err := Decode[failure](body)
+func decodeError(body []byte) error {
+	refusal, err := Decode[wireRefusal](body)
 	if err != nil {
 		return err
 	}
@@ -160,13 +160,13 @@
 	return &decoded
 }
 
-// failure is a refusal on the wire.
-type failure rillreach.Refusal
+// wireRefusal is the wire type of a refusal.
+type wireRefusal rillreach.Refusal
 
-// Check reports an outcome that is not one of the two.
-func (f failure) Check() error {
-	if f.Outcome != rillreach.OutcomeNotRun && f.Outcome != rillreach.OutcomeUnknown {
-		return errors.Newf("outcome %q is unknown", f.Outcome)
+// Check returns an error if the outcome is unknown.
+func (r wireRefusal) Check() error {
+	if r.Outcome != rillreach.OutcomeNotRun && r.Outcome != rillreach.OutcomeUnknown {
+		return errors.Newf("outcome %q is unknown", r.Outcome)
 	}
 	return nil
 }
