--- a/agent/agent.go
+++ b/agent/agent.go
@@ -63,7 +63,7 @@
 	a.Node.OnRowChange = a.onRowChange
 	a.Node.Init()
 	a.initKeeper()
-	a.Node.Mux.Handle(peer.MethodServe, a.serve)
+	a.Node.Mux.Handle(peer.MethodDispatch, a.serve)
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
@@ -117,7 +117,7 @@
 	}
 	return []rillreach.Controller{&epochs.Controller{
 		Self: a.Node.Self, Store: a.Node.Store, Owners: a.Node.Owners, Members: a.Node.Members, Clock: a.Node.Clock, Log: a.Node.Log,
-		Keep: 2 * KeyLifetime,
+		KeyTTL: 2 * KeyLifetime,
 	}}
 }
 
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -118,12 +118,12 @@
 }
 
 // send opens a request and waits for the agent's acknowledgement.
-func (a *testAgent) send(d fleet.Dispatch) *peer.Stream {
+func (a *testAgent) send(d fleet.Dispatch) *peer.ClientStream {
 	a.t.Helper()
 	d.ID, d.Account, d.Service, d.Method, d.Path = rillreach.RequestID(uuid.NewString()), account, service, http.MethodPost, "/issue"
 	body, err := peer.Encode(d)
 	require.NoError(a.t, err)
-	s, err := a.conn.Open(a.ctx, peer.MethodServe, body)
+	s, err := a.conn.Open(a.ctx, peer.MethodDispatch, body)
 	require.NoError(a.t, err)
 	a.t.Cleanup(s.Close)
 	part, err := s.Next(a.ctx)
@@ -135,7 +135,7 @@
 }
 
 // readAnswer reads a response until an error, which is io.EOF if the response is complete.
-func (a *testAgent) readAnswer(s *peer.Stream) (size int, err error) {
+func (a *testAgent) readAnswer(s *peer.ClientStream) (size int, err error) {
 	for {
 		part, err := s.Next(a.ctx)
 		if err != nil {
@@ -146,7 +146,7 @@
 }
 
 // readRefusal reads a stream that must end with a refusal.
-func (a *testAgent) readRefusal(s *peer.Stream) *rillreach.Refusal {
+func (a *testAgent) readRefusal(s *peer.ClientStream) *rillreach.Refusal {
 	a.t.Helper()
 	_, err := a.readAnswer(s)
 	var refusal *rillreach.Refusal
@@ -170,7 +170,7 @@
 	const requests = 200
 	backend := newBlockingBackend(bytes.Repeat([]byte("x"), 60<<10))
 	a := startAgent(t, &Agent{Backend: backend, Engine: backend, Slots: requests})
-	var streams []*peer.Stream
+	var streams []*peer.ClientStream
 	for range requests {
 		streams = append(streams, a.send(fleet.Dispatch{}))
 		<-backend.started
--- a/agent/delegate.go
+++ b/agent/delegate.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return errorOutcome(rillreach.NotRun(rillreach.ReasonBadRequest, err.Error()))
 	}
-	stream, err := conn.Open(ctx, peer.MethodServe, body)
+	stream, err := conn.Open(ctx, peer.MethodDispatch, body)
 	if err != nil {
 		return errorOutcome(err)
 	}
--- a/agent/once.go
+++ b/agent/once.go
@@ -26,7 +26,7 @@
 )
 
 // serveAtMostOnce runs a request at most once. Repeated requests get the outcome of the first one.
-func (a *Agent) serveAtMostOnce(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
+func (a *Agent) serveAtMostOnce(ctx context.Context, call *peer.ServerStream, d fleet.Dispatch) error {
 	claim, err := a.claim(d)
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 	return once.Outcome{Refusal: refusal}
 }
 
-func sendOutcome(ctx context.Context, call *peer.Call, o once.Outcome) error {
+func sendOutcome(ctx context.Context, call *peer.ServerStream, o once.Outcome) error {
 	if o.Refusal != nil {
 		return markFromOwner(o.Refusal)
 	}
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -25,15 +25,15 @@
 }
 
 // serve handles a request from an entry or from another agent.
-func (a *Agent) serve(ctx context.Context, call *peer.Call) error {
+func (a *Agent) serve(ctx context.Context, call *peer.ServerStream) error {
 	d, err := peer.Decode[fleet.Dispatch](call.Body)
 	if err != nil {
 		return rillreach.NotRun(rillreach.ReasonBadRequest, err.Error())
 	}
-	if role := call.From.Peer.Role; role != rillreach.RoleEntry && role != rillreach.RoleAgent {
+	if role := call.Conn.Peer.Role; role != rillreach.RoleEntry && role != rillreach.RoleAgent {
 		return rillreach.NotRun(rillreach.ReasonUnauthorized, "only entries and agents may send requests")
 	}
-	a.Node.Spread.CatchUp(call.From, d.Mark)
+	a.Node.Spread.CatchUp(call.Conn, d.RowVersion)
 	a.running.Add()
 	defer a.running.Done()
 	ctx, done := a.running.DeriveContext(ctx)
@@ -74,7 +74,7 @@
 }
 
 // serveIdempotent runs a request when it is its turn, and streams the response.
-func (a *Agent) serveIdempotent(ctx context.Context, call *peer.Call, d fleet.Dispatch) error {
+func (a *Agent) serveIdempotent(ctx context.Context, call *peer.ServerStream, d fleet.Dispatch) error {
 	reservation, refusal := a.scheduler.enqueue(d.Account, cost(d), d.Deadline)
 	if refusal != nil {
 		return refusal
@@ -122,8 +122,8 @@
 
 // acknowledge tells the sender that the agent has the request, together with the load hint and the version of the
 // rows.
-func (a *Agent) acknowledge(ctx context.Context, call *peer.Call) error {
-	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.loadHint(), Mark: a.Node.Replica.Watermark(rillreach.KindRow).Version})
+func (a *Agent) acknowledge(ctx context.Context, call *peer.ServerStream) error {
+	ack, err := fleet.EncodePart(fleet.PartAck, fleet.Ack{Hint: a.loadHint(), RowVersion: a.Node.Replica.Watermark(rillreach.KindRow).Version})
 	if err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 }
 
 // relay sends the head of a response and then its body in parts, as the backend server produces it.
-func relay(ctx context.Context, call *peer.Call, response rillreach.BackendResponse) error {
+func relay(ctx context.Context, call *peer.ServerStream, response rillreach.BackendResponse) error {
 	head, err := fleet.EncodePart(fleet.PartHead, fleet.Head{Status: response.Status, Header: endToEndHeader(response.Header)})
 	if err != nil {
 		return err
--- a/fleet/spread.go
+++ b/fleet/spread.go
@@ -7,44 +7,44 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// Push hands on a change of the platform's objects.
-type Push struct {
+// PushRequest sends a change of the platform's objects.
+type PushRequest struct {
 	Delta replicate.Delta `cbor:"1,keyasint"`
 }
 
-// Check checks the delta.
-func (p Push) Check() error { return p.Delta.Check() }
+// Check returns an error if the delta is inconsistent.
+func (p PushRequest) Check() error { return p.Delta.Check() }
 
-// Pushed answers a push with how far the receiver's copy then goes.
-type Pushed struct {
-	Mark replicate.Watermark `cbor:"1,keyasint"`
+// PushResponse holds the watermark of the receiver's replica after the push.
+type PushResponse struct {
+	Watermark replicate.Watermark `cbor:"1,keyasint"`
 }
 
-// Check accepts every answer.
-func (Pushed) Check() error { return nil }
+// Check accepts every response.
+func (PushResponse) Check() error { return nil }
 
-// Sync compares marks: it says how far the asker's copy goes.
-type Sync struct {
-	Marks []replicate.Watermark `cbor:"1,keyasint"`
+// SyncRequest holds the watermarks of the sender's replica.
+type SyncRequest struct {
+	Watermarks []replicate.Watermark `cbor:"1,keyasint"`
 }
 
-// Check reports more marks than there are kinds.
-func (s Sync) Check() error {
-	const most = 16
-	if len(s.Marks) > most {
-		return errors.Newf("sync has %d marks, more than %d", len(s.Marks), most)
+// Check returns an error if there are more watermarks than kinds can exist.
+func (s SyncRequest) Check() error {
+	const maxWatermarks = 16
+	if len(s.Watermarks) > maxWatermarks {
+		return errors.Newf("sync has %d marks, more than %d", len(s.Watermarks), maxWatermarks)
 	}
 	return nil
 }
 
-// Synced answers with what the asker lacks, and with the answerer's own marks.
-type Synced struct {
-	Deltas []replicate.Delta     `cbor:"1,keyasint,omitempty"`
-	Marks  []replicate.Watermark `cbor:"2,keyasint"`
+// SyncResponse holds the deltas that the requester lacks and the responder's own watermarks.
+type SyncResponse struct {
+	Deltas     []replicate.Delta     `cbor:"1,keyasint,omitempty"`
+	Watermarks []replicate.Watermark `cbor:"2,keyasint"`
 }
 
-// Check checks every delta.
-func (s Synced) Check() error {
+// Check returns an error if a delta is inconsistent.
+func (s SyncResponse) Check() error {
 	for _, d := range s.Deltas {
 		if err := d.Check(); err != nil {
 			return err
@@ -53,53 +53,55 @@
 	return nil
 }
 
-// Notice tells the peers of a process that its instance has changed, as when it leaves.
-type Notice struct {
+// AnnounceRequest tells peers that the sender's instance has changed, for example because it is leaving.
+type AnnounceRequest struct {
 	Instance rillreach.Instance `cbor:"1,keyasint"`
 }
 
-// Check checks the instance.
-func (n Notice) Check() error { return n.Instance.Check() }
+// Check returns an error if the instance is invalid.
+func (a AnnounceRequest) Check() error { return a.Instance.Check() }
 
-// Noted answers a notice.
-type Noted struct{}
+// AnnounceResponse confirms an AnnounceRequest.
+type AnnounceResponse struct{}
 
-// Check accepts every answer.
-func (Noted) Check() error { return nil }
+// Check accepts every response.
+func (AnnounceResponse) Check() error { return nil }
 
-// Count asks how many processes below one in a zone's tree hold a kind up to a version.
-type Count struct {
+// CountRequest asks how many processes in the receiver's subtree have reached a version of a kind. Root is the root of
+// the tree.
+type CountRequest struct {
 	Kind    rillreach.ObjectKind `cbor:"1,keyasint"`
 	Version uint64               `cbor:"2,keyasint"`
 	Root    rillreach.InstanceID `cbor:"3,keyasint"`
 }
 
-// Check reports a count without its kind.
-func (c Count) Check() error {
+// Check returns an error if the kind is missing.
+func (c CountRequest) Check() error {
 	if c.Kind == "" {
 		return errors.New("count has no kind")
 	}
 	return nil
 }
 
-// Counted is how many processes hold the version, how many do not yet, and how many did not answer.
-type Counted struct {
-	InForce int `cbor:"1,keyasint" json:"inForce"`
-	Behind  int `cbor:"2,keyasint" json:"behind"`
-	Silent  int `cbor:"3,keyasint" json:"silent"`
+// VersionCounts holds the number of processes that have reached a version, of those that have not yet, and of those
+// that did not respond.
+type VersionCounts struct {
+	InForce      int `cbor:"1,keyasint" json:"inForce"`
+	Behind       int `cbor:"2,keyasint" json:"behind"`
+	Unresponsive int `cbor:"3,keyasint" json:"silent"`
 }
 
-// Check reports a negative count.
-func (c Counted) Check() error {
-	if c.InForce < 0 || c.Behind < 0 || c.Silent < 0 {
+// Check returns an error if a count is negative.
+func (c VersionCounts) Check() error {
+	if c.InForce < 0 || c.Behind < 0 || c.Unresponsive < 0 {
 		return errors.New("a count is negative")
 	}
 	return nil
 }
 
-// Add adds another count to this one.
-func (c *Counted) Add(other Counted) {
+// Add adds other to the counts.
+func (c *VersionCounts) Add(other VersionCounts) {
 	c.InForce += other.InForce
 	c.Behind += other.Behind
-	c.Silent += other.Silent
+	c.Unresponsive += other.Unresponsive
 }
--- a/gateway/agents.go
+++ b/gateway/agents.go
@@ -97,13 +97,13 @@
 	}
 	s := &subscribe.Subscription{
 		Pool: a.pool, Agent: address, Log: g.Log,
-		Take: func(b *bulletin.Bulletin, now time.Time) {
+		OnBulletin: func(b *bulletin.Bulletin, now time.Time) {
 			f.lastBulletinAt.Store(g.Clock.Now().UnixNano())
 			apply(b, now)
 			g.applyPermits(w.runner, b, now)
 			a.applyQuotas(address, b, now)
 		},
-		Ask: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.loadOnly},
+		Request: bulletin.FollowRequest{Name: rillreach.InstanceID(g.Settings.Name), Zone: g.Settings.Zone, LoadOnly: w.loadOnly},
 	}
 	a.wg.Go(func() { s.Run(followCtx) })
 	return f
--- a/gateway/crash_reporter.go
+++ b/gateway/crash_reporter.go
@@ -129,7 +129,7 @@
 	g := c.gateway
 	crashes, next := from.Since(g.Clock.Now(), *version, maxCrashesPerReport)
 	if len(crashes) > 0 {
-		if _, err := peer.Ask[poison.Report, poison.Receipt](ctx, state.conn, peer.MethodCrashes, poison.Report{Crashes: crashes}); err != nil {
+		if _, err := peer.Invoke[poison.Report, poison.Receipt](ctx, state.conn, peer.MethodCrashes, poison.Report{Crashes: crashes}); err != nil {
 			g.Log.Info("cannot report crashes", "decision", "retry", "agent", state.address, "crashes", len(crashes), "cause", err.Error())
 			return false
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -148,7 +148,7 @@
 	drainCtx, endDrain := context.WithCancel(runCtx)
 	defer endDrain()
 	g.drainCtx = drainCtx
-	self, err := fleet.Self(rillreach.RoleEntry, g.Settings)
+	self, err := fleet.NewInstance(rillreach.RoleEntry, g.Settings)
 	if err != nil {
 		return err
 	}
--- a/sidecar/publisher.go
+++ b/sidecar/publisher.go
@@ -85,7 +85,7 @@
 }
 
 // serve sends bulletins to one follower until it disconnects.
-func (p *publisher) serve(ctx context.Context, call *peer.Call) error {
+func (p *publisher) serve(ctx context.Context, call *peer.ServerStream) error {
 	request, err := peer.Decode[bulletin.FollowRequest](call.Body)
 	if err != nil {
 		return err
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -84,9 +84,9 @@
 	s.collector = &collector{sidecar: s}
 	mux := &peer.Mux{Log: s.Log}
 	mux.Handle(peer.MethodFollow, s.publisher.serve)
-	peer.Answer(mux, peer.MethodCrashes, s.handleCrashReport)
-	peer.Answer(mux, peer.MethodLimits, s.handleLimitReport)
-	self, err := fleet.Self(rillreach.RoleAgent, s.Settings)
+	peer.HandleUnary(mux, peer.MethodCrashes, s.handleCrashReport)
+	peer.HandleUnary(mux, peer.MethodLimits, s.handleLimitReport)
+	self, err := fleet.NewInstance(rillreach.RoleAgent, s.Settings)
 	if err != nil {
 		return err
 	}
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -225,7 +225,7 @@
 func TestBulletinsReachFollower(t *testing.T) {
 	f := newFixture(t, &fakeEngine{version: 1})
 	f.nameWeights(1)
-	self, err := fleet.Self(rillreach.RoleEntry, &deployment.Settings{Name: "entry-1", Host: netip.MustParseAddr("127.0.0.1"), FirstPort: 1, Zone: "z"})
+	self, err := fleet.NewInstance(rillreach.RoleEntry, &deployment.Settings{Name: "entry-1", Host: netip.MustParseAddr("127.0.0.1"), FirstPort: 1, Zone: "z"})
 	require.NoError(t, err)
 	pool := &peer.Pool{Self: self, Mux: &peer.Mux{Log: testr.New(t)}, Log: testr.New(t)}
 	ctx, stop := context.WithCancel(context.Background())
@@ -234,8 +234,8 @@
 	bulletins := make(chan bulletin.Bulletin, 100)
 	s := &subscribe.Subscription{
 		Pool: pool, Agent: netip.AddrPortFrom(f.agent.Settings.Host, f.agent.Settings.FirstPort), Log: testr.New(t),
-		Ask:  bulletin.FollowRequest{Name: "entry-1"},
-		Take: func(b *bulletin.Bulletin, _ time.Time) { bulletins <- *b },
+		Request:    bulletin.FollowRequest{Name: "entry-1"},
+		OnBulletin: func(b *bulletin.Bulletin, _ time.Time) { bulletins <- *b },
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { s.Run(ctx) })
