--- a/certs/certs_test.go
+++ b/certs/certs_test.go
@@ -32,9 +32,9 @@
 // shake shakes hands between two sources, and returns what each side found.
 func shake(t *testing.T, client, server *Source) (error, error) {
 	t.Helper()
-	clientConfig, err := client.Config()
+	clientConfig, err := client.TLSConfig()
 	require.NoError(t, err)
-	serverConfig, err := server.Config()
+	serverConfig, err := server.TLSConfig()
 	require.NoError(t, err)
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", serverConfig)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 		assert.Equal(t, before.Certificate, after.Certificate)
 	})
 	t.Run("what cannot be loaded at the start is an error", func(t *testing.T) {
-		_, err := (&Source{Certificate: "no such file"}).Config()
+		_, err := (&Source{Certificate: "no such file"}).TLSConfig()
 		assert.Error(t, err)
 	})
 	t.Run("a certificate says its role", func(t *testing.T) {
--- a/certs/make.go
+++ b/certs/make.go
@@ -23,15 +23,15 @@
 	serialBits       = 120
 )
 
-// Pair is a certificate and its key, as PEM.
-type Pair struct {
+// KeyPair is a certificate and its key, as PEM.
+type KeyPair struct {
 	Certificate []byte
 	Key         []byte
 }
 
 // Authority signs the certificates of one fleet.
 type Authority struct {
-	Pair
+	KeyPair
 
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -54,21 +54,21 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Authority{Pair: pair, certificate: template, key: key}, nil
+	return &Authority{KeyPair: pair, certificate: template, key: key}, nil
 }
 
 // Issue makes a certificate for a role.
-func (a *Authority) Issue(role rillreach.Role, lifetime time.Duration) (Pair, error) {
+func (a *Authority) Issue(role rillreach.Role, lifetime time.Duration) (KeyPair, error) {
 	name := pkix.Name{CommonName: string(role), OrganizationalUnit: []string{string(role)}}
 	template, err := newTemplate(name, lifetime)
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "make key")
+		return KeyPair{}, errors.Wrap(err, "make key")
 	}
 	return sign(template, a.certificate, key, a.key)
 }
@@ -84,16 +84,16 @@
 	}, nil
 }
 
-func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (Pair, error) {
+func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (KeyPair, error) {
 	certificate, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "sign certificate")
+		return KeyPair{}, errors.Wrap(err, "sign certificate")
 	}
 	encoded, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "encode key")
+		return KeyPair{}, errors.Wrap(err, "encode key")
 	}
-	return Pair{
+	return KeyPair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: blockCertificate, Bytes: certificate}),
 		Key:         pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: encoded}),
 	}, nil
--- a/certs/source.go
+++ b/certs/source.go
@@ -32,8 +32,8 @@
 	authority   *x509.CertPool
 }
 
-// Config makes the configuration with which both sides of a connection prove that they belong to the fleet.
-func (s *Source) Config() (*tls.Config, error) {
+// TLSConfig makes the configuration with which both sides of a connection prove that they belong to the fleet.
+func (s *Source) TLSConfig() (*tls.Config, error) {
 	if _, err := s.current(); err != nil {
 		return nil, err
 	}
--- a/cmd/agent.go
+++ b/cmd/agent.go
@@ -29,9 +29,9 @@
 }
 
 func runAgent(ctx context.Context, c *cli.Command) error {
-	var faults settings.Faults
+	var faults settings.Validator
 	common := checkNode(c, &faults)
-	base := faults.URL("backend", c.String("backend"))
+	base := faults.ParseURL("backend", c.String("backend"))
 	faults.OneOf("side", c.String("side"), string(rillreach.SideOld), string(rillreach.SideNew))
 	checkBackend(c, &faults)
 	faults.AtLeast("slots", int64(c.Int("slots")), 1)
@@ -54,7 +54,7 @@
 	return runWithOps(ctx, common.ops, n, a.Run)
 }
 
-func checkBackend(c *cli.Command, faults *settings.Faults) {
+func checkBackend(c *cli.Command, faults *settings.Validator) {
 	engine, service := c.String("model") != "", c.String("service") != ""
 	if engine == service {
 		faults.Addf("model", "set just one of --model and --service")
--- a/cmd/bench.go
+++ b/cmd/bench.go
@@ -36,7 +36,7 @@
 }
 
 func runBenchPolicy(_ context.Context, c *cli.Command) error {
-	var faults settings.Faults
+	var faults settings.Validator
 	kigali, oja := policy.Kigali(), policy.Oja()
 	faults.OneOf("deployment", c.String("deployment"), kigali.Name, oja.Name, allDeployments)
 	if err := faults.Err(); err != nil {
--- a/cmd/certs.go
+++ b/cmd/certs.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	if err := writePair(c, "ca", authority.Pair); err != nil {
+	if err := writePair(c, "ca", authority.KeyPair); err != nil {
 		return err
 	}
 	for _, role := range []rillreach.Role{rillreach.RoleEntry, rillreach.RoleAgent} {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func writePair(c *cli.Command, name string, pair certs.Pair) error {
+func writePair(c *cli.Command, name string, pair certs.KeyPair) error {
 	for file, data := range map[string][]byte{name + ".pem": pair.Certificate, name + "-key.pem": pair.Key} {
 		path := filepath.Join(c.String("dir"), file)
 		if err := writeNew(path, data); err != nil {
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -26,7 +26,7 @@
 }
 
 func runDemo(ctx context.Context, c *cli.Command) error {
-	var faults settings.Faults
+	var faults settings.Validator
 	faults.OneOf("output", c.String("output"), outputTable, outputJSON)
 	if err := faults.Err(); err != nil {
 		return codedError{error: err, code: ExitUsage}
--- a/cmd/entry.go
+++ b/cmd/entry.go
@@ -24,9 +24,9 @@
 }
 
 func runEntry(ctx context.Context, c *cli.Command) error {
-	var faults settings.Faults
+	var faults settings.Validator
 	common := checkNode(c, &faults)
-	callers := faults.Address("listen", c.String("listen"))
+	callers := faults.ParseAddrPort("listen", c.String("listen"))
 	faults.AtLeast("max-body", int64(c.Int("max-body")), 1)
 	if err := faults.Err(); err != nil {
 		return codedError{error: err, code: ExitUsage}
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	seconds := explain.Load(lines)
+	seconds := explain.StatsBySecond(lines)
 	if c.String("output") == "json" {
 		return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(seconds), "write load")
 	}
@@ -49,12 +49,12 @@
 	return nil
 }
 
-func writeLoad(w io.Writer, seconds []explain.Second) {
+func writeLoad(w io.Writer, seconds []explain.SecondStats) {
 	_, _ = fmt.Fprintln(w, "time      sent  missing    again  fetched      held  expected    waited  failed  left  refused")
 	for i := range seconds {
 		s := &seconds[i]
-		_, _ = fmt.Fprintf(w, "%s  %4d  %7d  %7d  %7d  %7dms %7dms %7dms  %6d  %4d  %7d\n", s.At.Format("15:04:05"), s.Sent, s.Missing, s.Again, s.Fetched,
-			s.Held.Milliseconds(), s.Expected.Milliseconds(), s.Waited.Milliseconds(), s.Failed, s.Left, s.Refused)
+		_, _ = fmt.Fprintf(w, "%s  %4d  %7d  %7d  %7d  %7dms %7dms %7dms  %6d  %4d  %7d\n", s.Start.Format("15:04:05"), s.Sent, s.UncachedTokens, s.RecomputedTokens, s.FetchedTokens,
+			s.MedianHold.Milliseconds(), s.MedianExpectedTTFT.Milliseconds(), s.MedianTTFT.Milliseconds(), s.Failed, s.Abandoned, s.Rejected)
 	}
 }
 
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	story := explain.Tell(lines, c.Args().First())
+	story := explain.HistoryOf(lines, c.Args().First())
 	if len(story.Lines) == 0 {
 		return errors.Newf("explain: no line of the logs names request %q", story.Request)
 	}
@@ -97,9 +97,9 @@
 	return all, nil
 }
 
-func writeStory(w io.Writer, story explain.Story) {
+func writeStory(w io.Writer, story explain.RequestHistory) {
 	_, _ = fmt.Fprintf(w, "request %s\n\nwhat was believed before:\n", story.Request)
-	for _, line := range story.Beliefs {
+	for _, line := range story.PriorState {
 		writeLine(w, line)
 	}
 	_, _ = fmt.Fprintln(w, "\nwhat was decided:")
--- a/cmd/flags.go
+++ b/cmd/flags.go
@@ -11,7 +11,7 @@
 
 // sources are the environment variable of a flag.
 func sources(name string) cli.ValueSourceChain {
-	return cli.EnvVars(settings.Prefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_")))
+	return cli.EnvVars(settings.EnvPrefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_")))
 }
 
 func stringFlag(name, value, usage string) cli.Flag {
--- a/cmd/log.go
+++ b/cmd/log.go
@@ -12,7 +12,7 @@
 
 var logLevels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "error": slog.LevelError}
 
-func checkLog(c *cli.Command, faults *settings.Faults) {
+func checkLog(c *cli.Command, faults *settings.Validator) {
 	faults.OneOf("log-level", c.String("log-level"), "debug", "info", "error")
 	faults.OneOf("log-format", c.String("log-format"), "json", "console")
 }
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -32,7 +32,7 @@
 	ops      netip.AddrPort
 }
 
-func checkNode(c *cli.Command, faults *settings.Faults) nodeSettings {
+func checkNode(c *cli.Command, faults *settings.Validator) nodeSettings {
 	checkLog(c, faults)
 	faults.Required("zone", c.String("zone"))
 	if len(c.String("secret")) < minSecret {
@@ -42,9 +42,9 @@
 	faults.AtLeast("digest-every", c.Duration("digest-every").Milliseconds(), 1)
 	faults.AtLeast("watch-wait", c.Duration("watch-wait").Milliseconds(), 1)
 	return nodeSettings{
-		platform: faults.URL("platform", c.String("platform")),
-		peer:     faults.Address("peer-listen", c.String("peer-listen")),
-		ops:      faults.Address("ops-listen", c.String("ops-listen")),
+		platform: faults.ParseURL("platform", c.String("platform")),
+		peer:     faults.ParseAddrPort("peer-listen", c.String("peer-listen")),
+		ops:      faults.ParseAddrPort("ops-listen", c.String("ops-listen")),
 	}
 }
 
--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -99,7 +99,7 @@
 	// Before anything else, and to the process's end: a SIGHUP that nobody takes would end it.
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
-	var faults settings.Faults
+	var faults settings.Validator
 	faults.OneOf("log-level", c.String("log-level"), "debug", "info", "error")
 	faults.AtLeast("metrics-port", int64(c.Int("metrics-port")), 1)
 	faults.Required("settings-file", c.String("settings-file"))
@@ -121,10 +121,10 @@
 		settings: s, store: platform.NewObjectStoreClient(s.ObjectStoreAddress), metrics: metrics,
 		log: sink.Logger(logLevels[c.String("log-level")]).WithValues("instance", s.Name, "role", name),
 	}
-	if err := metrics.Gauge("rillreach.store.calls", "calls that were made to the object store", func() float64 { return float64(p.store.Calls.Load()) }); err != nil {
+	if err := metrics.AddGauge("rillreach.store.calls", "calls that were made to the object store", func() float64 { return float64(p.store.Calls.Load()) }); err != nil {
 		return err
 	}
-	if err := metrics.Gauge("rillreach.store.era", "era of the object store, which rises when it comes back from a copy", func() float64 { return float64(p.store.Era()) }); err != nil {
+	if err := metrics.AddGauge("rillreach.store.era", "era of the object store, which rises when it comes back from a copy", func() float64 { return float64(p.store.Era()) }); err != nil {
 		return err
 	}
 	p.log.Info("starting", "decision", "start", "zone", s.Zone, "store", s.ObjectStoreAddress, "memoryMB", s.MemoryMB)
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -56,7 +56,7 @@
 }
 
 func refuseUnknownEnvironment(ctx context.Context, c *cli.Command) (context.Context, error) {
-	return ctx, settings.CheckEnvironment(os.Environ(), knownVariables(c.Root()))
+	return ctx, settings.RejectUnknownVariables(os.Environ(), knownVariables(c.Root()))
 }
 
 // knownVariables are the environment variables of all flags of a command and those below it.
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -79,8 +79,8 @@
 }
 
 func serveStandin(ctx context.Context, c *cli.Command, handler http.Handler) error {
-	var faults settings.Faults
-	address := faults.Address("standin-listen", c.String("standin-listen"))
+	var faults settings.Validator
+	address := faults.ParseAddrPort("standin-listen", c.String("standin-listen"))
 	if err := faults.Err(); err != nil {
 		return codedError{error: err, code: ExitUsage}
 	}
--- a/cmd/standin_store.go
+++ b/cmd/standin_store.go
@@ -35,10 +35,10 @@
 }
 
 func runStandinStore(ctx context.Context, c *cli.Command) error {
-	var faults settings.Faults
+	var faults settings.Validator
 	checkLog(c, &faults)
-	base := faults.URL("platform", c.String("platform"))
-	address := faults.Address("standin-listen", c.String("standin-listen"))
+	base := faults.ParseURL("platform", c.String("platform"))
+	address := faults.ParseAddrPort("standin-listen", c.String("standin-listen"))
 	faults.OneOf("side", c.String("side"), string(rillreach.SideOld), string(rillreach.SideNew))
 	if err := faults.Err(); err != nil {
 		return codedError{error: err, code: ExitUsage}
--- a/cmd/table.go
+++ b/cmd/table.go
@@ -33,8 +33,8 @@
 
 // tableClient makes the client that edits the table.
 func tableClient(c *cli.Command) (*objectstore.Client, error) {
-	var faults settings.Faults
-	base := faults.URL("platform", c.String("platform"))
+	var faults settings.Validator
+	base := faults.ParseURL("platform", c.String("platform"))
 	faults.OneOf("output", c.String("output"), outputTable, outputJSON, outputYAML)
 	if err := faults.Err(); err != nil {
 		return nil, codedError{error: err, code: ExitUsage}
--- a/cmd/table_apply.go
+++ b/cmd/table_apply.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	changes := edit.Changes(there, row, version > 0)
+	changes := edit.DescribeChanges(there, row, version > 0)
 	if len(changes) == 0 {
 		_, _ = fmt.Fprintf(w, "%s: unchanged\n", row.Name())
 		return nil
@@ -78,7 +78,7 @@
 	if !errors.As(err, &conflict) {
 		return err
 	}
-	return codedError{error: errors.Newf("%s\nours:   %s\ntheirs: %s", err.Error(), rowText(conflict.Ours), rowText(conflict.Theirs)), code: ExitConflict}
+	return codedError{error: errors.Newf("%s\nours:   %s\ntheirs: %s", err.Error(), rowText(conflict.Proposed), rowText(conflict.Current)), code: ExitConflict}
 }
 
 func rowText(row *rillreach.Row) string {
--- a/cmd/table_shift.go
+++ b/cmd/table_shift.go
@@ -52,7 +52,7 @@
 }
 
 func checkShift(c *cli.Command) error {
-	var faults settings.Faults
+	var faults settings.Validator
 	faults.OneOf("from", c.String("from"), string(rillreach.SideOld), string(rillreach.SideNew))
 	faults.OneOf("to", c.String("to"), string(rillreach.SideOld), string(rillreach.SideNew))
 	if c.String("from") == c.String("to") {
--- a/cmd/tls.go
+++ b/cmd/tls.go
@@ -9,7 +9,7 @@
 	"github.com/rillreach/rillreach/settings"
 )
 
-func checkTLS(c *cli.Command, faults *settings.Faults) {
+func checkTLS(c *cli.Command, faults *settings.Validator) {
 	set := 0
 	for _, name := range []string{"tls-cert", "tls-key", "tls-ca"} {
 		if c.String(name) != "" {
@@ -27,5 +27,5 @@
 		return nil, nil
 	}
 	source := &certs.Source{Certificate: c.String("tls-cert"), Key: c.String("tls-key"), Authority: c.String("tls-ca")}
-	return source.Config()
+	return source.TLSConfig()
 }
--- a/demo/run.go
+++ b/demo/run.go
@@ -102,7 +102,7 @@
 			return nil, err
 		}
 		source := &certs.Source{Certificate: string(pair.Certificate), Key: string(pair.Key), Authority: string(authority.Certificate)}
-		return source.Config()
+		return source.TLSConfig()
 	}
 }
 
--- a/edit/diff.go
+++ b/edit/diff.go
@@ -7,8 +7,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Changes says in words how a row differs from the one that is there.
-func Changes(there, row rillreach.Row, exists bool) []string {
+// DescribeChanges says in words how a row differs from the one that is there.
+func DescribeChanges(there, row rillreach.Row, exists bool) []string {
 	if !exists {
 		return []string{"new row"}
 	}
--- a/edit/edit.go
+++ b/edit/edit.go
@@ -22,22 +22,22 @@
 type Editor struct {
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
-	// Pause is the time between two tries to read an edit back; zero means a default.
-	Pause time.Duration
+	// RetryInterval is the time between two tries to read an edit back; zero means a default.
+	RetryInterval time.Duration
 }
 
 // ConflictError says that another edit came first; nothing was written.
 type ConflictError struct {
-	// Ours is the row that was to be written, Theirs the one that is there; nil says that there is none.
-	Ours   *rillreach.Row
-	Theirs *rillreach.Row
+	// Proposed is the row that was to be written, Theirs the one that is there; nil says that there is none.
+	Proposed *rillreach.Row
+	Current  *rillreach.Row
 }
 
 // Error names the row.
 func (e *ConflictError) Error() string {
 	name := "row"
-	if e.Ours != nil {
-		name = e.Ours.Name()
+	if e.Proposed != nil {
+		name = e.Proposed.Name()
 	}
 	return fmt.Sprintf("%s was changed by another edit; nothing was written", name)
 }
@@ -103,19 +103,19 @@
 	if version == seen {
 		return 0, errors.Newf("edit of %s did not take effect; try again", row.Name())
 	}
-	return 0, &ConflictError{Ours: &row, Theirs: &there}
+	return 0, &ConflictError{Proposed: &row, Current: &there}
 }
 
 func (e *Editor) conflict(ctx context.Context, row rillreach.Row) error {
-	conflict := &ConflictError{Ours: &row}
+	conflict := &ConflictError{Proposed: &row}
 	if there, version, err := e.Read(ctx, row.Name()); err == nil && version > 0 {
-		conflict.Theirs = &there
+		conflict.Current = &there
 	}
 	return conflict
 }
 
 func (e *Editor) pause(ctx context.Context) {
-	wait := e.Pause
+	wait := e.RetryInterval
 	if wait == 0 {
 		wait = readBackPause
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -108,7 +108,7 @@
 		identify.Filter{Clock: e.Node.Clock},
 		resolve.Filter{Table: e.Node.Table, KeyDeriver: keep.NewKeyDeriver(e.Secret)},
 	}
-	observe := func(step string, took time.Duration, _ error) { e.Node.Metrics.Step(step, took) }
+	observe := func(step string, took time.Duration, _ error) { e.Node.Metrics.RecordStep(step, took) }
 	e.chain = &filter.Chain{Log: e.Node.Log, Observe: observe, Filters: append(understand[:len(understand):len(understand)], admit.Filter{Limiter: e.lease}, e.dispatch)}
 	e.mint = &filter.Chain{Log: e.Node.Log, Filters: append(understand[:len(understand):len(understand)], ticketStep{e.dispatch})}
 }
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -89,13 +89,13 @@
 // observe counts how a request ended.
 func (e *Entry) observe(x *rillreach.Exchange, refusal *rillreach.Refusal) {
 	if !x.ResponseStartedAt.IsZero() {
-		e.Node.Metrics.FirstToken(x.ResponseStartedAt.Sub(x.ArrivedAt))
+		e.Node.Metrics.RecordFirstToken(x.ResponseStartedAt.Sub(x.ArrivedAt))
 	}
 	if refusal != nil {
-		e.Node.Metrics.Request(string(refusal.Outcome), string(refusal.Reason))
+		e.Node.Metrics.CountRequest(string(refusal.Outcome), string(refusal.Reason))
 		return
 	}
-	e.Node.Metrics.Request(answeredOutcome, "")
+	e.Node.Metrics.CountRequest(answeredOutcome, "")
 }
 
 const answeredOutcome = "answered"
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -27,14 +27,14 @@
 	Fields   map[string]any `json:"fields"`
 }
 
-// Story is what is known of one request.
-type Story struct {
+// RequestHistory is what is known of one request.
+type RequestHistory struct {
 	Request string `json:"request"`
 	// Lines are the decisions about the request, in the order of their time.
 	Lines []Line `json:"lines"`
-	// Beliefs are the last lines before the request's first in which a process that decided about it changed what it
+	// PriorState are the last lines before the request's first in which a process that decided about it changed what it
 	// believed: configuration, weights, dependencies, and the runners that the request met.
-	Beliefs []Line `json:"beliefs"`
+	PriorState []Line `json:"beliefs"`
 }
 
 // Read reads log lines; what stands before a line's JSON is left out, and lines that hold none are passed over.
@@ -68,10 +68,10 @@
 	return line, true
 }
 
-// Tell picks the story of one request out of the lines.
-func Tell(lines []Line, request string) Story {
+// HistoryOf picks the story of one request out of the lines.
+func HistoryOf(lines []Line, request string) RequestHistory {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	story := Story{Request: request}
+	story := RequestHistory{Request: request}
 	instances, runners := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
 		if line.Request != request {
@@ -86,7 +86,7 @@
 		}
 	}
 	if len(story.Lines) > 0 {
-		story.Beliefs = beliefs(lines, story.Lines[0].Time, instances, runners)
+		story.PriorState = beliefs(lines, story.Lines[0].Time, instances, runners)
 	}
 	return story
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -24,16 +24,16 @@
 func TestTell(t *testing.T) {
 	lines, err := Read(strings.NewReader(log))
 	require.NoError(t, err)
-	story := Tell(lines, "a")
+	story := HistoryOf(lines, "a")
 	t.Run("the decisions stand in the order of their time", func(t *testing.T) {
 		require.Len(t, story.Lines, 2)
 		assert.Equal(t, "runner chosen", story.Lines[0].Message)
 		assert.Equal(t, "answered", story.Lines[1].Message)
 	})
 	t.Run("beliefs are the last ones before, of the instance that decided, and of the runners it met", func(t *testing.T) {
-		require.Len(t, story.Beliefs, 2)
-		assert.InDelta(t, 4, story.Beliefs[0].Fields["version"], 0)
-		assert.Equal(t, "r1", story.Beliefs[1].Fields["runner"])
+		require.Len(t, story.PriorState, 2)
+		assert.InDelta(t, 4, story.PriorState[0].Fields["version"], 0)
+		assert.Equal(t, "r1", story.PriorState[1].Fields["runner"])
 	})
-	t.Run("a request that nobody logged has no story", func(t *testing.T) { assert.Empty(t, Tell(lines, "c").Lines) })
+	t.Run("a request that nobody logged has no story", func(t *testing.T) { assert.Empty(t, HistoryOf(lines, "c").Lines) })
 }
--- a/explain/load.go
+++ b/explain/load.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Second is what entries did with the prompts of one second, as their log lines say.
-type Second struct {
-	// At is when the second began.
-	At time.Time `json:"at"`
+// SecondStats is what entries did with the prompts of one second, as their log lines say.
+type SecondStats struct {
+	// Start is when the second began.
+	Start time.Time `json:"at"`
 	// Sent prompts went to engines, which were to read Missing tokens for them, Again of these known to have been read before, and
 	// to fetch Fetched.
-	Sent    int `json:"sent"`
-	Missing int `json:"missing"`
-	Again   int `json:"again"`
-	Fetched int `json:"fetched"`
-	// Held is how long half of the prompts had waited at the entry, Expected the time to the first token that half were sent with, and
+	Sent             int `json:"sent"`
+	UncachedTokens   int `json:"missing"`
+	RecomputedTokens int `json:"again"`
+	FetchedTokens    int `json:"fetched"`
+	// MedianHold is how long half of the prompts had waited at the entry, Expected the time to the first token that half were sent with, and
 	// Waited what that time was.
-	Held     time.Duration `json:"held"`
-	Expected time.Duration `json:"expected"`
-	Waited   time.Duration `json:"waited"`
+	MedianHold         time.Duration `json:"held"`
+	MedianExpectedTTFT time.Duration `json:"expected"`
+	MedianTTFT         time.Duration `json:"waited"`
 	// Failed attempts, requests that Left with their callers, and Refused ones ended in this second.
-	Failed  int `json:"failed"`
-	Left    int `json:"left"`
-	Refused int `json:"refused"`
+	Failed    int `json:"failed"`
+	Abandoned int `json:"left"`
+	Rejected  int `json:"refused"`
 
 	held, expected, waited []time.Duration
 }
 
-// Load counts by second what became of prompts, so that the moment shows at which waits or refusals begin, and what was read then.
-func Load(lines []Line) []Second {
-	bySecond := map[int64]*Second{}
+// StatsBySecond counts by second what became of prompts, so that the moment shows at which waits or refusals begin, and what was read then.
+func StatsBySecond(lines []Line) []SecondStats {
+	bySecond := map[int64]*SecondStats{}
 	sentAt := map[string]time.Time{}
 	for i := range lines {
 		line := &lines[i]
@@ -52,42 +52,42 @@
 			s.end(line)
 		}
 	}
-	seconds := make([]Second, 0, len(bySecond))
+	seconds := make([]SecondStats, 0, len(bySecond))
 	for _, s := range bySecond {
-		if s.Sent+s.Failed+s.Left+s.Refused == 0 {
+		if s.Sent+s.Failed+s.Abandoned+s.Rejected == 0 {
 			continue
 		}
-		s.Held, s.Expected, s.Waited = median(s.held), median(s.expected), median(s.waited)
+		s.MedianHold, s.MedianExpectedTTFT, s.MedianTTFT = median(s.held), median(s.expected), median(s.waited)
 		seconds = append(seconds, *s)
 	}
-	slices.SortFunc(seconds, func(a, b Second) int { return a.At.Compare(b.At) })
+	slices.SortFunc(seconds, func(a, b SecondStats) int { return a.Start.Compare(b.Start) })
 	return seconds
 }
 
-func secondOf(all map[int64]*Second, at time.Time) *Second {
+func secondOf(all map[int64]*SecondStats, at time.Time) *SecondStats {
 	key := at.Unix()
 	if all[key] == nil {
-		all[key] = &Second{At: time.Unix(key, 0).UTC()}
+		all[key] = &SecondStats{Start: time.Unix(key, 0).UTC()}
 	}
 	return all[key]
 }
 
-func (s *Second) send(line *Line) {
+func (s *SecondStats) send(line *Line) {
 	s.Sent++
-	s.Missing += line.number("missing")
-	s.Again += line.number("again")
-	s.Fetched += line.number("fetched")
+	s.UncachedTokens += line.number("missing")
+	s.RecomputedTokens += line.number("again")
+	s.FetchedTokens += line.number("fetched")
 	s.held = append(s.held, line.duration("held"))
 	s.expected = append(s.expected, line.duration("estimate"))
 }
 
 // end counts a request without an answer: its caller left, or it was refused.
-func (s *Second) end(line *Line) {
+func (s *SecondStats) end(line *Line) {
 	if line.Fields["decision"] == "caller-left" {
-		s.Left++
+		s.Abandoned++
 		return
 	}
-	s.Refused++
+	s.Rejected++
 }
 
 // number is a field's whole number, nought where it holds none.
--- a/filter/dispatch/dispatch.go
+++ b/filter/dispatch/dispatch.go
@@ -121,7 +121,7 @@
 }
 
 func (f *Filter) recordFailedAttempt(x *rillreach.Exchange, m *membership.Member, attempt int, refusal *rillreach.Refusal, verdict retry.Verdict) {
-	f.Node.Metrics.Attempt(string(verdict))
+	f.Node.Metrics.CountFailedAttempt(string(verdict))
 	f.Log.Info("attempt failed", "decision", verdict, "reason", refusal.Reason, "outcome", refusal.Outcome,
 		"request", x.Request.ID, "account", x.Request.Account, "chosen", m.ID, "attempt", attempt, "cause", refusal.Message)
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -214,7 +214,7 @@
 	if !notSent {
 		x.maybeRan = true
 	}
-	g.Metrics.Attempt(string(cause))
+	g.Metrics.CountFailedAttempt(string(cause))
 	if cause == causeRunnerEnded {
 		a.recordCrash()
 	}
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for _, kind := range signals {
-		a.gateway.Metrics.Backpressure(kind)
+		a.gateway.Metrics.CountBackpressure(kind)
 	}
 	a.gateway.Log.Info("runner asks for less", "decision", "note", "request", a.exchange.wire.ID, "runner", a.target.view.ID, "asks", signals,
 		"perSecond", a.headers.Limit.PerSecond, "retryAfter", a.headers.RetryAfter.String())
--- a/gateway/bulletins.go
+++ b/gateway/bulletins.go
@@ -52,7 +52,7 @@
 	}
 	if err := load.Check(); err != nil {
 		g.Log.Error(err, "invalid load report ignored", "decision", "ignore", "runner", b.Runner, "running", load.Running, "waiting", load.Waiting, "used", load.UsedTokens)
-		g.Metrics.InvalidReport()
+		g.Metrics.CountInvalidReport()
 		return
 	}
 	if r.SetReport(roster.Report{ReceivedAt: now, Load: load, WeightLoadAt: weightLoadTime(b, now)}) {
--- a/gateway/hedge.go
+++ b/gateway/hedge.go
@@ -170,7 +170,7 @@
 	x := h.secondary.exchange
 	h.primary.gateway.Log.Info("second attempt ended", "decision", outcome, "reason", h.reason, "request", x.wire.ID,
 		"runner", h.primary.target.view.ID, "chosen", h.secondary.target.view.ID, "cause", x.reason)
-	h.primary.gateway.Metrics.Hedge(string(h.reason), outcome)
+	h.primary.gateway.Metrics.CountHedge(string(h.reason), outcome)
 }
 
 // retireHedge records the outcome of the previous hedge, which has ended, before another one replaces it. a.mu must be
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -44,7 +44,7 @@
 	}
 	g.Log.Error(nil, "request refused", "decision", "refuse", "request", x.wire.ID, "reason", r.reason, "status", r.status,
 		"host", x.request.Host, "route", routeName, "config", version)
-	g.Metrics.Request("not-run", r.reason)
+	g.Metrics.CountRequest("not-run", r.reason)
 	g.respond(x, r.status, r.reason, r.retryAfter)
 }
 
@@ -66,7 +66,7 @@
 	g.Log.Error(ctx.Err(), "request given up", "decision", verdict, "request", x.wire.ID, "account", x.accountName(), "route", x.route.Name,
 		"reason", x.reason, "outcome", outcome, "status", status, "began", x.headSent, "sends", x.sends.sendCount(), "runners", x.sends.runnersUsed(),
 		"config", x.config.Version, "listAge", g.listAge(time.Now()).String(), "after", time.Since(x.arrived).String())
-	g.Metrics.Request(outcome, verdict)
+	g.Metrics.CountRequest(outcome, verdict)
 	if verdict == verdictTimedOut {
 		g.answerTimes.observe(x.route.Name, time.Since(x.arrived)) // a lower bound for the time that the request takes
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -196,7 +196,7 @@
 	g, x := a.gateway, a.exchange
 	if x.firstEventAt.IsZero() {
 		x.firstEventAt = time.Now()
-		g.Metrics.FirstToken(x.firstEventAt.Sub(x.arrived))
+		g.Metrics.RecordFirstToken(x.firstEventAt.Sub(x.arrived))
 	}
 	a.writingToCaller.Store(true)
 	err := x.write(part)
@@ -230,7 +230,7 @@
 // complete one.
 func (g *Gateway) abortAnswer(x *exchange, t *target, cause error) {
 	g.Log.Error(cause, "answer aborted", "decision", "cut", "request", x.wire.ID, "runner", t.view.ID, "after", time.Since(x.arrived).String())
-	g.Metrics.Request("unknown", "cut")
+	g.Metrics.CountRequest("unknown", "cut")
 	panic(http.ErrAbortHandler)
 }
 
@@ -246,8 +246,8 @@
 	if status < minFailureStatus {
 		g.answerTimes.observe(x.route.Name, took)
 	}
-	g.Metrics.Request("answered", strings.ToLower(x.route.Kind.String()))
-	g.Metrics.Step(x.route.Kind.String(), took)
+	g.Metrics.CountRequest("answered", strings.ToLower(x.route.Kind.String()))
+	g.Metrics.RecordStep(x.route.Kind.String(), took)
 }
 
 func (x *exchange) timeToFirstEvent() time.Duration {
--- a/gateway/restart.go
+++ b/gateway/restart.go
@@ -21,7 +21,7 @@
 	g.Log.Info("runner restarted", "decision", "forget", "runner", info.ID, "generation", info.Generation, "address", info.Address,
 		"delay", delay.String(), "delayKnown", known)
 	if known {
-		g.Metrics.RestartHeard(delay)
+		g.Metrics.RecordRestartDelay(delay)
 	}
 }
 
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -51,8 +51,8 @@
 	if x.wire.Prompt == nil || x.service.Engine == nil {
 		return
 	}
-	g.Metrics.RunnerWait(waited)
-	g.Metrics.PredictionError((waited - t.choice.Estimate).Abs())
+	g.Metrics.RecordRunnerWait(waited)
+	g.Metrics.RecordPredictionError((waited - t.choice.Estimate).Abs())
 	replacedFor := g.sinceReplaced(x, t.weights, now)
 	if bound := g.Settings.Bounds.WeightsRollout; bound <= 0 || replacedFor <= bound {
 		return
--- a/localstate/runs.go
+++ b/localstate/runs.go
@@ -49,7 +49,7 @@
 		s.missingGeneration = map[rillreach.InstanceID]rillreach.Revision{}
 	}
 	s.missingGeneration[info.ID] = info.Revision
-	s.Metrics.UnknownStart(telemetry.StartInRecord)
+	s.Metrics.CountUnknownStart(telemetry.StartInRecord)
 	return !known
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -128,7 +128,7 @@
 		"rillreach.peer.bytes":     {"bytes sent to peers", func() float64 { return float64(n.Pool.Traffic.Bytes.Load()) }},
 		"rillreach.peer.conns":     {"connections to peers", func() float64 { return float64(len(n.Pool.Conns())) }},
 	} {
-		if err := n.Metrics.Gauge(name, gauge.description, gauge.read); err != nil {
+		if err := n.Metrics.AddGauge(name, gauge.description, gauge.read); err != nil {
 			return err
 		}
 	}
--- a/settings/checks.go
+++ b/settings/checks.go
@@ -9,26 +9,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Faults collects what is wrong with the settings, so that all of it can be said at once.
-type Faults struct {
+// Validator collects what is wrong with the settings, so that all of it can be said at once.
+type Validator struct {
 	list []string
 }
 
 // Addf adds a fault of one setting.
-func (f *Faults) Addf(setting, format string, args ...any) {
+func (f *Validator) Addf(setting, format string, args ...any) {
 	f.list = append(f.list, "--"+setting+": "+fmt.Sprintf(format, args...))
 }
 
 // Err returns all faults as one error, or nil.
-func (f *Faults) Err() error {
+func (f *Validator) Err() error {
 	if len(f.list) == 0 {
 		return nil
 	}
 	return errors.Newf("settings have %d faults:\n  %s", len(f.list), strings.Join(f.list, "\n  "))
 }
 
-// Address reads an address with a port.
-func (f *Faults) Address(setting, text string) netip.AddrPort {
+// ParseAddrPort reads an address with a port.
+func (f *Validator) ParseAddrPort(setting, text string) netip.AddrPort {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
 		f.Addf(setting, "%q is not an IP address with a port", text)
@@ -36,8 +36,8 @@
 	return address
 }
 
-// URL reads an HTTP address.
-func (f *Faults) URL(setting, text string) string {
+// ParseURL reads an HTTP address.
+func (f *Validator) ParseURL(setting, text string) string {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
 		f.Addf(setting, "%q is not an address such as http://127.0.0.1:8000", text)
@@ -47,14 +47,14 @@
 }
 
 // Required refuses an empty setting.
-func (f *Faults) Required(setting, text string) {
+func (f *Validator) Required(setting, text string) {
 	if text == "" {
 		f.Addf(setting, "is not set")
 	}
 }
 
 // OneOf refuses a value that is not on the list.
-func (f *Faults) OneOf(setting, text string, values ...string) {
+func (f *Validator) OneOf(setting, text string, values ...string) {
 	for _, value := range values {
 		if text == value {
 			return
@@ -64,7 +64,7 @@
 }
 
 // AtLeast refuses a number that is too small.
-func (f *Faults) AtLeast(setting string, value, least int64) {
+func (f *Validator) AtLeast(setting string, value, least int64) {
 	if value < least {
 		f.Addf(setting, "%d is less than %d", value, least)
 	}
--- a/settings/environment.go
+++ b/settings/environment.go
@@ -7,15 +7,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Prefix begins the names of the environment variables that are settings.
-const Prefix = "RILLREACH_"
+// EnvPrefix begins the names of the environment variables that are settings.
+const EnvPrefix = "RILLREACH_"
 
-// CheckEnvironment refuses variables that look like settings and are not.
-func CheckEnvironment(environment []string, known map[string]bool) error {
+// RejectUnknownVariables refuses variables that look like settings and are not.
+func RejectUnknownVariables(environment []string, known map[string]bool) error {
 	var unknown []string
 	for _, variable := range environment {
 		name, _, _ := strings.Cut(variable, "=")
-		if strings.HasPrefix(name, Prefix) && !known[name] {
+		if strings.HasPrefix(name, EnvPrefix) && !known[name] {
 			unknown = append(unknown, name)
 		}
 	}
--- a/sidecar/runner_run.go
+++ b/sidecar/runner_run.go
@@ -23,7 +23,7 @@
 // checkGeneration counts a response of the runner without a generation, and logs the first of several in a row.
 func (s *Sidecar) checkGeneration(source telemetry.StartSource, generation rillreach.Generation) {
 	if generation == 0 {
-		s.Metrics.UnknownStart(source)
+		s.Metrics.CountUnknownStart(source)
 	}
 	if s.missingGenerations.record(source, generation == 0) {
 		s.Log.Info("runner reports no generation", "decision", "use", "source", source, "address", s.Settings.RunnerAddress)
--- a/telemetry/starts.go
+++ b/telemetry/starts.go
@@ -32,16 +32,16 @@
 	return nil
 }
 
-// UnknownStart counts a word of a runner that tells no start.
-func (m *Metrics) UnknownStart(source StartSource) {
+// CountUnknownStart counts a word of a runner that tells no start.
+func (m *Metrics) CountUnknownStart(source StartSource) {
 	if m == nil {
 		return
 	}
 	m.starts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("source", string(source))))
 }
 
-// RestartHeard records how long ago the run started that is heard of.
-func (m *Metrics) RestartHeard(after time.Duration) {
+// RecordRestartDelay records how long ago the run started that is heard of.
+func (m *Metrics) RecordRestartDelay(after time.Duration) {
 	if m == nil {
 		return
 	}
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -83,72 +83,72 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Request counts a request that has ended.
-func (m *Metrics) Request(outcome, reason string) {
+// CountRequest counts a request that has ended.
+func (m *Metrics) CountRequest(outcome, reason string) {
 	if m == nil {
 		return
 	}
 	m.requests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome), attribute.String("reason", reason)))
 }
 
-// Attempt counts an attempt that failed.
-func (m *Metrics) Attempt(verdict string) {
+// CountFailedAttempt counts an attempt that failed.
+func (m *Metrics) CountFailedAttempt(verdict string) {
 	if m == nil {
 		return
 	}
 	m.attempts.Add(context.Background(), 1, metric.WithAttributes(attribute.String("verdict", verdict)))
 }
 
-// Step records the time in a step of the request chain.
-func (m *Metrics) Step(name string, took time.Duration) {
+// RecordStep records the time in a step of the request chain.
+func (m *Metrics) RecordStep(name string, took time.Duration) {
 	if m == nil {
 		return
 	}
 	m.steps.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("step", name)))
 }
 
-// FirstToken records the time to the first part of an answer.
-func (m *Metrics) FirstToken(took time.Duration) {
+// RecordFirstToken records the time to the first part of an answer.
+func (m *Metrics) RecordFirstToken(took time.Duration) {
 	if m == nil {
 		return
 	}
 	m.first.Record(context.Background(), took.Seconds())
 }
 
-// RunnerWait records the time from the send of a prompt to its first token.
-func (m *Metrics) RunnerWait(took time.Duration) {
+// RecordRunnerWait records the time from the send of a prompt to its first token.
+func (m *Metrics) RecordRunnerWait(took time.Duration) {
 	if m == nil {
 		return
 	}
 	m.wait.Record(context.Background(), took.Seconds())
 }
 
-// PredictionError records by how much the expected time to a first token was wrong.
-func (m *Metrics) PredictionError(by time.Duration) {
+// RecordPredictionError records by how much the expected time to a first token was wrong.
+func (m *Metrics) RecordPredictionError(by time.Duration) {
 	if m == nil {
 		return
 	}
 	m.error.Record(context.Background(), by.Seconds())
 }
 
-// InvalidReport counts a runner's report that can't be true.
-func (m *Metrics) InvalidReport() {
+// CountInvalidReport counts a runner's report that can't be true.
+func (m *Metrics) CountInvalidReport() {
 	if m == nil {
 		return
 	}
 	m.reports.Add(context.Background(), 1)
 }
 
-// Backpressure counts an answer whose runner asks for less: a limit, a rest, or nothing more since it leaves.
-func (m *Metrics) Backpressure(kind string) {
+// CountBackpressure counts an answer whose runner asks for less: a limit, a rest, or nothing more since it leaves.
+func (m *Metrics) CountBackpressure(kind string) {
 	if m == nil {
 		return
 	}
 	m.pressure.Add(context.Background(), 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
 
-// Hedge counts a second attempt that has ended.
-func (m *Metrics) Hedge(reason, outcome string) {
+// CountHedge counts a second attempt that has ended.
+func (m *Metrics) CountHedge(reason, outcome string) {
 	if m == nil {
 		return
 	}
@@ -165,15 +165,15 @@
 // AddGauges has all the figures read whenever the metrics are.
 func (m *Metrics) AddGauges(gauges []Gauge) error {
 	for _, g := range gauges {
-		if err := m.Gauge(g.Name, g.Description, g.Read); err != nil {
+		if err := m.AddGauge(g.Name, g.Description, g.Read); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Gauge has a number read whenever the metrics are.
-func (m *Metrics) Gauge(name, description string, read func() float64) error {
+// AddGauge has a number read whenever the metrics are.
+func (m *Metrics) AddGauge(name, description string, read func() float64) error {
 	if m == nil {
 		return nil
 	}
