--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain reads the log lines of several processes and tells the story of one request: what was decided about it,
-// and what the processes that decided believed at that moment.
+// Package explain reconstructs the history of one request from the logs of several processes: the decisions about the
+// request, and the state that the deciding processes had at that time. It also summarizes prompts per second.
 package explain
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLine bounds a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// Line is one log line; Fields holds all of it.
+// Line is one log line. Fields contains all keys that have no field of their own, except the role.
 type Line struct {
 	Time     time.Time      `json:"time"`
 	Level    string         `json:"level"`
@@ -27,30 +27,32 @@
 	Fields   map[string]any `json:"fields"`
 }
 
-// RequestHistory is what is known of one request.
+// RequestHistory contains the log lines that explain one request.
 type RequestHistory struct {
 	Request string `json:"request"`
-	// Lines are the decisions about the request, in the order of their time.
+	// Lines are the log lines of the request, ordered by time.
 	Lines []Line `json:"lines"`
-	// PriorState are the last lines before the request's first in which a process that decided about it changed what it
-	// believed: configuration, weights, dependencies, and the runners that the request met.
+	// PriorState is the state before the request, as the latest log lines up to the request's first one: configuration,
+	// weights, dependencies, evacuations, process starts and stops, and the runners of the request. Only processes
+	// that logged the request are included.
 	PriorState []Line `json:"beliefs"`
 }
 
-// Read reads log lines; what stands before a line's JSON is left out, and lines that hold none are passed over.
-func Read(from io.Reader) ([]Line, error) {
+// Read parses JSON log lines. Text before the JSON object of a line is ignored, and lines without one are skipped.
+func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
-	scanner := bufio.NewScanner(from)
-	scanner.Buffer(nil, maxLine)
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Bytes()); ok {
+		if line, ok := parseLine(scanner.Bytes()); ok {
 			lines = append(lines, line)
 		}
 	}
 	return lines, errors.Wrap(scanner.Err(), "read log")
 }
 
-func parse(text []byte) (Line, bool) {
+// parseLine parses one line. The second result is false if the line contains no JSON object with a message.
+func parseLine(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -68,16 +70,16 @@
 	return line, true
 }
 
-// HistoryOf picks the story of one request out of the lines.
+// HistoryOf returns the history of one request. It sorts lines by time in place.
 func HistoryOf(lines []Line, request string) RequestHistory {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	story := RequestHistory{Request: request}
+	history := RequestHistory{Request: request}
 	instances, runners := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
 		if line.Request != request {
 			continue
 		}
-		story.Lines = append(story.Lines, line)
+		history.Lines = append(history.Lines, line)
 		instances[line.Instance] = true
 		for _, field := range []string{"chosen", "runner"} {
 			if name, ok := line.Fields[field].(string); ok {
@@ -85,40 +87,41 @@
 			}
 		}
 	}
-	if len(story.Lines) > 0 {
-		story.PriorState = beliefs(lines, story.Lines[0].Time, instances, runners)
+	if len(history.Lines) > 0 {
+		history.PriorState = priorState(lines, history.Lines[0].Time, instances, runners)
 	}
-	return story
+	return history
 }
 
-// beliefs are the last changes of what the instances believed, one for each thing believed.
-func beliefs(lines []Line, before time.Time, instances, runners map[string]bool) []Line {
+// priorState returns the latest line per instance and state key, up to and including the given time.
+func priorState(lines []Line, before time.Time, instances, runners map[string]bool) []Line {
 	last := map[string]Line{}
 	var order []string
 	for _, line := range lines {
 		if line.Time.After(before) {
 			break
 		}
-		about := subject(line, runners)
-		if about == "" || !instances[line.Instance] {
+		state := stateKey(line, runners)
+		if state == "" || !instances[line.Instance] {
 			continue
 		}
-		key := line.Instance + " " + about
+		key := line.Instance + " " + state
 		if _, known := last[key]; known {
 			order = slices.DeleteFunc(order, func(other string) bool { return other == key })
 		}
 		last[key] = line
 		order = append(order, key)
 	}
-	told := make([]Line, 0, len(order))
+	changes := make([]Line, 0, len(order))
 	for _, key := range order {
-		told = append(told, last[key])
+		changes = append(changes, last[key])
 	}
-	return told
+	return changes
 }
 
-// subject names what a line says something about, or is empty where the line is no change of belief that matters.
-func subject(line Line, runners map[string]bool) string {
+// stateKey identifies the piece of state whose change a line logs. It is empty if the line logs no relevant change of
+// state.
+func stateKey(line Line, runners map[string]bool) string {
 	text := func(field string) string {
 		value, ok := line.Fields[field].(string)
 		if !ok {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const log = `noise before
+const sampleLog = `noise before
 {"time":"2026-01-01T00:00:05Z","level":"INFO","msg":"answered","instance":"e1","request":"a","status":200}
    1.0 e1 {"time":"2026-01-01T00:00:01Z","level":"INFO","msg":"configuration in force","instance":"e1","version":3}
 {"time":"2026-01-01T00:00:02Z","level":"INFO","msg":"configuration in force","instance":"e1","version":4}
@@ -21,19 +21,19 @@
 {broken
 `
 
-func TestTell(t *testing.T) {
-	lines, err := Read(strings.NewReader(log))
+func TestHistoryOf(t *testing.T) {
+	lines, err := Read(strings.NewReader(sampleLog))
 	require.NoError(t, err)
-	story := HistoryOf(lines, "a")
-	t.Run("the decisions stand in the order of their time", func(t *testing.T) {
-		require.Len(t, story.Lines, 2)
-		assert.Equal(t, "runner chosen", story.Lines[0].Message)
-		assert.Equal(t, "answered", story.Lines[1].Message)
+	history := HistoryOf(lines, "a")
+	t.Run("lines of the request are ordered by time", func(t *testing.T) {
+		require.Len(t, history.Lines, 2)
+		assert.Equal(t, "runner chosen", history.Lines[0].Message)
+		assert.Equal(t, "answered", history.Lines[1].Message)
 	})
-	t.Run("beliefs are the last ones before, of the instance that decided, and of the runners it met", func(t *testing.T) {
-		require.Len(t, story.PriorState, 2)
-		assert.InDelta(t, 4, story.PriorState[0].Fields["version"], 0)
-		assert.Equal(t, "r1", story.PriorState[1].Fields["runner"])
+	t.Run("prior state is the latest of the deciding instance and of the request's runners", func(t *testing.T) {
+		require.Len(t, history.PriorState, 2)
+		assert.InDelta(t, 4, history.PriorState[0].Fields["version"], 0)
+		assert.Equal(t, "r1", history.PriorState[1].Fields["runner"])
 	})
-	t.Run("a request that nobody logged has no story", func(t *testing.T) { assert.Empty(t, HistoryOf(lines, "c").Lines) })
+	t.Run("history of an unknown request is empty", func(t *testing.T) { assert.Empty(t, HistoryOf(lines, "c").Lines) })
 }
--- a/explain/load.go
+++ b/explain/load.go
@@ -5,51 +5,55 @@
 	"time"
 )
 
-// SecondStats is what entries did with the prompts of one second, as their log lines say.
+// SecondStats summarizes what the logs of the entries say about the prompts of one second.
 type SecondStats struct {
-	// Start is when the second began.
+	// Start is the beginning of the second.
 	Start time.Time `json:"at"`
-	// Sent prompts went to engines, which were to read Missing tokens for them, Again of these known to have been read before, and
-	// to fetch Fetched.
+	// Sent is the number of prompts sent to engines with tokens to compute or to fetch. UncachedTokens is the
+	// number of their tokens that the engines had to compute, RecomputedTokens the number of those known to have been
+	// computed before, and FetchedTokens the number of tokens to fetch from other caches.
 	Sent             int `json:"sent"`
 	UncachedTokens   int `json:"missing"`
 	RecomputedTokens int `json:"again"`
 	FetchedTokens    int `json:"fetched"`
-	// MedianHold is how long half of the prompts had waited at the entry, Expected the time to the first token that half were sent with, and
-	// Waited what that time was.
+	// MedianHold is the median time that the prompts waited at the entry before they were sent. MedianExpectedTTFT is
+	// the median of the estimated time to the first token, and MedianTTFT the median of the actual time.
 	MedianHold         time.Duration `json:"held"`
 	MedianExpectedTTFT time.Duration `json:"expected"`
 	MedianTTFT         time.Duration `json:"waited"`
-	// Failed attempts, requests that Left with their callers, and Refused ones ended in this second.
+	// Failed is the number of attempts that failed in this second, Abandoned the number of requests whose caller
+	// disconnected, and Rejected the number of other requests that were given up.
 	Failed    int `json:"failed"`
 	Abandoned int `json:"left"`
 	Rejected  int `json:"refused"`
 
-	held, expected, waited []time.Duration
+	holds, expectedTTFTs, ttfts []time.Duration
 }
 
-// StatsBySecond counts by second what became of prompts, so that the moment shows at which waits or refusals begin, and what was read then.
+// StatsBySecond returns statistics of each second with activity. They show when long waits or rejections began, and
+// how many tokens the engines had to compute at that time. The time to the first token counts in the second in which
+// the prompt was sent.
 func StatsBySecond(lines []Line) []SecondStats {
 	bySecond := map[int64]*SecondStats{}
 	sentAt := map[string]time.Time{}
 	for i := range lines {
 		line := &lines[i]
-		s := secondOf(bySecond, line.Time)
+		s := statsFor(bySecond, line.Time)
 		switch line.Message {
 		case "runner chosen":
-			if line.number("missing")+line.number("fetched") > 0 {
-				s.send(line)
+			if line.intField("missing")+line.intField("fetched") > 0 {
+				s.addSent(line)
 				sentAt[line.Request] = line.Time
 			}
 		case "answered":
 			if at, ok := sentAt[line.Request]; ok {
-				first := secondOf(bySecond, at)
-				first.waited = append(first.waited, line.duration("waited"))
+				sendSecond := statsFor(bySecond, at)
+				sendSecond.ttfts = append(sendSecond.ttfts, line.durationField("waited"))
 			}
 		case "attempt failed", "runner refused":
 			s.Failed++
 		case "request given up":
-			s.end(line)
+			s.addEnded(line)
 		}
 	}
 	seconds := make([]SecondStats, 0, len(bySecond))
@@ -57,32 +61,32 @@
 		if s.Sent+s.Failed+s.Abandoned+s.Rejected == 0 {
 			continue
 		}
-		s.MedianHold, s.MedianExpectedTTFT, s.MedianTTFT = median(s.held), median(s.expected), median(s.waited)
+		s.MedianHold, s.MedianExpectedTTFT, s.MedianTTFT = median(s.holds), median(s.expectedTTFTs), median(s.ttfts)
 		seconds = append(seconds, *s)
 	}
 	slices.SortFunc(seconds, func(a, b SecondStats) int { return a.Start.Compare(b.Start) })
 	return seconds
 }
 
-func secondOf(all map[int64]*SecondStats, at time.Time) *SecondStats {
+func statsFor(bySecond map[int64]*SecondStats, at time.Time) *SecondStats {
 	key := at.Unix()
-	if all[key] == nil {
-		all[key] = &SecondStats{Start: time.Unix(key, 0).UTC()}
+	if bySecond[key] == nil {
+		bySecond[key] = &SecondStats{Start: time.Unix(key, 0).UTC()}
 	}
-	return all[key]
+	return bySecond[key]
 }
 
-func (s *SecondStats) send(line *Line) {
+func (s *SecondStats) addSent(line *Line) {
 	s.Sent++
-	s.UncachedTokens += line.number("missing")
-	s.RecomputedTokens += line.number("again")
-	s.FetchedTokens += line.number("fetched")
-	s.held = append(s.held, line.duration("held"))
-	s.expected = append(s.expected, line.duration("estimate"))
+	s.UncachedTokens += line.intField("missing")
+	s.RecomputedTokens += line.intField("again")
+	s.FetchedTokens += line.intField("fetched")
+	s.holds = append(s.holds, line.durationField("held"))
+	s.expectedTTFTs = append(s.expectedTTFTs, line.durationField("estimate"))
 }
 
-// end counts a request without an answer: its caller left, or it was refused.
-func (s *SecondStats) end(line *Line) {
+// addEnded counts a request that was given up: its caller disconnected, or it was rejected.
+func (s *SecondStats) addEnded(line *Line) {
 	if line.Fields["decision"] == "caller-left" {
 		s.Abandoned++
 		return
@@ -90,8 +94,8 @@
 	s.Rejected++
 }
 
-// number is a field's whole number, nought where it holds none.
-func (l *Line) number(field string) int {
+// intField returns a field as an integer, or 0 if it isn't a number.
+func (l *Line) intField(field string) int {
 	n, ok := l.Fields[field].(float64)
 	if !ok {
 		return 0
@@ -99,8 +103,8 @@
 	return int(n)
 }
 
-// duration is a field's time, nought where it holds none.
-func (l *Line) duration(field string) time.Duration {
+// durationField returns a field as a duration, or 0 if it isn't one.
+func (l *Line) durationField(field string) time.Duration {
 	text, ok := l.Fields[field].(string)
 	if !ok {
 		return 0
@@ -112,10 +116,10 @@
 	return d
 }
 
-func median(times []time.Duration) time.Duration {
-	if len(times) == 0 {
+func median(durations []time.Duration) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(times)
-	return times[len(times)/2]
+	slices.Sort(durations)
+	return durations[len(durations)/2]
 }
--- a/explain/load_test.go
+++ b/explain/load_test.go
@@ -18,21 +18,21 @@
 {"time":"2026-01-01T00:00:03.8Z","msg":"request given up","request":"c","decision":"backlog"}
 `
 
-func TestLoad(t *testing.T) {
+func TestStatsBySecond(t *testing.T) {
 	lines, err := Read(strings.NewReader(loadLog))
 	require.NoError(t, err)
 	seconds := StatsBySecond(lines)
 	require.Len(t, seconds, 2)
-	t.Run("prompts count in the second of their send", func(t *testing.T) {
+	t.Run("prompts count in the second in which they are sent", func(t *testing.T) {
 		s := seconds[0]
 		assert.Equal(t, []int{2, 300, 40, 10}, []int{s.Sent, s.UncachedTokens, s.RecomputedTokens, s.FetchedTokens})
 		assert.Equal(t, 300*time.Millisecond, s.MedianHold)
 		assert.Equal(t, 200*time.Millisecond, s.MedianExpectedTTFT)
 	})
-	t.Run("the wait for the first token stands beside what was expected of it", func(t *testing.T) {
+	t.Run("actual time to first token counts in the second of the send", func(t *testing.T) {
 		assert.Equal(t, 1500*time.Millisecond, seconds[0].MedianTTFT)
 	})
-	t.Run("ends count when they come", func(t *testing.T) {
+	t.Run("failed and given-up requests count when they end", func(t *testing.T) {
 		assert.Equal(t, []int{1, 1, 1}, []int{seconds[1].Failed, seconds[1].Abandoned, seconds[1].Rejected})
 	})
 }
