--- a/logsink/drain_test.go
+++ b/logsink/drain_test.go
@@ -10,24 +10,24 @@
 )
 
 func TestDrain(t *testing.T) {
-	t.Run("a log that nobody reads holds nobody up", func(*testing.T) {
-		out := &gate{open: make(chan struct{}), reached: make(chan struct{})}
-		defer close(out.open)
+	t.Run("returns after the timeout if the writer blocks", func(*testing.T) {
+		out := &blockedWriter{unblock: make(chan struct{}), blocked: make(chan struct{})}
+		defer close(out.unblock)
 		s := New(out)
 		s.Logger(slog.LevelInfo).Info("first")
 		go s.Run(context.Background())
-		<-out.reached
+		<-out.blocked
 		s.Logger(slog.LevelInfo).Info("second")
 		s.Drain(time.Millisecond)
 	})
-	t.Run("what is being written is waited for, and comes first", func(t *testing.T) {
-		out := &gate{open: make(chan struct{}), reached: make(chan struct{})}
+	t.Run("waits for the write in progress and keeps the order", func(t *testing.T) {
+		out := &blockedWriter{unblock: make(chan struct{}), blocked: make(chan struct{})}
 		s := New(out)
 		s.Logger(slog.LevelInfo).Info("first")
 		go s.Run(context.Background())
-		<-out.reached
+		<-out.blocked
 		s.Logger(slog.LevelInfo).Info("second")
-		time.AfterFunc(time.Millisecond, func() { close(out.open) })
+		time.AfterFunc(time.Millisecond, func() { close(out.unblock) })
 		s.Drain(time.Minute)
 		assert.Regexp(t, "(?s)first.*second", out.String())
 	})
--- a/logsink/sink.go
+++ b/logsink/sink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines beside the work that makes them: it never blocks a caller, holds a bounded number of
-// bytes, and gives up ordinary lines before those of failures.
+// Package logsink writes log lines asynchronously. Logging never blocks the caller. Memory is bounded: when the buffer
+// fills up, lines are dropped, and error lines are dropped last.
 package logsink
 
 import (
@@ -15,49 +15,50 @@
 )
 
 const (
-	// maxHeld bounds the bytes that wait to be written.
-	maxHeld = 512 << 10
-	// ordinaryShare is the part of them that ordinary lines may take.
-	ordinaryShare = maxHeld / 2
-	// levelWithin is how far into a line its level stands at the latest, in bytes.
-	levelWithin = 96
+	// maxBufferedBytes is the maximum size of the lines waiting to be written.
+	maxBufferedBytes = 512 << 10
+	// maxOrdinaryBytes is the buffer size from which lines below error level are dropped.
+	maxOrdinaryBytes = maxBufferedBytes / 2
+	// maxLevelOffset is the number of bytes at the start of a line that contain its level.
+	maxLevelOffset = 96
 )
 
-var failureMark = []byte(`"level":"ERROR"`)
+// errorLevel is the text that identifies an error line in the JSON output of slog.
+var errorLevel = []byte(`"level":"ERROR"`)
 
-// Sink takes lines and writes them in order; New makes one.
+// Sink buffers log lines and writes them in order. Use New to create one.
 type Sink struct {
 	out io.Writer
-	// writing keeps lines in order where two flush at once.
-	writing sync.Mutex
+	// flushMu serializes flushes, so that concurrent flushes keep lines in order.
+	flushMu sync.Mutex
 
-	mu      sync.Mutex
-	held    []byte
-	dropped int
-	wake    chan struct{}
+	mu       sync.Mutex
+	buffered []byte
+	dropped  int
+	wake     chan struct{}
 }
 
-// New returns a sink that writes to out once Run is called.
+// New returns a sink that writes to out. Lines stay in the buffer until Run, or Drain, is called.
 func New(out io.Writer) *Sink {
 	return &Sink{out: out, wake: make(chan struct{}, 1)}
 }
 
-// Logger makes a logger of JSON lines that the sink takes.
+// Logger returns a logger that writes JSON lines to the sink.
 func (s *Sink) Logger(level slog.Level) logr.Logger {
 	return logr.FromSlogHandler(slog.NewJSONHandler(s, &slog.HandlerOptions{Level: level}))
 }
 
-// Write takes one line; it is dropped and counted where too many wait.
+// Write buffers one line. If the buffer is full, the line is dropped and counted. It never returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
-	limit := ordinaryShare
-	if bytes.Contains(line[:min(len(line), levelWithin)], failureMark) {
-		limit = maxHeld
+	limit := maxOrdinaryBytes
+	if bytes.Contains(line[:min(len(line), maxLevelOffset)], errorLevel) {
+		limit = maxBufferedBytes
 	}
 	s.mu.Lock()
-	if len(s.held)+len(line) > limit {
+	if len(s.buffered)+len(line) > limit {
 		s.dropped++
 	} else {
-		s.held = append(s.held, line...)
+		s.buffered = append(s.buffered, line...)
 	}
 	s.mu.Unlock()
 	select {
@@ -67,7 +68,7 @@
 	return len(line), nil
 }
 
-// Run writes lines until the context ends, and then what is left, however long that takes.
+// Run writes lines until ctx is done, then writes the remaining lines without a time limit.
 func (s *Sink) Run(ctx context.Context) {
 	for {
 		select {
@@ -80,8 +81,8 @@
 	}
 }
 
-// Drain writes what is left, also what Run is just writing, at the longest for the given time.
-func (s *Sink) Drain(wait time.Duration) {
+// Drain writes the remaining lines and waits for a write that Run has in progress, for at most the given time.
+func (s *Sink) Drain(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -89,21 +90,21 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(wait):
+	case <-time.After(timeout):
 	}
 }
 
 func (s *Sink) flush() {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.flushMu.Lock()
+	defer s.flushMu.Unlock()
 	s.mu.Lock()
-	held, dropped := s.held, s.dropped
-	s.held, s.dropped = nil, 0
+	lines, dropped := s.buffered, s.dropped
+	s.buffered, s.dropped = nil, 0
 	s.mu.Unlock()
 	if dropped > 0 {
-		held = fmt.Appendf(held, `{"level":"WARN","msg":"log lines dropped","count":%d}`+"\n", dropped)
+		lines = fmt.Appendf(lines, `{"level":"WARN","msg":"log lines dropped","count":%d}`+"\n", dropped)
 	}
-	if len(held) > 0 {
-		_, _ = s.out.Write(held) // there is nowhere left to report that the log itself cannot be written
+	if len(lines) > 0 {
+		_, _ = s.out.Write(lines) // a failure to write the log can't be reported anywhere
 	}
 }
