--- a/settings/checks.go
+++ b/settings/checks.go
@@ -9,63 +9,65 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Validator collects what is wrong with the settings, so that all of it can be said at once.
+// Validator collects the problems of all settings, so that they are reported together.
 type Validator struct {
-	list []string
+	problems []string
 }
 
-// Addf adds a fault of one setting.
-func (f *Validator) Addf(setting, format string, args ...any) {
-	f.list = append(f.list, "--"+setting+": "+fmt.Sprintf(format, args...))
+// Addf adds a problem with one setting.
+func (v *Validator) Addf(setting, format string, args ...any) {
+	v.problems = append(v.problems, "--"+setting+": "+fmt.Sprintf(format, args...))
 }
 
-// Err returns all faults as one error, or nil.
-func (f *Validator) Err() error {
-	if len(f.list) == 0 {
+// Err returns an error that lists all problems, or nil if there are none.
+func (v *Validator) Err() error {
+	if len(v.problems) == 0 {
 		return nil
 	}
-	return errors.Newf("settings have %d faults:\n  %s", len(f.list), strings.Join(f.list, "\n  "))
+	return errors.Newf("%d invalid settings:\n  %s", len(v.problems), strings.Join(v.problems, "\n  "))
 }
 
-// ParseAddrPort reads an address with a port.
-func (f *Validator) ParseAddrPort(setting, text string) netip.AddrPort {
-	address, err := netip.ParseAddrPort(text)
+// ParseAddrPort parses an IP address with a port. If the value is invalid, it adds a problem and returns the zero
+// AddrPort.
+func (v *Validator) ParseAddrPort(setting, value string) netip.AddrPort {
+	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		f.Addf(setting, "%q is not an IP address with a port", text)
+		v.Addf(setting, "%q is not an IP address with a port", value)
 	}
 	return address
 }
 
-// ParseURL reads an HTTP address.
-func (f *Validator) ParseURL(setting, text string) string {
-	u, err := url.Parse(text)
+// ParseURL checks an HTTP or HTTPS URL and removes a trailing slash. If the value is invalid, it adds a problem and
+// returns an empty string.
+func (v *Validator) ParseURL(setting, value string) string {
+	u, err := url.Parse(value)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		f.Addf(setting, "%q is not an address such as http://127.0.0.1:8000", text)
+		v.Addf(setting, "%q is not a URL such as http://127.0.0.1:8000", value)
 		return ""
 	}
-	return strings.TrimSuffix(text, "/")
+	return strings.TrimSuffix(value, "/")
 }
 
-// Required refuses an empty setting.
-func (f *Validator) Required(setting, text string) {
-	if text == "" {
-		f.Addf(setting, "is not set")
+// Required adds a problem if the value is empty.
+func (v *Validator) Required(setting, value string) {
+	if value == "" {
+		v.Addf(setting, "is not set")
 	}
 }
 
-// OneOf refuses a value that is not on the list.
-func (f *Validator) OneOf(setting, text string, values ...string) {
-	for _, value := range values {
-		if text == value {
+// OneOf adds a problem if the value is none of the allowed ones.
+func (v *Validator) OneOf(setting, value string, allowed ...string) {
+	for _, candidate := range allowed {
+		if value == candidate {
 			return
 		}
 	}
-	f.Addf(setting, "%q is not one of %s", text, strings.Join(values, ", "))
+	v.Addf(setting, "%q is not one of %s", value, strings.Join(allowed, ", "))
 }
 
-// AtLeast refuses a number that is too small.
-func (f *Validator) AtLeast(setting string, value, least int64) {
-	if value < least {
-		f.Addf(setting, "%d is less than %d", value, least)
+// AtLeast adds a problem if the value is less than the minimum.
+func (v *Validator) AtLeast(setting string, value, minimum int64) {
+	if value < minimum {
+		v.Addf(setting, "%d is less than the minimum of %d", value, minimum)
 	}
 }
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings holds the settings that come from flags and environment variables, and checks them together before
-// anything starts.
+// Package settings validates settings from flags and environment variables. All problems are collected and reported
+// together before the process starts.
 package settings
--- a/settings/environment.go
+++ b/settings/environment.go
@@ -7,10 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// EnvPrefix begins the names of the environment variables that are settings.
+// EnvPrefix is the common prefix of all environment variables that are settings.
 const EnvPrefix = "RILLREACH_"
 
-// RejectUnknownVariables refuses variables that look like settings and are not.
+// RejectUnknownVariables returns an error if the environment contains variables that start with EnvPrefix and aren't
+// known.
 func RejectUnknownVariables(environment []string, known map[string]bool) error {
 	var unknown []string
 	for _, variable := range environment {
