--- a/edit/diff.go
+++ b/edit/diff.go
@@ -7,14 +7,15 @@
 	"github.com/rillreach/rillreach"
 )
 
-// DescribeChanges says in words how a row differs from the one that is there.
-func DescribeChanges(there, row rillreach.Row, exists bool) []string {
+// DescribeChanges describes each field in which the proposed row differs from the current one. If the row does not
+// exist yet, it returns a single entry for the new row. Of credentials it shows only the count.
+func DescribeChanges(current, proposed rillreach.Row, exists bool) []string {
 	if !exists {
 		return []string{"new row"}
 	}
-	there.Edit, row.Edit = "", ""
+	current.Edit, proposed.Edit = "", ""
 	var changes []string
-	a, b := reflect.ValueOf(there), reflect.ValueOf(row)
+	a, b := reflect.ValueOf(current), reflect.ValueOf(proposed)
 	for i := range a.NumField() {
 		before, after := a.Field(i).Interface(), b.Field(i).Interface()
 		if reflect.DeepEqual(before, after) || (a.Field(i).Kind() == reflect.Slice && a.Field(i).Len()+b.Field(i).Len() == 0) {
--- a/edit/edit.go
+++ b/edit/edit.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	readBackTries = 5
-	readBackPause = 300 * time.Millisecond
+	maxReadBacks         = 5
+	defaultRetryInterval = 300 * time.Millisecond
 )
 
-// Editor writes rows.
+// Editor reads and writes rows.
 type Editor struct {
 	// Store is the platform's object API.
 	Store rillreach.ObjectStore
-	// RetryInterval is the time between two tries to read an edit back; zero means a default.
+	// RetryInterval is the time between attempts to read back a write whose result is unknown. Zero means 300ms.
 	RetryInterval time.Duration
 }
 
-// ConflictError says that another edit came first; nothing was written.
+// ConflictError means that nothing was written, because the row was changed since it was read.
 type ConflictError struct {
-	// Proposed is the row that was to be written, Theirs the one that is there; nil says that there is none.
+	// Proposed is the row that was not written, and Current the stored row. Current is nil if there is none or if it
+	// can't be read, except that it points to an empty row if the row was missing after an uncertain write.
 	Proposed *rillreach.Row
 	Current  *rillreach.Row
 }
 
-// Error names the row.
+// Error returns a message that names the row.
 func (e *ConflictError) Error() string {
 	name := "row"
 	if e.Proposed != nil {
@@ -42,10 +43,10 @@
 	return fmt.Sprintf("%s was changed by another edit; nothing was written", name)
 }
 
-// Unwrap makes the error a conflict of the platform's.
+// Unwrap makes errors.Is match rillreach.ErrConflict.
 func (e *ConflictError) Unwrap() error { return rillreach.ErrConflict }
 
-// Read returns a row and its version; a row that does not exist has version zero.
+// Read returns a row and its version. The version of a row that does not exist is zero.
 func (e *Editor) Read(ctx context.Context, name string) (rillreach.Row, uint64, error) {
 	object, err := e.Store.Get(ctx, rillreach.KindRow, name)
 	if errors.Is(err, rillreach.ErrNotFound) {
@@ -58,8 +59,9 @@
 	return row, object.Version, err
 }
 
-// Write writes a row in the place of the version that the operator has seen, and returns the new version.
-func (e *Editor) Write(ctx context.Context, row rillreach.Row, seen uint64) (uint64, error) {
+// Write replaces the expected version of a row and returns the new version. If the stored version is another one, it
+// returns a ConflictError.
+func (e *Editor) Write(ctx context.Context, row rillreach.Row, expected uint64) (uint64, error) {
 	if err := row.Check(); err != nil {
 		return 0, err
 	}
@@ -68,56 +70,58 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "encode row")
 	}
-	object, err := e.Store.Put(ctx, rillreach.KindRow, row.Name(), seen, value)
+	object, err := e.Store.Put(ctx, rillreach.KindRow, row.Name(), expected, value)
 	if err == nil {
 		return object.Version, nil
 	}
 	if errors.Is(err, rillreach.ErrWriteUncertain) {
-		return e.settle(ctx, row, seen)
+		return e.resolveUncertainWrite(ctx, row, expected)
 	}
 	if errors.Is(err, rillreach.ErrConflict) {
-		return 0, e.conflict(ctx, row)
+		return 0, e.newConflict(ctx, row)
 	}
 	return 0, err
 }
 
-// settle finds out whether an edit whose answer was lost has taken effect.
-func (e *Editor) settle(ctx context.Context, row rillreach.Row, seen uint64) (uint64, error) {
+// resolveUncertainWrite reads the row back to find out whether a write whose response was lost was applied.
+func (e *Editor) resolveUncertainWrite(ctx context.Context, row rillreach.Row, expected uint64) (uint64, error) {
 	var err error
-	for range readBackTries {
-		var there rillreach.Row
+	for range maxReadBacks {
+		var current rillreach.Row
 		var version uint64
-		there, version, err = e.Read(ctx, row.Name())
+		current, version, err = e.Read(ctx, row.Name())
 		if err == nil {
-			return e.judge(row, there, version, seen)
+			return e.checkOutcome(row, current, version, expected)
 		}
-		e.pause(ctx)
+		e.waitBeforeRetry(ctx)
 	}
-	return 0, errors.Mark(errors.Wrap(err, "edit may or may not have taken effect"), rillreach.ErrWriteUncertain)
+	return 0, errors.Mark(errors.Wrap(err, "edit may or may not have been applied"), rillreach.ErrWriteUncertain)
 }
 
-func (e *Editor) judge(row, there rillreach.Row, version, seen uint64) (uint64, error) {
-	if version > 0 && there.Edit == row.Edit {
+// checkOutcome determines from the stored row whether the write of row was applied.
+func (e *Editor) checkOutcome(row, current rillreach.Row, version, expected uint64) (uint64, error) {
+	if version > 0 && current.Edit == row.Edit {
 		return version, nil
 	}
-	if version == seen {
-		return 0, errors.Newf("edit of %s did not take effect; try again", row.Name())
+	if version == expected {
+		return 0, errors.Newf("edit of %s was not applied; try again", row.Name())
 	}
-	return 0, &ConflictError{Proposed: &row, Current: &there}
+	return 0, &ConflictError{Proposed: &row, Current: &current}
 }
 
-func (e *Editor) conflict(ctx context.Context, row rillreach.Row) error {
+// newConflict returns the error for a row that was changed by another edit.
+func (e *Editor) newConflict(ctx context.Context, row rillreach.Row) error {
 	conflict := &ConflictError{Proposed: &row}
-	if there, version, err := e.Read(ctx, row.Name()); err == nil && version > 0 {
-		conflict.Current = &there
+	if current, version, err := e.Read(ctx, row.Name()); err == nil && version > 0 {
+		conflict.Current = &current
 	}
 	return conflict
 }
 
-func (e *Editor) pause(ctx context.Context) {
-	wait := e.RetryInterval
-	if wait == 0 {
-		wait = readBackPause
+func (e *Editor) waitBeforeRetry(ctx context.Context) {
+	interval := e.RetryInterval
+	if interval == 0 {
+		interval = defaultRetryInterval
 	}
-	pause.For(ctx, wait)
+	pause.For(ctx, interval)
 }
