--- a/certs/doc.go
+++ b/certs/doc.go
@@ -1,3 +1,4 @@
-// Package certs makes and loads the certificates by which the system's processes know each other. A certificate's
-// organizational unit is the role it was made for; the fleet's own authority is all that vouches for it.
+// Package certs creates and loads the certificates with which the processes authenticate each other. Only certificates
+// signed by the fleet's own certificate authority are trusted. The organizational unit of a certificate is the role of
+// the process.
 package certs
--- a/certs/make.go
+++ b/certs/make.go
@@ -16,20 +16,22 @@
 )
 
 const (
-	blockCertificate = "CERTIFICATE"
-	blockKey         = "EC PRIVATE KEY"
-	authorityName    = "rillreach fleet"
-	clockSlack       = time.Hour
-	serialBits       = 120
+	pemTypeCertificate = "CERTIFICATE"
+	pemTypeKey         = "EC PRIVATE KEY"
+	authorityName      = "rillreach fleet"
+	// maxClockSkew is subtracted from the start of validity, because clocks of other processes may be behind.
+	maxClockSkew = time.Hour
+	// serialBits is the length of random serial numbers.
+	serialBits = 120
 )
 
-// KeyPair is a certificate and its key, as PEM.
+// KeyPair is a PEM-encoded certificate and its private key.
 type KeyPair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// Authority signs the certificates of one fleet.
+// Authority is the certificate authority of one fleet.
 type Authority struct {
 	KeyPair
 
@@ -37,7 +39,7 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that lasts for some time.
+// NewAuthority creates an authority with a self-signed certificate that is valid for the given time.
 func NewAuthority(lifetime time.Duration) (*Authority, error) {
 	template, err := newTemplate(pkix.Name{CommonName: authorityName}, lifetime)
 	if err != nil {
@@ -48,7 +50,7 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make key of authority")
+		return nil, errors.Wrap(err, "generate key of certificate authority")
 	}
 	pair, err := sign(template, template, key, key)
 	if err != nil {
@@ -57,7 +59,7 @@
 	return &Authority{KeyPair: pair, certificate: template, key: key}, nil
 }
 
-// Issue makes a certificate for a role.
+// Issue creates a key and a certificate for a role.
 func (a *Authority) Issue(role rillreach.Role, lifetime time.Duration) (KeyPair, error) {
 	name := pkix.Name{CommonName: string(role), OrganizationalUnit: []string{string(role)}}
 	template, err := newTemplate(name, lifetime)
@@ -68,7 +70,7 @@
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return KeyPair{}, errors.Wrap(err, "make key")
+		return KeyPair{}, errors.Wrap(err, "generate key")
 	}
 	return sign(template, a.certificate, key, a.key)
 }
@@ -76,11 +78,11 @@
 func newTemplate(name pkix.Name, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "make serial number")
+		return nil, errors.Wrap(err, "generate serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
-		SerialNumber: serial, Subject: name, NotBefore: now.Add(-clockSlack), NotAfter: now.Add(lifetime),
+		SerialNumber: serial, Subject: name, NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(lifetime),
 	}, nil
 }
 
@@ -94,7 +96,7 @@
 		return KeyPair{}, errors.Wrap(err, "encode key")
 	}
 	return KeyPair{
-		Certificate: pem.EncodeToMemory(&pem.Block{Type: blockCertificate, Bytes: certificate}),
-		Key:         pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: encoded}),
+		Certificate: pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: certificate}),
+		Key:         pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: encoded}),
 	}, nil
 }
--- a/certs/source.go
+++ b/certs/source.go
@@ -11,28 +11,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// checkEvery is the least time between two looks at whether the files have changed.
-const checkEvery = time.Second
+// checkInterval is the minimum time between two checks whether the files have changed.
+const checkInterval = time.Second
 
-// Source is where a process's certificate comes from: each field is PEM, or the path of a PEM file that is read again
-// when it has changed.
+// Source provides the certificate of a process. Each exported field is PEM text or the path of a PEM file, which is
+// reloaded when its modification time changes.
 type Source struct {
 	Certificate string
 	Key         string
 	Authority   string
 
-	mu      sync.Mutex
-	checked time.Time
-	stamp   [3]time.Time
-	loaded  *loaded
+	mu          sync.Mutex
+	lastCheck   time.Time
+	modTimes    [3]time.Time
+	credentials *credentials
 }
 
-type loaded struct {
+// credentials is the loaded certificate with its key, and the pool with the fleet's authority.
+type credentials struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// TLSConfig makes the configuration with which both sides of a connection prove that they belong to the fleet.
+// TLSConfig returns a configuration for mutual TLS between the processes of a fleet, for clients and servers.
 func (s *Source) TLSConfig() (*tls.Config, error) {
 	if _, err := s.current(); err != nil {
 		return nil, err
@@ -40,7 +41,8 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert,
-		// A peer is known by the fleet's authority and by its role, not by the name of a host; verify does both.
+		// Peers are identified by the fleet's authority and their role, not by host name, so the standard verification
+		// can't be used. The verify method checks the authority.
 		InsecureSkipVerify:   true, //nolint:gosec // see above
 		VerifyConnection:     s.verify,
 		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.certificate() },
@@ -49,16 +51,16 @@
 }
 
 func (s *Source) certificate() (*tls.Certificate, error) {
-	l, err := s.current()
+	c, err := s.current()
 	if err != nil {
 		return nil, err
 	}
-	return &l.certificate, nil
+	return &c.certificate, nil
 }
 
-// verify checks the other side's certificate against the fleet's authority as it is now.
+// verify checks the peer's certificate against the current certificate of the fleet's authority.
 func (s *Source) verify(state tls.ConnectionState) error {
-	l, err := s.current()
+	c, err := s.current()
 	if err != nil {
 		return err
 	}
@@ -66,46 +68,47 @@
 		return errors.New("peer has no certificate")
 	}
 	_, err = state.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots: l.authority, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
+		Roots: c.authority, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return errors.Wrap(err, "verify peer's certificate")
+	return errors.Wrap(err, "verify certificate of peer")
 }
 
-// current returns what is loaded, and loads it again if a file has changed; files that cannot be read or do not fit
-// together leave in force what was loaded before.
-func (s *Source) current() (*loaded, error) {
+// current returns the loaded credentials, and reloads them if a file has changed. If reloading fails, for example
+// because a file can't be read or the key doesn't match the certificate, the previous credentials stay in use.
+func (s *Source) current() (*credentials, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.loaded != nil && now.Sub(s.checked) < checkEvery {
-		return s.loaded, nil
+	if s.credentials != nil && now.Sub(s.lastCheck) < checkInterval {
+		return s.credentials, nil
 	}
-	s.checked = now
-	stamp := s.stamps()
-	if s.loaded != nil && stamp == s.stamp {
-		return s.loaded, nil
+	s.lastCheck = now
+	modTimes := s.readModTimes()
+	if s.credentials != nil && modTimes == s.modTimes {
+		return s.credentials, nil
 	}
 	fresh, err := s.load()
-	if err != nil && s.loaded == nil {
+	if err != nil && s.credentials == nil {
 		return nil, err
 	}
 	if err == nil {
-		s.loaded, s.stamp = fresh, stamp
+		s.credentials, s.modTimes = fresh, modTimes
 	}
-	return s.loaded, nil
+	return s.credentials, nil
 }
 
-func (s *Source) stamps() [3]time.Time {
-	var stamps [3]time.Time
+// readModTimes returns the modification times of the files. Entries for PEM text and unreadable files stay zero.
+func (s *Source) readModTimes() [3]time.Time {
+	var modTimes [3]time.Time
 	for i, field := range []string{s.Certificate, s.Key, s.Authority} {
 		if info, err := os.Stat(field); err == nil && !isPEM(field) {
-			stamps[i] = info.ModTime()
+			modTimes[i] = info.ModTime()
 		}
 	}
-	return stamps
+	return modTimes
 }
 
-func (s *Source) load() (*loaded, error) {
+func (s *Source) load() (*credentials, error) {
 	var parts [3][]byte
 	for i, field := range []string{s.Certificate, s.Key, s.Authority} {
 		data, err := readPEM(field)
@@ -120,9 +123,9 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(parts[2]) {
-		return nil, errors.New("load authority: no certificate in it")
+		return nil, errors.New("load certificate authority: no valid PEM certificate found")
 	}
-	return &loaded{certificate: certificate, authority: pool}, nil
+	return &credentials{certificate: certificate, authority: pool}, nil
 }
 
 func isPEM(field string) bool { return strings.Contains(field, "-----BEGIN") }
