--- a/internal/broadcast/broadcast.go
+++ b/internal/broadcast/broadcast.go
@@ -1,30 +1,30 @@
-// Package broadcast wakes all who wait for an event.
+// Package broadcast notifies all goroutines that wait for an event.
 package broadcast
 
 import "sync"
 
-// Signal wakes everyone who waits for it; its zero value is ready.
+// Signal wakes all goroutines that wait for it. The zero value is ready to use.
 type Signal struct {
-	mu   sync.Mutex
-	next chan struct{}
+	mu sync.Mutex
+	ch chan struct{}
 }
 
-// Wait gives a channel that the next wake closes.
+// Wait returns a channel that the next call of Wake closes.
 func (s *Signal) Wait() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next == nil {
-		s.next = make(chan struct{})
+	if s.ch == nil {
+		s.ch = make(chan struct{})
 	}
-	return s.next
+	return s.ch
 }
 
-// Wake ends all waits that have begun.
+// Wake closes the channel that earlier calls of Wait returned.
 func (s *Signal) Wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next != nil {
-		close(s.next)
-		s.next = nil
+	if s.ch != nil {
+		close(s.ch)
+		s.ch = nil
 	}
 }
--- a/internal/hash/hash.go
+++ b/internal/hash/hash.go
@@ -1,4 +1,4 @@
-// Package hash does the keyed and unkeyed hashing that identities and placements are made of.
+// Package hash provides the keyed and unkeyed hash functions for identifiers and for placement.
 package hash
 
 import (
@@ -13,17 +13,18 @@
 // Size is the length of a keyed hash in bytes.
 const Size = 32
 
-// Key is a secret for keyed hashes.
+// Key is the secret key of a keyed hash.
 type Key [Size]byte
 
-// Derive makes the key for one purpose from a secret of any length.
+// Derive derives the key for one purpose from a secret of any length.
 func Derive(purpose string, secret []byte) Key {
 	var key Key
 	blake3.DeriveKey("rillreach 2026 "+purpose, secret, key[:])
 	return key
 }
 
-// Keyed hashes parts in such a way that no two different lists of parts hash alike.
+// Keyed returns the keyed hash of a list of parts. Part boundaries are included, so that different lists with the same
+// concatenation have different hashes.
 func Keyed(key Key, parts ...[]byte) [Size]byte {
 	h, err := blake3.NewKeyed(key[:])
 	if err != nil {
@@ -35,8 +36,8 @@
 	return sum
 }
 
-// Digest hashes parts without a key, in such a way that nobody finds two different lists of parts that hash alike. It takes a seventh of the
-// time of a keyed hash for 2 KB (2.5 us and 17.6 us, beside other work), which allocates 11 KB.
+// Digest returns a collision-resistant hash of a list of parts without a key. Part boundaries are included as in Keyed.
+// For 2 KB of input it takes a seventh of the time of Keyed, which also allocates 11 KB.
 func Digest(parts ...[]byte) [sha256.Size]byte {
 	h := sha256.New()
 	writeParts(h, parts)
@@ -45,7 +46,7 @@
 	return sum
 }
 
-// writeParts writes each part after its length.
+// writeParts writes each part, preceded by its length.
 func writeParts(h io.Writer, parts [][]byte) {
 	var length [8]byte
 	for _, part := range parts {
@@ -55,12 +56,12 @@
 	}
 }
 
-// String hashes a string for placement, where nobody gains by a collision.
+// String hashes a string for placement. It is not collision-resistant, which placement doesn't need.
 func String(s string) uint64 {
 	return xxhash.Sum64String(s)
 }
 
-// Mix joins two placement hashes into one that is spread evenly.
+// Mix combines two placement hashes into one that is evenly distributed.
 func Mix(a, b uint64) uint64 {
 	x := a ^ (b + 0x9e3779b97f4a7c15 + (a << 6) + (a >> 2))
 	x ^= x >> 30
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause does waiting that a context ends.
+// Package pause provides waits that can be cancelled by a context.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for some time, or until the context ends.
+// For waits for d or until ctx is done.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -16,8 +16,8 @@
 	}
 }
 
-// Every calls a function at an interval until the context ends.
-func Every(ctx context.Context, interval time.Duration, do func(context.Context)) {
+// Every calls fn at the given interval until ctx is done. The first call is after one interval.
+func Every(ctx context.Context, interval time.Duration, fn func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -25,7 +25,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			do(ctx)
+			fn(ctx)
 		}
 	}
 }
