--- a/cmd/agent.go
+++ b/cmd/agent.go
@@ -29,17 +29,17 @@
 }
 
 func runAgent(ctx context.Context, c *cli.Command) error {
-	var faults settings.Validator
-	common := checkNode(c, &faults)
-	base := faults.ParseURL("backend", c.String("backend"))
-	faults.OneOf("side", c.String("side"), string(rillreach.SideOld), string(rillreach.SideNew))
-	checkBackend(c, &faults)
-	faults.AtLeast("slots", int64(c.Int("slots")), 1)
-	faults.AtLeast("max-waiting", int64(c.Int("max-waiting")), 0)
-	if err := faults.Err(); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	var validator settings.Validator
+	common := validateNode(c, &validator)
+	base := validator.ParseURL("backend", c.String("backend"))
+	validator.OneOf("side", c.String("side"), string(rillreach.SideOld), string(rillreach.SideNew))
+	validateBackend(c, &validator)
+	validator.AtLeast("slots", int64(c.Int("slots")), 1)
+	validator.AtLeast("max-waiting", int64(c.Int("max-waiting")), 0)
+	if err := validator.Err(); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
-	n, err := newNode(c, common, instanceOfAgent(c))
+	n, err := newNode(c, common, agentInstance(c))
 	if err != nil {
 		return err
 	}
@@ -51,20 +51,20 @@
 		Grace:      c.Duration("grace"),
 	}
 	setBackend(a, backend.Client{BaseURL: base, HTTP: backend.NewHTTPClient()}, c.String("service") == "")
-	return runWithOps(ctx, common.ops, n, a.Run)
+	return runWithOperatorsServer(ctx, common.ops, n, a.Run)
 }
 
-func checkBackend(c *cli.Command, faults *settings.Validator) {
+func validateBackend(c *cli.Command, validator *settings.Validator) {
 	engine, service := c.String("model") != "", c.String("service") != ""
 	if engine == service {
-		faults.Addf("model", "set just one of --model and --service")
+		validator.Addf("model", "set just one of --model and --service")
 	}
 	if engine && c.String("model-version") == "" {
-		faults.Addf("model-version", "is not set")
+		validator.Addf("model-version", "is not set")
 	}
 }
 
-func instanceOfAgent(c *cli.Command) rillreach.Instance {
+func agentInstance(c *cli.Command) rillreach.Instance {
 	self := rillreach.Instance{
 		Role:    rillreach.RoleAgent,
 		Side:    rillreach.Side(c.String("side")),
--- a/cmd/bench.go
+++ b/cmd/bench.go
@@ -36,11 +36,11 @@
 }
 
 func runBenchPolicy(_ context.Context, c *cli.Command) error {
-	var faults settings.Validator
+	var validator settings.Validator
 	kigali, oja := policy.Kigali(), policy.Oja()
-	faults.OneOf("deployment", c.String("deployment"), kigali.Name, oja.Name, allDeployments)
-	if err := faults.Err(); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	validator.OneOf("deployment", c.String("deployment"), kigali.Name, oja.Name, allDeployments)
+	if err := validator.Err(); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
 	scenarios := policy.Scenarios()
 	if c.Bool("calm") {
@@ -67,11 +67,12 @@
 	return nil
 }
 
-// writePlot draws the calm scenario where a file is asked for.
+// writePlot writes a plot of the calm scenario, unless path is empty. The name of the deployment is inserted before the
+// file extension.
 func writePlot(path, deployment string, results []policy.Result) error {
 	if path == "" {
 		return nil
 	}
-	ending := filepath.Ext(path)
-	return policy.WritePlot(strings.TrimSuffix(path, ending)+"-"+deployment+ending, deployment, policy.Calm().Name, results)
+	ext := filepath.Ext(path)
+	return policy.WritePlot(strings.TrimSuffix(path, ext)+"-"+deployment+ext, deployment, policy.Calm().Name, results)
 }
--- a/cmd/certs.go
+++ b/cmd/certs.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	trialLifetime = 30 * 24 * time.Hour
-	keyMode       = 0o600
+	defaultLifetime = 30 * 24 * time.Hour
+	fileMode        = 0o600
 )
 
 func newCertsCommand() *cli.Command {
@@ -25,7 +25,7 @@
 		Usage: "make an authority, and a certificate for each role, for trying the system out",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "dir", Value: ".", Usage: "folder to write them to; nothing that is there is overwritten"},
-			&cli.DurationFlag{Name: "lifetime", Value: trialLifetime, Usage: "how long they last"},
+			&cli.DurationFlag{Name: "lifetime", Value: defaultLifetime, Usage: "how long they last"},
 		},
 		Action: runCerts,
 	}
@@ -55,7 +55,7 @@
 func writePair(c *cli.Command, name string, pair certs.KeyPair) error {
 	for file, data := range map[string][]byte{name + ".pem": pair.Certificate, name + "-key.pem": pair.Key} {
 		path := filepath.Join(c.String("dir"), file)
-		if err := writeNew(path, data); err != nil {
+		if err := writeNewFile(path, data); err != nil {
 			return err
 		}
 		_, _ = fmt.Fprintln(c.Root().Writer, path)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-func writeNew(path string, data []byte) error {
-	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyMode)
+func writeNewFile(path string, data []byte) error {
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
 		return errors.Wrap(err, "write certificate")
 	}
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -26,10 +26,10 @@
 }
 
 func runDemo(ctx context.Context, c *cli.Command) error {
-	var faults settings.Validator
-	faults.OneOf("output", c.String("output"), outputTable, outputJSON)
-	if err := faults.Err(); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	var validator settings.Validator
+	validator.OneOf("output", c.String("output"), outputTable, outputJSON)
+	if err := validator.Err(); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
 	progress := c.Root().Writer
 	if c.String("output") == outputJSON {
@@ -37,7 +37,7 @@
 	}
 	var keep func(context.Context, string, string)
 	if c.Bool("keep") {
-		keep = func(ctx context.Context, url, key string) { keepUp(ctx, progress, url, key) }
+		keep = func(ctx context.Context, url, key string) { waitForInterrupt(ctx, progress, url, key) }
 	}
 	summary, err := demo.Run(ctx, progress, keep)
 	if err != nil {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-func keepUp(ctx context.Context, w io.Writer, url, key string) {
+// waitForInterrupt prints an example request and waits until ctx is done.
+func waitForInterrupt(ctx context.Context, w io.Writer, url, key string) {
 	_, _ = fmt.Fprintf(w, "\nThe system stays up. Try:\n\n  curl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' \\\n"+
 		"    -d '{\"model\":%q,\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"does the quote stand\"}]}'\n\nInterrupt to end.\n",
 		url, key, demo.Model)
@@ -66,7 +67,7 @@
 		enc.SetIndent("", "  ")
 		return errors.Wrap(enc.Encode(s), "write summary")
 	}
-	const form = `
+	const format = `
 requests           %d
   answered whole   %d
   lost             %d
@@ -79,7 +80,7 @@
 links to stores    old side %.1f MB, new side %.1f MB
 `
 	const mega = 1e6
-	_, err := fmt.Fprintf(w, form, s.Requests, s.Whole, s.Lost, s.Doubled, s.OnceCalls, s.TTFTP50, s.TTFTP95, s.Before.TTFTP50,
+	_, err := fmt.Fprintf(w, format, s.Requests, s.Whole, s.Lost, s.Doubled, s.OnceCalls, s.TTFTP50, s.TTFTP95, s.Before.TTFTP50,
 		s.Before.TTFTP95, 100*s.Before.Recomputed, s.After.TTFTP50, s.After.TTFTP95, 100*s.After.Recomputed, 100*s.Recomputed,
 		float64(s.BytesOld)/mega, float64(s.BytesNew)/mega)
 	return errors.Wrap(err, "write summary")
--- a/cmd/doc.go
+++ b/cmd/doc.go
@@ -1,2 +1,2 @@
-// Package cmd holds the command line, a file for each command.
+// Package cmd implements the command line interface.
 package cmd
--- a/cmd/entry.go
+++ b/cmd/entry.go
@@ -24,12 +24,12 @@
 }
 
 func runEntry(ctx context.Context, c *cli.Command) error {
-	var faults settings.Validator
-	common := checkNode(c, &faults)
-	callers := faults.ParseAddrPort("listen", c.String("listen"))
-	faults.AtLeast("max-body", int64(c.Int("max-body")), 1)
-	if err := faults.Err(); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	var validator settings.Validator
+	common := validateNode(c, &validator)
+	callers := validator.ParseAddrPort("listen", c.String("listen"))
+	validator.AtLeast("max-body", int64(c.Int("max-body")), 1)
+	if err := validator.Err(); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
 	listener, err := listen(callers)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	n.Log.Info("listening", "for", "callers", "address", addressOf(listener))
+	n.Log.Info("listening", "for", "callers", "address", listenerAddress(listener))
 	e := &entry.Entry{
 		Node:       n,
 		Listener:   listener,
@@ -48,5 +48,5 @@
 		AckTimeout: c.Duration("ack-timeout"),
 		Grace:      c.Duration("grace"),
 	}
-	return runWithOps(ctx, common.ops, n, e.Run)
+	return runWithOperatorsServer(ctx, common.ops, n, e.Run)
 }
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -22,34 +22,34 @@
 		ArgsUsage: "REQUEST [FILE...], or standard input where no file is named",
 		Flags:     []cli.Flag{&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "text", Usage: "text or json"}},
 		Action:    runExplain,
-		Commands:  []*cli.Command{newExplainLoadCommand()},
+		Commands:  []*cli.Command{newExplainStatsCommand()},
 	}
 }
 
-func newExplainLoadCommand() *cli.Command {
+func newExplainStatsCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "load",
 		Usage:     "count by second what became of prompts: how long they were held, what was expected and what came, tokens to be read",
 		ArgsUsage: "[FILE...], or standard input where no file is named",
 		Flags:     []cli.Flag{&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "text", Usage: "text or json"}},
-		Action:    runExplainLoad,
+		Action:    runExplainStats,
 	}
 }
 
-func runExplainLoad(_ context.Context, c *cli.Command) error {
+func runExplainStats(_ context.Context, c *cli.Command) error {
 	lines, err := readLogs(c.Args().Slice())
 	if err != nil {
 		return err
 	}
 	seconds := explain.StatsBySecond(lines)
 	if c.String("output") == "json" {
-		return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(seconds), "write load")
+		return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(seconds), "write statistics")
 	}
-	writeLoad(c.Root().Writer, seconds)
+	writeStats(c.Root().Writer, seconds)
 	return nil
 }
 
-func writeLoad(w io.Writer, seconds []explain.SecondStats) {
+func writeStats(w io.Writer, seconds []explain.SecondStats) {
 	_, _ = fmt.Fprintln(w, "time      sent  missing    again  fetched      held  expected    waited  failed  left  refused")
 	for i := range seconds {
 		s := &seconds[i]
@@ -60,20 +60,20 @@
 
 func runExplain(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return codedError{error: errors.New("explain: name the request"), code: ExitUsage}
+		return exitError{error: errors.New("explain: missing argument: request identifier"), code: ExitUsage}
 	}
 	lines, err := readLogs(c.Args().Tail())
 	if err != nil {
 		return err
 	}
-	story := explain.HistoryOf(lines, c.Args().First())
-	if len(story.Lines) == 0 {
-		return errors.Newf("explain: no line of the logs names request %q", story.Request)
+	history := explain.HistoryOf(lines, c.Args().First())
+	if len(history.Lines) == 0 {
+		return errors.Newf("explain: no log line mentions request %q", history.Request)
 	}
 	if c.String("output") == "json" {
-		return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(story), "write story")
+		return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(history), "write request history")
 	}
-	writeStory(c.Root().Writer, story)
+	writeHistory(c.Root().Writer, history)
 	return nil
 }
 
@@ -90,20 +90,20 @@
 		lines, err := explain.Read(file)
 		_ = file.Close()
 		if err != nil {
-			return nil, errors.Wrapf(err, "log %s", name)
+			return nil, errors.Wrapf(err, "read log %s", name)
 		}
 		all = append(all, lines...)
 	}
 	return all, nil
 }
 
-func writeStory(w io.Writer, story explain.RequestHistory) {
-	_, _ = fmt.Fprintf(w, "request %s\n\nwhat was believed before:\n", story.Request)
-	for _, line := range story.PriorState {
+func writeHistory(w io.Writer, history explain.RequestHistory) {
+	_, _ = fmt.Fprintf(w, "request %s\n\nwhat was believed before:\n", history.Request)
+	for _, line := range history.PriorState {
 		writeLine(w, line)
 	}
 	_, _ = fmt.Fprintln(w, "\nwhat was decided:")
-	for _, line := range story.Lines {
+	for _, line := range history.Lines {
 		writeLine(w, line)
 	}
 }
--- a/cmd/flags.go
+++ b/cmd/flags.go
@@ -9,24 +9,24 @@
 	"github.com/rillreach/rillreach/settings"
 )
 
-// sources are the environment variable of a flag.
-func sources(name string) cli.ValueSourceChain {
+// envVarSource returns the environment variable that sets a flag.
+func envVarSource(name string) cli.ValueSourceChain {
 	return cli.EnvVars(settings.EnvPrefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_")))
 }
 
 func stringFlag(name, value, usage string) cli.Flag {
-	return &cli.StringFlag{Name: name, Value: value, Usage: usage, Sources: sources(name)}
+	return &cli.StringFlag{Name: name, Value: value, Usage: usage, Sources: envVarSource(name)}
 }
 
 func intFlag(name string, value int, usage string) cli.Flag {
-	return &cli.IntFlag{Name: name, Value: value, Usage: usage, Sources: sources(name)}
+	return &cli.IntFlag{Name: name, Value: value, Usage: usage, Sources: envVarSource(name)}
 }
 
 func durationFlag(name string, value time.Duration, usage string) cli.Flag {
-	return &cli.DurationFlag{Name: name, Value: value, Usage: usage, Sources: sources(name)}
+	return &cli.DurationFlag{Name: name, Value: value, Usage: usage, Sources: envVarSource(name)}
 }
 
-// logFlags say what is logged and how.
+// logFlags returns the flags for the log level and format.
 func logFlags() []cli.Flag {
 	return []cli.Flag{
 		stringFlag("log-level", "info", "least level that is logged: debug, info or error"),
@@ -34,7 +34,7 @@
 	}
 }
 
-// nodeFlags are the settings of every process of the system.
+// nodeFlags returns the flags that entries and agents have in common.
 func nodeFlags() []cli.Flag {
 	return append(logFlags(),
 		stringFlag("platform", "http://127.0.0.1:7000", "address of the platform's object API"),
@@ -46,9 +46,9 @@
 		stringFlag("tls-cert", "", "certificate for peers, as PEM or the path of a PEM file"),
 		stringFlag("tls-key", "", "key of the certificate, as PEM or the path of a PEM file"),
 		stringFlag("tls-ca", "", "certificate of the fleet's authority, as PEM or the path of a PEM file"),
-		durationFlag("owner-lead", defaultLead, "how long after its recording an epoch of key owners comes into force; the same in the whole fleet"),
-		durationFlag("digest-every", defaultDigest, "how often marks are compared with a peer"),
-		durationFlag("watch-wait", defaultWatch, "how long one watch of the platform waits for a change"),
+		durationFlag("owner-lead", defaultOwnerLead, "how long after its recording an epoch of key owners comes into force; the same in the whole fleet"),
+		durationFlag("digest-every", defaultDigestInterval, "how often marks are compared with a peer"),
+		durationFlag("watch-wait", defaultWatchWait, "how long one watch of the platform waits for a change"),
 		durationFlag("grace", defaultGrace, "how long a planned stop waits for running requests"),
 	)
 }
--- a/cmd/log.go
+++ b/cmd/log.go
@@ -12,12 +12,12 @@
 
 var logLevels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "error": slog.LevelError}
 
-func checkLog(c *cli.Command, faults *settings.Validator) {
-	faults.OneOf("log-level", c.String("log-level"), "debug", "info", "error")
-	faults.OneOf("log-format", c.String("log-format"), "json", "console")
+func validateLog(c *cli.Command, validator *settings.Validator) {
+	validator.OneOf("log-level", c.String("log-level"), "debug", "info", "error")
+	validator.OneOf("log-format", c.String("log-format"), "json", "console")
 }
 
-// newLog makes the log that the settings ask for; it goes to standard error.
+// newLog returns a logger with the configured level and format that writes to standard error.
 func newLog(c *cli.Command) logr.Logger {
 	options := &slog.HandlerOptions{Level: logLevels[c.String("log-level")]}
 	if c.String("log-format") == "console" {
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -18,37 +18,38 @@
 )
 
 const (
-	defaultLead   = node.DefaultLead
-	defaultGrace  = node.DefaultGrace
-	defaultDigest = spread.DefaultDigestEvery
-	defaultWatch  = spread.DefaultWatchWait
-	minSecret     = 16
+	defaultOwnerLead      = node.DefaultLead
+	defaultGrace          = node.DefaultGrace
+	defaultDigestInterval = spread.DefaultDigestEvery
+	defaultWatchWait      = spread.DefaultWatchWait
+	minSecretLength       = 16
 )
 
-// nodeSettings are the checked settings of the common part of a process.
+// nodeSettings contains the validated addresses that entries and agents have in common.
 type nodeSettings struct {
 	platform string
 	peer     netip.AddrPort
 	ops      netip.AddrPort
 }
 
-func checkNode(c *cli.Command, faults *settings.Validator) nodeSettings {
-	checkLog(c, faults)
-	faults.Required("zone", c.String("zone"))
-	if len(c.String("secret")) < minSecret {
-		faults.Addf("secret", "has fewer than %d characters", minSecret)
+func validateNode(c *cli.Command, validator *settings.Validator) nodeSettings {
+	validateLog(c, validator)
+	validator.Required("zone", c.String("zone"))
+	if len(c.String("secret")) < minSecretLength {
+		validator.Addf("secret", "has fewer than %d characters", minSecretLength)
 	}
-	checkTLS(c, faults)
-	faults.AtLeast("digest-every", c.Duration("digest-every").Milliseconds(), 1)
-	faults.AtLeast("watch-wait", c.Duration("watch-wait").Milliseconds(), 1)
+	validateTLS(c, validator)
+	validator.AtLeast("digest-every", c.Duration("digest-every").Milliseconds(), 1)
+	validator.AtLeast("watch-wait", c.Duration("watch-wait").Milliseconds(), 1)
 	return nodeSettings{
-		platform: faults.ParseURL("platform", c.String("platform")),
-		peer:     faults.ParseAddrPort("peer-listen", c.String("peer-listen")),
-		ops:      faults.ParseAddrPort("ops-listen", c.String("ops-listen")),
+		platform: validator.ParseURL("platform", c.String("platform")),
+		peer:     validator.ParseAddrPort("peer-listen", c.String("peer-listen")),
+		ops:      validator.ParseAddrPort("ops-listen", c.String("ops-listen")),
 	}
 }
 
-// newNode makes the common part of a process; the instance says what it is beside the common part.
+// newNode creates the node of an entry or agent. self contains the role-specific fields of the instance. newNode sets
+// its address, availability zone, incarnation and identifier.
 func newNode(c *cli.Command, s nodeSettings, self rillreach.Instance) (*node.Node, error) {
 	listener, err := listen(s.peer)
 	if err != nil {
@@ -58,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	self.Address = addressOf(listener)
+	self.Address = listenerAddress(listener)
 	self.Zone = rillreach.ZoneID(c.String("zone"))
 	if self.Incarnation, err = newIncarnation(); err != nil {
 		return nil, err
@@ -89,7 +90,7 @@
 func newIncarnation() (rillreach.Incarnation, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
-		return "", errors.Wrap(err, "make incarnation")
+		return "", errors.Wrap(err, "generate incarnation")
 	}
 	return rillreach.Incarnation(id.String()), nil
 }
@@ -102,7 +103,7 @@
 	return listener, nil
 }
 
-func addressOf(listener net.Listener) netip.AddrPort {
+func listenerAddress(listener net.Listener) netip.AddrPort {
 	if tcp, ok := listener.Addr().(*net.TCPAddr); ok {
 		return tcp.AddrPort()
 	}
--- a/cmd/ops.go
+++ b/cmd/ops.go
@@ -13,39 +13,39 @@
 	"github.com/rillreach/rillreach/node"
 )
 
-// runWithOps runs a daemon and, beside it, the operators' address.
-func runWithOps(ctx context.Context, address netip.AddrPort, n *node.Node, run func(context.Context) error) error {
+// runWithOperatorsServer runs a daemon and, until it ends, the HTTP server for operators.
+func runWithOperatorsServer(ctx context.Context, address netip.AddrPort, n *node.Node, run func(context.Context) error) error {
 	listener, err := listen(address)
 	if err != nil {
 		return err
 	}
-	n.Log.Info("listening", "for", "operators", "address", addressOf(listener))
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	n.Log.Info("listening", "for", "operators", "address", listenerAddress(listener))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
-	wg.Go(func() { takeHangUps(life, n.Log) })
+	wg.Go(func() { ignoreHangups(runCtx, n.Log) })
 	wg.Go(func() {
-		if err := node.ServeHTTP(life, listener, n.Operators()); err != nil {
-			n.Log.Error(err, "operators' address ended")
+		if err := node.ServeHTTP(runCtx, listener, n.Operators()); err != nil {
+			n.Log.Error(err, "HTTP server for operators failed")
 		}
 	})
 	err = run(ctx)
-	end()
+	cancel()
 	wg.Wait()
 	return err
 }
 
-// takeHangUps keeps SIGHUP, with which operators and terminals tell a process to read its settings again, from ending a daemon
-// under its requests.
-func takeHangUps(ctx context.Context, log logr.Logger) {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
-	defer signal.Stop(hangUps)
+// ignoreHangups ignores SIGHUP until ctx is done. Operators and terminals send it to make a process reload its
+// settings, and its default action would terminate a daemon with requests in progress.
+func ignoreHangups(ctx context.Context, log logr.Logger) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangUps:
-			log.Info("SIGHUP is ignored: settings are read only at the start", "decision", "reload")
+		case <-hangups:
+			log.Info("SIGHUP ignored: settings are read only at startup", "decision", "reload")
 		}
 	}
 }
--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -30,12 +30,14 @@
 
 const (
 	defaultMetricsPort = 9464
-	// memoryShare is the part of a process's memory that the runtime aims at; the rest is for sockets and stacks.
-	memoryShare = 0.6
-	// gcPercent lets the heap grow further between collections than usual: memory is there, processor time is dear.
+	// memoryLimitShare is the fraction of the process's memory that is set as Go's soft memory limit. The rest is left
+	// for sockets and stacks.
+	memoryLimitShare = 0.6
+	// gcPercent is above Go's default of 100 to collect garbage less often: memory is available, CPU time is scarce.
 	gcPercent = 300
-	drainLog  = 200 * time.Millisecond
-	bytesInMB = 1 << 20
+	// logDrainTimeout is the maximum time to write the remaining log lines at exit.
+	logDrainTimeout = 200 * time.Millisecond
+	bytesPerMB      = 1 << 20
 )
 
 func newPlatformCommand() *cli.Command {
@@ -43,14 +45,14 @@
 		Name:  "platform",
 		Usage: "run as part of a deployment on the users' platform, whose settings file says where",
 		Commands: []*cli.Command{
-			platformDaemon("entry", "take callers' requests and send them to runners", runPlatformEntry),
-			platformDaemon("agent", "stand beside one model runner", runPlatformAgent),
+			newPlatformDaemonCommand("entry", "take callers' requests and send them to runners", runPlatformEntry),
+			newPlatformDaemonCommand("agent", "stand beside one model runner", runPlatformAgent),
 			newPlatformCheckCommand(),
 		},
 	}
 }
 
-// newPlatformCheckCommand checks a settings file of the platform without starting anything.
+// newPlatformCheckCommand returns the command that validates a settings file of the platform and prints its settings.
 func newPlatformCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
@@ -59,7 +61,7 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			s, err := platform.ReadSettings(c.Args().First())
 			if err != nil {
-				return codedError{error: err, code: ExitUsage}
+				return exitError{error: err, code: ExitUsage}
 			}
 			data, err := json.MarshalIndent(s, "", "  ")
 			if err != nil {
@@ -71,7 +73,7 @@
 	}
 }
 
-// platformFlags are the settings of a process on the users' platform beside the platform's own file.
+// platformFlags returns the flags of a process on the users' platform, in addition to the platform's settings file.
 func platformFlags() []cli.Flag {
 	return []cli.Flag{
 		stringFlag("log-level", "info", "least level that is logged: debug, info or error"),
@@ -80,7 +82,7 @@
 	}
 }
 
-// platformProcess is what the processes on the users' platform share.
+// platformProcess contains what entries and agents on the users' platform have in common.
 type platformProcess struct {
 	settings *deployment.Settings
 	store    *platform.ObjectStoreClient
@@ -88,7 +90,7 @@
 	metrics  *telemetry.Metrics
 }
 
-func platformDaemon(name, usage string, run func(context.Context, *platformProcess) error) *cli.Command {
+func newPlatformDaemonCommand(name, usage string, run func(context.Context, *platformProcess) error) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, Flags: platformFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error { return runOnPlatform(ctx, c, name, run) },
@@ -96,22 +98,22 @@
 }
 
 func runOnPlatform(ctx context.Context, c *cli.Command, name string, run func(context.Context, *platformProcess) error) error {
-	// Before anything else, and to the process's end: a SIGHUP that nobody takes would end it.
-	changed := make(chan os.Signal, 1)
-	signal.Notify(changed, syscall.SIGHUP)
-	var faults settings.Validator
-	faults.OneOf("log-level", c.String("log-level"), "debug", "info", "error")
-	faults.AtLeast("metrics-port", int64(c.Int("metrics-port")), 1)
-	faults.Required("settings-file", c.String("settings-file"))
-	if err := faults.Err(); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	// Register first and until the process exits: the default action of SIGHUP would terminate the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	var validator settings.Validator
+	validator.OneOf("log-level", c.String("log-level"), "debug", "info", "error")
+	validator.AtLeast("metrics-port", int64(c.Int("metrics-port")), 1)
+	validator.Required("settings-file", c.String("settings-file"))
+	if err := validator.Err(); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
 	s, err := platform.ReadSettings(c.String("settings-file"))
 	if err != nil {
-		return codedError{error: err, code: ExitUsage}
+		return exitError{error: err, code: ExitUsage}
 	}
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * bytesInMB * memoryShare))
+	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * bytesPerMB * memoryLimitShare))
 	metrics, err := telemetry.New()
 	if err != nil {
 		return err
@@ -128,62 +130,62 @@
 		return err
 	}
 	p.log.Info("starting", "decision", "start", "zone", s.Zone, "store", s.ObjectStoreAddress, "memoryMB", s.MemoryMB)
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	go sink.Run(life) // not waited for: where nobody reads the log it does not end, and Drain bounds that
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go sink.Run(runCtx) // not waited for: it blocks if nobody reads the log; Drain has a timeout
 	var wg conc.WaitGroup
-	wg.Go(func() { p.reload(life, c.String("settings-file"), changed) })
-	wg.Go(func() { p.serveMetrics(life, uint16(c.Int("metrics-port"))) })
+	wg.Go(func() { p.checkSettingsOnHangup(runCtx, c.String("settings-file"), hangups) })
+	wg.Go(func() { p.serveMetrics(runCtx, uint16(c.Int("metrics-port"))) })
 	err = run(ctx, p)
 	if err != nil {
 		p.log.Error(err, "ended", "decision", "end")
 	} else {
 		p.log.Info("ended", "decision", "end")
 	}
-	end()
+	cancel()
 	wg.Wait()
-	sink.Drain(drainLog)
+	sink.Drain(logDrainTimeout)
 	return err
 }
 
-// reload reads the settings file again after each SIGHUP; one that is bad leaves the last good one in force. What a running
-// process could take over does not change during its life, so that a good file is checked and reported.
-func (p *platformProcess) reload(ctx context.Context, path string, changed <-chan os.Signal) {
+// checkSettingsOnHangup reads and validates the settings file after each SIGHUP and logs the result. It doesn't apply
+// the file: the settings that a running process could apply don't change during its life.
+func (p *platformProcess) checkSettingsOnHangup(ctx context.Context, path string, hangups <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-changed:
+		case <-hangups:
 		}
 		s, err := platform.ReadSettings(path)
 		if err != nil {
-			p.log.Error(err, "settings refused, the last good ones stay", "decision", "reload")
+			p.log.Error(err, "settings refused, previous settings stay in use", "decision", "reload")
 			continue
 		}
 		p.log.Info("settings read again", "decision", "reload", "changed", !reflect.DeepEqual(s, p.settings))
 	}
 }
 
-// serveMetrics serves the process's figures; without them the process still does its work.
+// serveMetrics serves the metrics. If that fails, it only logs the error, since the process works without metrics.
 func (p *platformProcess) serveMetrics(ctx context.Context, port uint16) {
 	listener, err := listen(netip.AddrPortFrom(p.settings.Host, port))
 	if err == nil {
 		err = node.ServeHTTP(ctx, listener, p.metrics.Handler())
 	}
 	if err != nil {
-		p.log.Error(err, "metrics are not served", "port", port)
+		p.log.Error(err, "failed to serve metrics", "port", port)
 	}
 }
 
 func runPlatformEntry(ctx context.Context, p *platformProcess) error {
-	var faults error
+	var errs error
 	for name, address := range map[string]netip.AddrPort{"callers": p.settings.CallerAddress, "readiness": p.settings.ReadinessAddress} {
 		if !address.IsValid() {
-			faults = errors.Join(faults, errors.Newf("settings name no address for %s", name))
+			errs = errors.Join(errs, errors.Newf("settings contain no address for %s", name))
 		}
 	}
-	if faults != nil {
-		return codedError{error: faults, code: ExitUsage}
+	if errs != nil {
+		return exitError{error: errs, code: ExitUsage}
 	}
 	callers, err := listen(p.settings.CallerAddress)
 	if err != nil {
@@ -206,7 +208,7 @@
 
 func runPlatformAgent(ctx context.Context, p *platformProcess) error {
 	if !p.settings.RunnerAddress.IsValid() {
-		return codedError{error: errors.New("settings name no runner beside the agent"), code: ExitUsage}
+		return exitError{error: errors.New("settings contain no address of the agent's runner"), code: ExitUsage}
 	}
 	listener, err := listen(netip.AddrPortFrom(p.settings.Host, p.settings.FirstPort))
 	if err != nil {
--- a/cmd/platform_test.go
+++ b/cmd/platform_test.go
@@ -8,7 +8,8 @@
 	"github.com/rillreach/rillreach/gateway"
 )
 
-// TestStopLeavesTimeForTheLog: an entry that has requests to the end of its grace must still end by itself, log included.
-func TestStopLeavesTimeForTheLog(t *testing.T) {
-	assert.GreaterOrEqual(t, gateway.ExitMargin, 4*drainLog)
+// TestExitMarginCoversLogDrain guards against an entry that is killed before it has written its log. This happens if
+// requests run until the end of the grace period and the time reserved for the exit is too short for the log drain.
+func TestExitMarginCoversLogDrain(t *testing.T) {
+	assert.GreaterOrEqual(t, gateway.ExitMargin, 4*logDrainTimeout)
 }
--- a/cmd/rillreach/main.go
+++ b/cmd/rillreach/main.go
@@ -1,4 +1,5 @@
-// Command rillreach serves language-model prompts that return after long gaps.
+// Command rillreach serves language-model prompts that recur after long gaps. It contains the daemons and the tools for
+// operators.
 package main
 
 import (
@@ -7,7 +8,7 @@
 	"github.com/rillreach/rillreach/cmd"
 )
 
-// version is set by the linker for a release.
+// version is set by the linker in release builds.
 var version = "dev"
 
 func main() {
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -13,7 +13,7 @@
 	"github.com/rillreach/rillreach/settings"
 )
 
-// Exit codes of the command line.
+// Exit codes of the process.
 const (
 	ExitOK       = 0
 	ExitFailed   = 1
@@ -21,7 +21,7 @@
 	ExitConflict = 3
 )
 
-// Execute runs the command line and returns the process's exit code.
+// Execute runs the command in args, prints its error to standard error, and returns the exit code.
 func Execute(version string, args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -39,7 +39,7 @@
 		Version:               version,
 		EnableShellCompletion: true,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
-		Before:                refuseUnknownEnvironment,
+		Before:                rejectUnknownEnvironment,
 		Commands: []*cli.Command{
 			newEntryCommand(),
 			newAgentCommand(),
@@ -55,12 +55,12 @@
 	}
 }
 
-func refuseUnknownEnvironment(ctx context.Context, c *cli.Command) (context.Context, error) {
-	return ctx, settings.RejectUnknownVariables(os.Environ(), knownVariables(c.Root()))
+func rejectUnknownEnvironment(ctx context.Context, c *cli.Command) (context.Context, error) {
+	return ctx, settings.RejectUnknownVariables(os.Environ(), environmentVariables(c.Root()))
 }
 
-// knownVariables are the environment variables of all flags of a command and those below it.
-func knownVariables(c *cli.Command) map[string]bool {
+// environmentVariables returns the environment variables of all flags of a command and its subcommands.
+func environmentVariables(c *cli.Command) map[string]bool {
 	known := map[string]bool{}
 	for _, flag := range c.Flags {
 		if documented, ok := flag.(cli.DocGenerationFlag); ok {
@@ -70,24 +70,24 @@
 		}
 	}
 	for _, sub := range c.Commands {
-		for name := range knownVariables(sub) {
+		for name := range environmentVariables(sub) {
 			known[name] = true
 		}
 	}
 	return known
 }
 
-// codedError is an error with an exit code of its own.
-type codedError struct {
+// exitError is an error that sets the exit code of the process.
+type exitError struct {
 	error
 	code int
 }
 
-// Unwrap returns the error without its code.
-func (e codedError) Unwrap() error { return e.error }
+// Unwrap returns the underlying error.
+func (e exitError) Unwrap() error { return e.error }
 
 func exitCode(err error) int {
-	var coded codedError
+	var coded exitError
 	if errors.As(err, &coded) {
 		return coded.code
 	}
--- a/cmd/settings.go
+++ b/cmd/settings.go
@@ -13,18 +13,18 @@
 	"github.com/urfave/cli/v3"
 )
 
-// secretFlags are those whose values are never shown.
+// secretFlags contains the flags whose values are never printed.
 var secretFlags = []string{"secret", "tls-key"}
 
-const hidden = "(hidden)"
+const hiddenValue = "(hidden)"
 
 func newSettingsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "settings",
 		Usage: "print the settings that a daemon would run with, and where each comes from",
 		Commands: []*cli.Command{
-			printingCommand(newEntryCommand()),
-			printingCommand(newAgentCommand()),
+			printSettingsCommand(newEntryCommand()),
+			printSettingsCommand(newAgentCommand()),
 			{Name: "doc", Usage: "print the page of all settings", Action: func(_ context.Context, c *cli.Command) error {
 				return writeSettingsPage(c.Root().Writer)
 			}},
@@ -32,8 +32,8 @@
 	}
 }
 
-// printingCommand is a daemon's command that prints its settings and runs nothing.
-func printingCommand(daemon *cli.Command) *cli.Command {
+// printSettingsCommand changes the command of a daemon to print its settings instead of running the daemon.
+func printSettingsCommand(daemon *cli.Command) *cli.Command {
 	daemon.Usage = "print the settings of " + daemon.Name
 	daemon.Action = func(_ context.Context, c *cli.Command) error { return printSettings(c) }
 	return daemon
@@ -45,21 +45,22 @@
 	for _, flag := range c.Flags {
 		name := flag.Names()[0]
 		if documented, ok := flag.(cli.DocGenerationFlag); ok {
-			_, _ = fmt.Fprintf(tab, "%s\t%s\t%s\n", name, shownValue(c, name), originOf(c, name, documented.GetEnvVars()))
+			_, _ = fmt.Fprintf(tab, "%s\t%s\t%s\n", name, displayValue(c, name), valueSource(c, name, documented.GetEnvVars()))
 		}
 	}
 	return errors.Wrap(tab.Flush(), "write settings")
 }
 
-func shownValue(c *cli.Command, name string) string {
+func displayValue(c *cli.Command, name string) string {
 	value := fmt.Sprint(c.Value(name))
 	if value != "" && slices.Contains(secretFlags, name) {
-		return hidden
+		return hiddenValue
 	}
 	return value
 }
 
-func originOf(c *cli.Command, name string, variables []string) string {
+// valueSource returns where the value of a setting comes from. An explicit flag overrides the environment.
+func valueSource(c *cli.Command, name string, variables []string) string {
 	if !c.IsSet(name) {
 		return "default"
 	}
@@ -71,7 +72,7 @@
 	return "environment " + strings.Join(variables, ", ")
 }
 
-// writeSettingsPage writes docs/SETTINGS.md, which a test holds against the flags.
+// writeSettingsPage writes the content of docs/SETTINGS.md. A test checks that the committed file is up to date.
 func writeSettingsPage(w io.Writer) error {
 	_, _ = fmt.Fprint(w, "# Settings\n\nEach setting is a flag and an environment variable; the flag goes first. `rillreach settings entry` and\n"+
 		"`rillreach settings agent` print what is in force. This page is what `rillreach settings doc` prints.\n")
@@ -84,13 +85,13 @@
 				continue
 			}
 			_, _ = fmt.Fprintf(w, "| `--%s` | `%s` | %s | %s |\n", flag.Names()[0], strings.Join(documented.GetEnvVars(), ", "),
-				shownDefault(documented.GetValue()), documented.GetUsage())
+				displayDefault(documented.GetValue()), documented.GetUsage())
 		}
 	}
 	return nil
 }
 
-func shownDefault(value string) string {
+func displayDefault(value string) string {
 	if value == "" {
 		return ""
 	}
--- a/cmd/settings_test.go
+++ b/cmd/settings_test.go
@@ -14,32 +14,33 @@
 	"github.com/rillreach/rillreach"
 )
 
-func TestSettingsPage(t *testing.T) {
+func TestSettingsPageMatchesFlags(t *testing.T) {
 	var page bytes.Buffer
 	require.NoError(t, writeSettingsPage(&page))
 	committed, err := os.ReadFile("../docs/SETTINGS.md")
 	require.NoError(t, err)
-	assert.Equal(t, page.String(), string(committed), "write docs/SETTINGS.md anew: rillreach settings doc")
+	assert.Equal(t, page.String(), string(committed), "docs/SETTINGS.md is out of date; regenerate it with: rillreach settings doc")
 }
 
-// TestRowSchema holds the committed schema against the types: each field of the row is in it, and nothing else.
-func TestRowSchema(t *testing.T) {
+// TestRowSchemaMatchesTypes guards against a committed JSON schema that lacks fields of the row types or has other
+// fields, after a change of only one of them.
+func TestRowSchemaMatchesTypes(t *testing.T) {
 	data, err := os.ReadFile("../docs/row.schema.json")
 	require.NoError(t, err)
 	var schema struct {
-		Items object `json:"items"`
+		Items schemaNode `json:"items"`
 	}
 	require.NoError(t, json.Unmarshal(data, &schema))
-	assertFields(t, reflect.TypeFor[rillreach.Row](), schema.Items)
-	assertFields(t, reflect.TypeFor[rillreach.Weights](), schema.Items.Properties["weights"])
-	assertFields(t, reflect.TypeFor[rillreach.Limits](), schema.Items.Properties["limits"])
+	assertSchemaFields(t, reflect.TypeFor[rillreach.Row](), schema.Items)
+	assertSchemaFields(t, reflect.TypeFor[rillreach.Weights](), schema.Items.Properties["weights"])
+	assertSchemaFields(t, reflect.TypeFor[rillreach.Limits](), schema.Items.Properties["limits"])
 }
 
-type object struct {
-	Properties map[string]object `json:"properties"`
+type schemaNode struct {
+	Properties map[string]schemaNode `json:"properties"`
 }
 
-func assertFields(t *testing.T, typ reflect.Type, schema object) {
+func assertSchemaFields(t *testing.T, typ reflect.Type, schema schemaNode) {
 	t.Helper()
 	var fields []string
 	for i := range typ.NumField() {
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -30,8 +30,8 @@
 	}
 }
 
-func standinFlags(more ...cli.Flag) []cli.Flag {
-	return append([]cli.Flag{stringFlag("standin-listen", "127.0.0.1:0", "address to listen on")}, more...)
+func standinFlags(extra ...cli.Flag) []cli.Flag {
+	return append([]cli.Flag{stringFlag("standin-listen", "127.0.0.1:0", "address to listen on")}, extra...)
 }
 
 func newStandinPlatform() *cli.Command {
@@ -79,10 +79,10 @@
 }
 
 func serveStandin(ctx context.Context, c *cli.Command, handler http.Handler) error {
-	var faults settings.Validator
-	address := faults.ParseAddrPort("standin-listen", c.String("standin-listen"))
-	if err := faults.Err(); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	var validator settings.Validator
+	address := validator.ParseAddrPort("standin-listen", c.String("standin-listen"))
+	if err := validator.Err(); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
 	listener, err := listen(address)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return standin.Serve(ctx, listener, handler)
 }
 
-// announceListening says where a stand-in listens, in the form of a line of the log.
+// announceListening prints the address of a stand-in to standard error, in the format of a log line.
 func announceListening(c *cli.Command, listener net.Listener) {
 	_, _ = fmt.Fprintf(c.Root().ErrWriter, `{"msg":"listening","for":"standin","address":%q}`+"\n", listener.Addr())
 }
--- a/cmd/standin_store.go
+++ b/cmd/standin_store.go
@@ -35,13 +35,13 @@
 }
 
 func runStandinStore(ctx context.Context, c *cli.Command) error {
-	var faults settings.Validator
-	checkLog(c, &faults)
-	base := faults.ParseURL("platform", c.String("platform"))
-	address := faults.ParseAddrPort("standin-listen", c.String("standin-listen"))
-	faults.OneOf("side", c.String("side"), string(rillreach.SideOld), string(rillreach.SideNew))
-	if err := faults.Err(); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	var validator settings.Validator
+	validateLog(c, &validator)
+	base := validator.ParseURL("platform", c.String("platform"))
+	address := validator.ParseAddrPort("standin-listen", c.String("standin-listen"))
+	validator.OneOf("side", c.String("side"), string(rillreach.SideOld), string(rillreach.SideNew))
+	if err := validator.Err(); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
 	listener, err := listen(address)
 	if err != nil {
@@ -55,7 +55,7 @@
 		ID:          rillreach.InstanceID("store-" + string(incarnation)),
 		Role:        rillreach.RoleStore,
 		Incarnation: incarnation,
-		Address:     addressOf(listener),
+		Address:     listenerAddress(listener),
 		Zone:        rillreach.ZoneID(c.String("zone")),
 		Side:        rillreach.Side(c.String("side")),
 	}
--- a/cmd/table.go
+++ b/cmd/table.go
@@ -24,20 +24,20 @@
 	}
 }
 
-func tableFlags(more ...cli.Flag) []cli.Flag {
+func tableFlags(extra ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		stringFlag("platform", "http://127.0.0.1:7000", "address of the platform's object API"),
 		&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: outputTable, Usage: "form of the output: table, json or yaml"},
-	}, more...)
+	}, extra...)
 }
 
-// tableClient makes the client that edits the table.
+// tableClient validates the common flags and returns a client of the platform's object API.
 func tableClient(c *cli.Command) (*objectstore.Client, error) {
-	var faults settings.Validator
-	base := faults.ParseURL("platform", c.String("platform"))
-	faults.OneOf("output", c.String("output"), outputTable, outputJSON, outputYAML)
-	if err := faults.Err(); err != nil {
-		return nil, codedError{error: err, code: ExitUsage}
+	var validator settings.Validator
+	base := validator.ParseURL("platform", c.String("platform"))
+	validator.OneOf("output", c.String("output"), outputTable, outputJSON, outputYAML)
+	if err := validator.Err(); err != nil {
+		return nil, exitError{error: err, code: ExitUsage}
 	}
 	return &objectstore.Client{BaseURL: base}, nil
 }
--- a/cmd/table_apply.go
+++ b/cmd/table_apply.go
@@ -16,7 +16,7 @@
 	"github.com/rillreach/rillreach/edit"
 )
 
-const maxTableFile = 64 << 20
+const maxTableFileBytes = 64 << 20
 
 func newTableApply() *cli.Command {
 	return &cli.Command{
@@ -37,23 +37,23 @@
 	}
 	rows, err := readRows(c.String("file"))
 	if err != nil {
-		return codedError{error: err, code: ExitUsage}
+		return exitError{error: err, code: ExitUsage}
 	}
 	editor := &edit.Editor{Store: client}
 	for _, row := range rows {
 		if err := applyRow(ctx, c.Root().Writer, editor, row, c.Bool("dry-run")); err != nil {
-			return conflictCode(err)
+			return withConflictExitCode(err)
 		}
 	}
 	return nil
 }
 
-func applyRow(ctx context.Context, w io.Writer, editor *edit.Editor, row rillreach.Row, dry bool) error {
-	there, version, err := editor.Read(ctx, row.Name())
+func applyRow(ctx context.Context, w io.Writer, editor *edit.Editor, row rillreach.Row, dryRun bool) error {
+	current, version, err := editor.Read(ctx, row.Name())
 	if err != nil {
 		return err
 	}
-	changes := edit.DescribeChanges(there, row, version > 0)
+	changes := edit.DescribeChanges(current, row, version > 0)
 	if len(changes) == 0 {
 		_, _ = fmt.Fprintf(w, "%s: unchanged\n", row.Name())
 		return nil
@@ -61,7 +61,7 @@
 	for _, change := range changes {
 		_, _ = fmt.Fprintf(w, "%s: %s\n", row.Name(), change)
 	}
-	if dry {
+	if dryRun {
 		return nil
 	}
 	written, err := editor.Write(ctx, row, version)
@@ -72,16 +72,16 @@
 	return nil
 }
 
-// conflictCode gives a lost race its exit code and shows both rows.
-func conflictCode(err error) error {
+// withConflictExitCode adds ExitConflict and both rows to an edit.ConflictError, and returns other errors unchanged.
+func withConflictExitCode(err error) error {
 	var conflict *edit.ConflictError
 	if !errors.As(err, &conflict) {
 		return err
 	}
-	return codedError{error: errors.Newf("%s\nours:   %s\ntheirs: %s", err.Error(), rowText(conflict.Proposed), rowText(conflict.Current)), code: ExitConflict}
+	return exitError{error: errors.Newf("%s\nours:   %s\ntheirs: %s", err.Error(), formatRow(conflict.Proposed), formatRow(conflict.Current)), code: ExitConflict}
 }
 
-func rowText(row *rillreach.Row) string {
+func formatRow(row *rillreach.Row) string {
 	if row == nil {
 		return "(none)"
 	}
@@ -92,7 +92,7 @@
 	return string(data)
 }
 
-// readRows reads a file of rows and checks all of them before any is written.
+// readRows reads and validates all rows of a file, so that no row is written if any is invalid.
 func readRows(path string) ([]rillreach.Row, error) {
 	data, err := readInput(path)
 	if err != nil {
@@ -108,35 +108,35 @@
 
 func readInput(path string) ([]byte, error) {
 	if path == "" {
-		return nil, errors.New("give a file with --file")
+		return nil, errors.New("set a file with --file")
 	}
 	input := io.Reader(os.Stdin)
 	if path != "-" {
 		file, err := os.Open(path)
 		if err != nil {
-			return nil, errors.Wrap(err, "open rows")
+			return nil, errors.Wrap(err, "open file of rows")
 		}
 		defer file.Close()
 		input = file
 	}
-	data, err := io.ReadAll(io.LimitReader(input, maxTableFile))
+	data, err := io.ReadAll(io.LimitReader(input, maxTableFileBytes))
 	return data, errors.Wrapf(err, "read %s", path)
 }
 
-// decodeRows reads a list of rows from YAML, of which JSON is a part, and reports the faults of all of them.
+// decodeRows decodes a list of rows from YAML, which includes JSON. It returns the errors of all invalid rows.
 func decodeRows(data []byte) ([]rillreach.Row, error) {
 	asJSON, err := yaml.YAMLToJSON(data)
 	if err != nil {
-		return nil, errors.Wrap(err, "read YAML")
+		return nil, errors.Wrap(err, "parse YAML")
 	}
 	var raw []json.RawMessage
 	if err := json.Unmarshal(asJSON, &raw); err != nil {
-		return nil, errors.Wrap(err, "read list of rows")
+		return nil, errors.Wrap(err, "parse list of rows")
 	}
 	rows := make([]rillreach.Row, len(raw))
-	faults := make([]error, len(raw))
+	errs := make([]error, len(raw))
 	for i := range raw {
-		rows[i], faults[i] = rillreach.DecodeRow(raw[i])
+		rows[i], errs[i] = rillreach.DecodeRow(raw[i])
 	}
-	return rows, errors.Join(faults...)
+	return rows, errors.Join(errs...)
 }
--- a/cmd/table_get.go
+++ b/cmd/table_get.go
@@ -30,14 +30,15 @@
 	if err != nil {
 		return err
 	}
-	rows, err := rowsOf(page.Objects, c.Args().First())
+	rows, err := decodeRowsByPrefix(page.Objects, c.Args().First())
 	if err != nil {
 		return err
 	}
 	return writeRows(c.Root().Writer, c.String("output"), rows)
 }
 
-func rowsOf(objects []rillreach.Object, prefix string) ([]rillreach.Row, error) {
+// decodeRowsByPrefix decodes the objects whose name starts with prefix, and sorts the rows by name.
+func decodeRowsByPrefix(objects []rillreach.Object, prefix string) ([]rillreach.Row, error) {
 	rows := []rillreach.Row{}
 	for _, o := range objects {
 		if !strings.HasPrefix(o.Name, prefix) {
@@ -45,7 +46,7 @@
 		}
 		row, err := rillreach.DecodeRow(o.Value)
 		if err != nil {
-			return nil, errors.Wrapf(err, "row %s was not written by this tool", o.Name)
+			return nil, errors.Wrapf(err, "decode row %s, which may have been written by another tool", o.Name)
 		}
 		rows = append(rows, row)
 	}
--- a/cmd/table_key.go
+++ b/cmd/table_key.go
@@ -23,19 +23,19 @@
 	}
 }
 
-// newKey is a key and the credential that recognises it.
-type newKey struct {
+// issuedKey is an API key and the credential that authenticates it.
+type issuedKey struct {
 	Key        string               `json:"key"`
 	Credential rillreach.Credential `json:"credential"`
 }
 
 func runTableKeyNew(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return codedError{error: errors.New("give one account"), code: ExitUsage}
+		return exitError{error: errors.New("expected exactly one account as argument"), code: ExitUsage}
 	}
 	key, credential, err := rillreach.NewAPIKey(rillreach.AccountID(c.Args().First()))
 	if err != nil {
-		return codedError{error: err, code: ExitUsage}
+		return exitError{error: err, code: ExitUsage}
 	}
-	return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(newKey{Key: key, Credential: credential}), "write key")
+	return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(issuedKey{Key: key, Credential: credential}), "write key")
 }
--- a/cmd/table_output.go
+++ b/cmd/table_output.go
@@ -12,16 +12,16 @@
 	"github.com/rillreach/rillreach"
 )
 
-// The forms of output.
+// Output formats of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 	outputYAML  = "yaml"
 )
 
-// writeRows writes rows in one of the forms of output.
-func writeRows(w io.Writer, form string, rows []rillreach.Row) error {
-	switch form {
+// writeRows writes rows in the given output format.
+func writeRows(w io.Writer, format string, rows []rillreach.Row) error {
+	switch format {
 	case outputJSON:
 		enc := json.NewEncoder(w)
 		enc.SetIndent("", "  ")
--- a/cmd/table_set.go
+++ b/cmd/table_set.go
@@ -12,7 +12,7 @@
 	"github.com/rillreach/rillreach/edit"
 )
 
-// unset marks a flag of a number that was not given.
+// unset is the value of a numeric flag that was not set.
 const unset = -1
 
 func newTableSet() *cli.Command {
@@ -43,34 +43,34 @@
 	if version == 0 {
 		row = newRow(name)
 	}
-	changeRow(c, &row)
+	applyRowFlags(c, &row)
 	written, err := editor.Write(ctx, row, version)
 	if err != nil {
-		return conflictCode(err)
+		return withConflictExitCode(err)
 	}
 	_, _ = fmt.Fprintf(c.Root().Writer, "%s: written as version %d\n", row.Name(), written)
 	return nil
 }
 
-// rowEditor makes the editor for the row that a command names.
+// rowEditor returns an editor and the parts of the row name in the arguments.
 func rowEditor(c *cli.Command) (*edit.Editor, []string, error) {
 	client, err := tableClient(c)
 	if err != nil {
 		return nil, nil, err
 	}
-	name, err := rowNameOf(c)
+	name, err := parseRowName(c)
 	if err != nil {
-		return nil, nil, codedError{error: err, code: ExitUsage}
+		return nil, nil, exitError{error: err, code: ExitUsage}
 	}
 	return &edit.Editor{Store: client}, name, nil
 }
 
 const rowNameParts = 3
 
-func rowNameOf(c *cli.Command) ([]string, error) {
+func parseRowName(c *cli.Command) ([]string, error) {
 	name := strings.Split(c.Args().First(), "/")
 	if c.Args().Len() != 1 || len(name) != rowNameParts {
-		return nil, errors.New("give one row as account/model/version")
+		return nil, errors.New("expected exactly one row as account/model/version")
 	}
 	return name, nil
 }
@@ -86,8 +86,8 @@
 	}
 }
 
-// changeRow puts the flags that were given into a row.
-func changeRow(c *cli.Command, row *rillreach.Row) {
+// applyRowFlags changes the fields of a row whose flags are set.
+func applyRowFlags(c *cli.Command, row *rillreach.Row) {
 	if weight := c.Int("new"); weight != unset {
 		row.Weights = rillreach.Weights{Old: rillreach.TotalWeight - weight, New: weight}
 	}
--- a/cmd/table_shift.go
+++ b/cmd/table_shift.go
@@ -13,7 +13,7 @@
 	"github.com/rillreach/rillreach/settings"
 )
 
-const defaultStep = 10
+const defaultWeightStep = 10
 
 func newTableShift() *cli.Command {
 	return &cli.Command{
@@ -24,9 +24,9 @@
 			operatorsFlag(),
 			&cli.StringFlag{Name: "from", Value: string(rillreach.SideOld), Usage: "side that loses weight"},
 			&cli.StringFlag{Name: "to", Value: string(rillreach.SideNew), Usage: "side that gets it"},
-			&cli.IntFlag{Name: "step", Value: defaultStep, Usage: "weight of one step"},
+			&cli.IntFlag{Name: "step", Value: defaultWeightStep, Usage: "weight of one step"},
 			&cli.IntFlag{Name: "until", Value: rillreach.TotalWeight, Usage: "weight at which to stop"},
-			&cli.DurationFlag{Name: "timeout", Value: defaultWait, Usage: "how long a step may take to be in force"},
+			&cli.DurationFlag{Name: "timeout", Value: defaultVersionTimeout, Usage: "how long a step may take to be in force"},
 		),
 		Action: runTableShift,
 	}
@@ -37,13 +37,13 @@
 	if err != nil {
 		return err
 	}
-	if err := checkShift(c); err != nil {
-		return codedError{error: err, code: ExitUsage}
+	if err := validateShift(c); err != nil {
+		return exitError{error: err, code: ExitUsage}
 	}
 	for {
-		done, err := shiftOnce(ctx, c, editor, strings.Join(name, "/"))
+		done, err := shiftStep(ctx, c, editor, strings.Join(name, "/"))
 		if err != nil {
-			return conflictCode(err)
+			return withConflictExitCode(err)
 		}
 		if done {
 			return nil
@@ -51,20 +51,21 @@
 	}
 }
 
-func checkShift(c *cli.Command) error {
-	var faults settings.Validator
-	faults.OneOf("from", c.String("from"), string(rillreach.SideOld), string(rillreach.SideNew))
-	faults.OneOf("to", c.String("to"), string(rillreach.SideOld), string(rillreach.SideNew))
+func validateShift(c *cli.Command) error {
+	var validator settings.Validator
+	validator.OneOf("from", c.String("from"), string(rillreach.SideOld), string(rillreach.SideNew))
+	validator.OneOf("to", c.String("to"), string(rillreach.SideOld), string(rillreach.SideNew))
 	if c.String("from") == c.String("to") {
-		faults.Addf("to", "is the side that loses weight")
+		validator.Addf("to", "is the side that loses weight")
 	}
-	faults.AtLeast("step", int64(c.Int("step")), 1)
-	faults.Required("operators", c.String("operators"))
-	return faults.Err()
+	validator.AtLeast("step", int64(c.Int("step")), 1)
+	validator.Required("operators", c.String("operators"))
+	return validator.Err()
 }
 
-// shiftOnce makes one step and waits until it is in force; it reports whether there is nothing left to move.
-func shiftOnce(ctx context.Context, c *cli.Command, editor *edit.Editor, name string) (bool, error) {
+// shiftStep moves one step of weight and waits until the change is in force. If the target weight is already reached,
+// it changes nothing and returns true.
+func shiftStep(ctx context.Context, c *cli.Command, editor *edit.Editor, name string) (bool, error) {
 	row, version, err := editor.Read(ctx, name)
 	if err != nil {
 		return false, err
@@ -86,10 +87,10 @@
 	if err != nil {
 		return false, err
 	}
-	counted, err := awaitVersion(ctx, c.String("operators"), written, c.Duration("timeout"))
+	counts, err := waitForVersion(ctx, c.String("operators"), written, c.Duration("timeout"))
 	if err != nil {
 		return false, err
 	}
-	_, _ = fmt.Fprintf(c.Root().Writer, "%s: old %d, new %d, in force at %d processes\n", name, row.Weights.Old, row.Weights.New, counted.InForce)
+	_, _ = fmt.Fprintf(c.Root().Writer, "%s: old %d, new %d, in force at %d processes\n", name, row.Weights.Old, row.Weights.New, counts.InForce)
 	return false, nil
 }
--- a/cmd/table_status.go
+++ b/cmd/table_status.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	waitPoll    = 200 * time.Millisecond
-	defaultWait = 30 * time.Second
-	maxStatus   = 1 << 20
+	versionPollInterval   = 200 * time.Millisecond
+	defaultVersionTimeout = 30 * time.Second
+	maxStatusBytes        = 1 << 20
 )
 
 func operatorsFlag() cli.Flag {
@@ -43,7 +43,7 @@
 		Flags: tableFlags(
 			operatorsFlag(),
 			&cli.UintFlag{Name: "version", Usage: "version to wait for; the newest if it is not set"},
-			&cli.DurationFlag{Name: "timeout", Value: defaultWait, Usage: "how long to wait"},
+			&cli.DurationFlag{Name: "timeout", Value: defaultVersionTimeout, Usage: "how long to wait"},
 		),
 		Action: runTableWait,
 	}
@@ -54,15 +54,15 @@
 	if err != nil {
 		return err
 	}
-	version, err := newestRow(ctx, client)
+	version, err := newestRowVersion(ctx, client)
 	if err != nil {
 		return err
 	}
-	counted, err := countAt(ctx, c.String("operators"), version)
+	counts, err := fetchVersionCounts(ctx, c.String("operators"), version)
 	if err != nil {
 		return err
 	}
-	return writeCounted(c, version, counted)
+	return writeVersionCounts(c, version, counts)
 }
 
 func runTableWait(ctx context.Context, c *cli.Command) error {
@@ -72,37 +72,37 @@
 	}
 	version := uint64(c.Uint("version"))
 	if version == 0 {
-		if version, err = newestRow(ctx, client); err != nil {
+		if version, err = newestRowVersion(ctx, client); err != nil {
 			return err
 		}
 	}
-	counted, err := awaitVersion(ctx, c.String("operators"), version, c.Duration("timeout"))
+	counts, err := waitForVersion(ctx, c.String("operators"), version, c.Duration("timeout"))
 	if err != nil {
 		return err
 	}
-	return writeCounted(c, version, counted)
+	return writeVersionCounts(c, version, counts)
 }
 
-// awaitVersion waits until no process that answers is behind a version.
-func awaitVersion(ctx context.Context, operators string, version uint64, timeout time.Duration) (fleet.Counted, error) {
+// waitForVersion polls until at least one process has the version in force and no process that answers is behind it.
+func waitForVersion(ctx context.Context, operators string, version uint64, timeout time.Duration) (fleet.Counted, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		counted, err := countAt(ctx, operators, version)
-		if err == nil && counted.Behind == 0 && counted.InForce > 0 {
-			return counted, nil
+		counts, err := fetchVersionCounts(ctx, operators, version)
+		if err == nil && counts.Behind == 0 && counts.InForce > 0 {
+			return counts, nil
 		}
 		select {
 		case <-ctx.Done():
-			return counted, errors.Newf("version %d is in force at %d processes, not yet at %d; %d did not answer", version,
-				counted.InForce, counted.Behind, counted.Silent)
-		case <-time.After(waitPoll):
+			return counts, errors.Newf("version %d is in force at %d processes, not yet at %d; %d did not answer", version,
+				counts.InForce, counts.Behind, counts.Silent)
+		case <-time.After(versionPollInterval):
 		}
 	}
 }
 
-// newestRow is the version of the row that was changed last.
-func newestRow(ctx context.Context, client *objectstore.Client) (uint64, error) {
+// newestRowVersion returns the version of the most recently changed row, or 0 if there are no rows.
+func newestRowVersion(ctx context.Context, client *objectstore.Client) (uint64, error) {
 	page, err := client.List(ctx, rillreach.KindRow)
 	if err != nil {
 		return 0, err
@@ -114,31 +114,32 @@
 	return newest, nil
 }
 
-func countAt(ctx context.Context, operators string, version uint64) (fleet.Counted, error) {
-	var counted fleet.Counted
+// fetchVersionCounts asks a process how many processes of the fleet have a version in force.
+func fetchVersionCounts(ctx context.Context, operators string, version uint64) (fleet.Counted, error) {
+	var counts fleet.Counted
 	if operators == "" {
-		return counted, codedError{error: errors.New("give a process's operators' address with --operators"), code: ExitUsage}
+		return counts, exitError{error: errors.New("set the operators' address of any process with --operators"), code: ExitUsage}
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, operators+"/count/"+strconv.FormatUint(version, 10), nil)
 	if err != nil {
-		return counted, errors.Wrap(err, "make request to process")
+		return counts, errors.Wrap(err, "create request to process")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return counted, errors.Wrap(err, "ask process")
+		return counts, errors.Wrap(err, "query process")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return counted, errors.Newf("process answered with status %d", resp.StatusCode)
+		return counts, errors.Newf("process answered with status %d", resp.StatusCode)
 	}
-	return counted, errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&counted), "read process's answer")
+	return counts, errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&counts), "decode answer of process")
 }
 
-func writeCounted(c *cli.Command, version uint64, counted fleet.Counted) error {
+func writeVersionCounts(c *cli.Command, version uint64, counts fleet.Counted) error {
 	if c.String("output") == outputTable {
 		_, err := fmt.Fprintf(c.Root().Writer, "version %d: in force at %d processes, behind at %d, no answer from %d\n", version,
-			counted.InForce, counted.Behind, counted.Silent)
+			counts.InForce, counts.Behind, counts.Silent)
 		return errors.Wrap(err, "write status")
 	}
-	return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(counted), "write status")
+	return errors.Wrap(json.NewEncoder(c.Root().Writer).Encode(counts), "write status")
 }
--- a/cmd/table_validate.go
+++ b/cmd/table_validate.go
@@ -17,7 +17,7 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			rows, err := readRows(c.String("file"))
 			if err != nil {
-				return codedError{error: err, code: ExitUsage}
+				return exitError{error: err, code: ExitUsage}
 			}
 			_, _ = fmt.Fprintf(c.Root().Writer, "%d rows are valid\n", len(rows))
 			return nil
--- a/cmd/tls.go
+++ b/cmd/tls.go
@@ -9,7 +9,7 @@
 	"github.com/rillreach/rillreach/settings"
 )
 
-func checkTLS(c *cli.Command, faults *settings.Validator) {
+func validateTLS(c *cli.Command, validator *settings.Validator) {
 	set := 0
 	for _, name := range []string{"tls-cert", "tls-key", "tls-ca"} {
 		if c.String(name) != "" {
@@ -17,11 +17,11 @@
 		}
 	}
 	if set != 0 && set != 3 {
-		faults.Addf("tls-cert", "set all of --tls-cert, --tls-key and --tls-ca, or none")
+		validator.Addf("tls-cert", "set all of --tls-cert, --tls-key and --tls-ca, or none")
 	}
 }
 
-// newTLS makes what authenticates peers, or nil where no certificate is set.
+// newTLS returns the TLS configuration for connections to peers, or nil if no certificate is set.
 func newTLS(c *cli.Command) (*tls.Config, error) {
 	if c.String("tls-cert") == "" {
 		return nil, nil
