--- a/certs/make.go
+++ b/certs/make.go
@@ -16,28 +16,30 @@
 )
 
 const (
-	blockCertificate = "CERTIFICATE"
-	blockKey         = "EC PRIVATE KEY"
-	authorityName    = "rillreach fleet"
-	clockSlack       = time.Hour
-	serialBits       = 120
+	pemTypeCertificate = "CERTIFICATE"
+	pemTypeKey         = "EC PRIVATE KEY"
+	authorityName      = "rillreach fleet"
+	// maxClockSkew is subtracted from the start of validity, because clocks of other processes may be behind.
+	maxClockSkew = time.Hour
+	// serialBits is the length of random serial numbers.
+	serialBits = 120
 )
 
-// Pair is a certificate and its key, as PEM.
-type Pair struct {
+// KeyPair is a PEM-encoded certificate and its private key.
+type KeyPair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// Authority signs the certificates of one fleet.
+// Authority is the certificate authority of one fleet.
 type Authority struct {
-	Pair
+	KeyPair
 
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that lasts for some time.
+// NewAuthority creates an authority with a self-signed certificate that is valid for the given time.
 func NewAuthority(lifetime time.Duration) (*Authority, error) {
 	template, err := newTemplate(pkix.Name{CommonName: authorityName}, lifetime)
 	if err != nil {
@@ -48,27 +50,27 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make key of authority")
+		return nil, errors.Wrap(err, "generate key of certificate authority")
 	}
 	pair, err := sign(template, template, key, key)
 	if err != nil {
 		return nil, err
 	}
-	return &Authority{Pair: pair, certificate: template, key: key}, nil
+	return &Authority{KeyPair: pair, certificate: template, key: key}, nil
 }
 
-// Issue makes a certificate for a role.
-func (a *Authority) Issue(role rillreach.Role, lifetime time.Duration) (Pair, error) {
+// Issue creates a key and a certificate for a role.
+func (a *Authority) Issue(role rillreach.Role, lifetime time.Duration) (KeyPair, error) {
 	name := pkix.Name{CommonName: string(role), OrganizationalUnit: []string{string(role)}}
 	template, err := newTemplate(name, lifetime)
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "make key")
+		return KeyPair{}, errors.Wrap(err, "generate key")
 	}
 	return sign(template, a.certificate, key, a.key)
 }
@@ -76,25 +78,25 @@
 func newTemplate(name pkix.Name, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "make serial number")
+		return nil, errors.Wrap(err, "generate serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
-		SerialNumber: serial, Subject: name, NotBefore: now.Add(-clockSlack), NotAfter: now.Add(lifetime),
+		SerialNumber: serial, Subject: name, NotBefore: now.Add(-maxClockSkew), NotAfter: now.Add(lifetime),
 	}, nil
 }
 
-func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (Pair, error) {
+func sign(template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) (KeyPair, error) {
 	certificate, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "sign certificate")
+		return KeyPair{}, errors.Wrap(err, "sign certificate")
 	}
 	encoded, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "encode key")
+		return KeyPair{}, errors.Wrap(err, "encode key")
 	}
-	return Pair{
-		Certificate: pem.EncodeToMemory(&pem.Block{Type: blockCertificate, Bytes: certificate}),
-		Key:         pem.EncodeToMemory(&pem.Block{Type: blockKey, Bytes: encoded}),
+	return KeyPair{
+		Certificate: pem.EncodeToMemory(&pem.Block{Type: pemTypeCertificate, Bytes: certificate}),
+		Key:         pem.EncodeToMemory(&pem.Block{Type: pemTypeKey, Bytes: encoded}),
 	}, nil
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -109,7 +109,7 @@
 		identify.Filter{Clock: e.Node.Clock},
 		resolve.Filter{Table: e.Node.Table, KeyDeriver: keep.NewKeyDeriver(e.Secret)},
 	}
-	observe := func(step string, duration time.Duration, _ error) { e.Node.Metrics.Step(step, duration) }
+	observe := func(step string, duration time.Duration, _ error) { e.Node.Metrics.RecordStep(step, duration) }
 	e.chain = &filter.Chain{Log: e.Node.Log, Observe: observe, Filters: append(common[:len(common):len(common)], admit.Filter{Limiter: e.lease}, e.dispatch)}
 	e.ticketChain = &filter.Chain{Log: e.Node.Log, Filters: append(common[:len(common):len(common)], ticketFilter{e.dispatch})}
 }
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -89,13 +89,13 @@
 // recordMetrics records the outcome of a request and the time to the first token.
 func (e *Entry) recordMetrics(x *rillreach.Exchange, refusal *rillreach.Refusal) {
 	if !x.ResponseStartedAt.IsZero() {
-		e.Node.Metrics.FirstToken(x.ResponseStartedAt.Sub(x.ArrivedAt))
+		e.Node.Metrics.RecordFirstToken(x.ResponseStartedAt.Sub(x.ArrivedAt))
 	}
 	if refusal != nil {
-		e.Node.Metrics.Request(string(refusal.Outcome), string(refusal.Reason))
+		e.Node.Metrics.CountRequest(string(refusal.Outcome), string(refusal.Reason))
 		return
 	}
-	e.Node.Metrics.Request(outcomeAnswered, "")
+	e.Node.Metrics.CountRequest(outcomeAnswered, "")
 }
 
 const outcomeAnswered = "answered"
--- a/settings/environment.go
+++ b/settings/environment.go
@@ -7,15 +7,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Prefix begins the names of the environment variables that are settings.
-const Prefix = "RILLREACH_"
+// EnvPrefix is the common prefix of all environment variables that are settings.
+const EnvPrefix = "RILLREACH_"
 
-// CheckEnvironment refuses variables that look like settings and are not.
-func CheckEnvironment(environment []string, known map[string]bool) error {
+// RejectUnknownVariables returns an error if the environment contains variables that start with EnvPrefix and aren't
+// known.
+func RejectUnknownVariables(environment []string, known map[string]bool) error {
 	var unknown []string
 	for _, variable := range environment {
 		name, _, _ := strings.Cut(variable, "=")
-		if strings.HasPrefix(name, Prefix) && !known[name] {
+		if strings.HasPrefix(name, EnvPrefix) && !known[name] {
 			unknown = append(unknown, name)
 		}
 	}
