--- a/localstate/namings.go
+++ b/localstate/namings.go
@@ -26,7 +26,7 @@
 }
 
 // peerReportTimeout is how long other processes have to report when a version of unknown time was named. A
-// restarted gateway follows its 18 agents within 0.23 s. If none of them reports a time, none has its runner load
+// restarted entry follows its 18 agents within 0.23 s. If none of them reports a time, none has its runner load
 // the version either, and older weights are considered outdated.
 const peerReportTimeout = 1500 * time.Millisecond
 
--- a/roster/runner.go
+++ b/roster/runner.go
@@ -23,7 +23,7 @@
 	maxReportAge = 2 * time.Second
 	// maxReportLag is the maximum time between the making and the arrival of a report: an agent polls its runner
 	// every 40 ms, and its reports take a few milliseconds from another zone. With hundreds of runners it polls
-	// every 100 ms, but then a gateway seldom sends two requests to the same runner in that time.
+	// every 100 ms, but then an entry seldom sends two requests to the same runner in that time.
 	maxReportLag = 60 * time.Millisecond
 )
 
--- a/roster/slow_start_test.go
+++ b/roster/slow_start_test.go
@@ -36,21 +36,21 @@
 	}
 }
 
-// A runner that turns cold must not get more requests than it can take in a second, even if many gateways each send
+// A runner that turns cold must not get more requests than it can take in a second, even if many entries each send
 // only one. The runner has no agent that could grant permits to them.
-func TestManyGatewaysOverloadColdRunner(t *testing.T) {
+func TestManyEntriesOverloadColdRunner(t *testing.T) {
 	const (
-		gateways     = 25
+		entries      = 25
 		perSecond    = 11
 		maxPerSecond = perSecond*1.5 + 5
 		step         = 10 * time.Millisecond
 		cold         = 20 * time.Second
 	)
-	start, interval := time.Unix(1000, 0), gateways*time.Second/perSecond
+	start, interval := time.Unix(1000, 0), entries*time.Second/perSecond
 	for name, warm := range map[string]bool{"cold from the start": false, "cold after use": true} {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(5, 5))
-			runners := make([]*Runner, gateways)
+			runners := make([]*Runner, entries)
 			for i := range runners {
 				runners[i] = newRunner(deployment.Runner{}, time.Time{})
 				if warm {
--- a/roster/wait_estimate.go
+++ b/roster/wait_estimate.go
@@ -6,7 +6,7 @@
 )
 
 // waitDecayDivisor sets how fast the greatest recent wait decays: each shorter wait reduces it by this fraction, a
-// half. With five gateways and eighteen runners, a runner gets one request a second from each gateway, so three
+// half. With five entries and eighteen runners, a runner gets one request a second from each entry, so three
 // seconds after a queue of 4 s has gone the estimate is down to 0.5 s.
 const waitDecayDivisor = 2
 
