--- a/bulletin/bulletin.go
+++ b/bulletin/bulletin.go
@@ -53,9 +53,9 @@
 	Load Load `cbor:"3,keyasint"`
 	// CacheUpdates report changes of the KV cache contents of the runner and the managed stores.
 	CacheUpdates []CacheUpdate `cbor:"4,keyasint,omitempty"`
-	// DesiredWeights are the newest versions of weights that the agent knows of.
+	// DesiredWeights are the desired weights of each model, as far as the agent knows.
 	DesiredWeights []deployment.DesiredWeights `cbor:"5,keyasint,omitempty"`
-	// WeightsFirstSeen are the times at which operators requested the newest versions and their predecessors.
+	// WeightsFirstSeen are the times at which operators requested the desired versions and their predecessors.
 	WeightsFirstSeen []WeightsFirstSeen `cbor:"7,keyasint,omitempty"`
 	// Followers is the number of entries that follow the agent.
 	Followers int `cbor:"6,keyasint,omitempty"`
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -264,7 +264,7 @@
 func (g *Gateway) updateWeights(x *exchange, t *target, headers platform.Response) {
 	version := headers.Weights
 	if version == 0 {
-		desired, _ := g.state.NamedWeights(x.wire.Prompt.Model)
+		desired, _ := g.state.DesiredWeights(x.wire.Prompt.Model)
 		version = desired.Version
 	}
 	t.runner.SetWeights(x.wire.Prompt.Model, version)
--- a/gateway/bulletins.go
+++ b/gateway/bulletins.go
@@ -70,7 +70,7 @@
 	return now.Add(time.Duration(b.Load.WeightLoadAt-b.Clock) * time.Millisecond)
 }
 
-// applyWeightsFirstSeen applies the agents' records of when versions of weights were named. An entry that has just
+// applyWeightsFirstSeen applies the agents' records of when versions of weights were requested. An entry that has just
 // started does not know these times itself.
 func (g *Gateway) applyWeightsFirstSeen(b *bulletin.Bulletin, now time.Time) {
 	if b.Clock == 0 {
@@ -78,7 +78,7 @@
 	}
 	for _, n := range b.WeightsFirstSeen {
 		age := time.Duration(b.Clock-n.At) * time.Millisecond
-		g.state.ApplyNamedVersion(localstate.NamedVersion{Model: n.Model, Version: n.Version, At: now.Add(-age)})
+		g.state.ApplyDesiredVersion(localstate.DesiredVersion{Model: n.Model, Version: n.Version, At: now.Add(-age)})
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -37,7 +37,7 @@
 	// minWatchWait and maxWatchWait bound how long one watch of the store waits.
 	minWatchWait = time.Second
 	maxWatchWait = 3 * time.Second
-	// weightsWatchWait is how long a watch of the named weights waits. It may be long since agents report them, too.
+	// weightsWatchWait is how long a watch of the desired weights waits. It may be long since agents report them, too.
 	weightsWatchWait = 20 * time.Second
 	// coalesceDivisor gives the delay between watches of the runners, whose records change in quick succession, as a
 	// fraction of RunnerDrainNotice, at most maxCoalesceDelay. An entry that finds a new run at an address asks at
--- a/gateway/namings_test.go
+++ b/gateway/namings_test.go
@@ -11,7 +11,8 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// An entry that has just started does not know when the current weights were named, and must learn it from the agents.
+// An entry that has just started does not know when the desired weights were requested, and must learn it from the
+// agents.
 func TestEntryStartsAfterWeightsRollout(t *testing.T) {
 	const model = "m"
 	now := time.Now()
--- a/gateway/restored_store_test.go
+++ b/gateway/restored_store_test.go
@@ -57,8 +57,8 @@
 }
 
 func (w *world) weightsVersion() deployment.WeightVersion {
-	named, _ := w.gateway.state.NamedWeights(site.Model)
-	return named.Version
+	desired, _ := w.gateway.state.DesiredWeights(site.Model)
+	return desired.Version
 }
 
 // A change that is acknowledged after the store was restored from an older copy must be in force as soon as any other,
--- a/gateway/weights_test.go
+++ b/gateway/weights_test.go
@@ -22,11 +22,11 @@
 type queuedEngine struct {
 	site.Engine
 
-	// namedAt is when the newer weights were named, in Unix nanoseconds.
-	namedAt   atomic.Int64
-	waiting   atomic.Int64
-	begun     atomic.Int64
-	cancelled atomic.Int64
+	// desiredSince is when the newer weights were requested, in Unix nanoseconds.
+	desiredSince atomic.Int64
+	waiting      atomic.Int64
+	begun        atomic.Int64
+	cancelled    atomic.Int64
 }
 
 func newQueuedEngine(id string) *queuedEngine {
@@ -46,7 +46,7 @@
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
-		if named := q.namedAt.Load(); named != 0 && time.Since(time.Unix(0, named)) > shortWeightsBound {
+		if desiredSince := q.desiredSince.Load(); desiredSince != 0 && time.Since(time.Unix(0, desiredSince)) > shortWeightsBound {
 			q.begun.Add(1)
 			site.Events(w, r, 9, 0)
 			return
@@ -65,7 +65,7 @@
 	return store
 }
 
-// startWithEngines starts an entry with engines, with version 1 of the weights named.
+// startWithEngines starts an entry with engines, with version 1 of the weights desired.
 func startWithEngines(t *testing.T, engines ...*site.Engine) *world {
 	t.Helper()
 	store := newEngineStore()
@@ -89,10 +89,10 @@
 	w.gateway.state.Roster.Find(id).SetReport(roster.Report{ReceivedAt: time.Now().Add(testTimeout)}) // reported alive
 }
 
-// nameWeights names version 2, and waits until the entry knows of it.
-func (w *world) nameWeights(t *testing.T, q *queuedEngine) {
+// setDesiredWeights requests version 2, and waits until the entry knows of it.
+func (w *world) setDesiredWeights(t *testing.T, q *queuedEngine) {
 	t.Helper()
-	q.namedAt.Store(time.Now().UnixNano())
+	q.desiredSince.Store(time.Now().UnixNano())
 	w.store.Put("versions", site.Model, site.WeightsOf(2))
 	w.eventually(t, func() bool { return !w.gateway.state.ReplacedAt(site.Model, 1).IsZero() })
 }
@@ -119,7 +119,7 @@
 		q := newQueuedEngine("old")
 		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
-		w.nameWeights(t, q)
+		w.setDesiredWeights(t, q)
 		assertGatewayAnswer(t, readAnswer(t, w.sendPrompt(t, "/flow/x"), http.MethodGet), http.StatusBadGateway)
 		assertCancelled(t, q)
 	})
@@ -127,7 +127,7 @@
 		q := newQueuedEngine("old")
 		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
-		w.nameWeights(t, q)
+		w.setDesiredWeights(t, q)
 		conn := w.sendPrompt(t, "/prompt/x")
 		w.eventually(t, func() bool { return q.waiting.Load() == 1 })
 		newest := &site.Engine{Model: site.Model, Version: 2}
@@ -145,15 +145,15 @@
 		defer w.stop()
 		conn := w.sendPrompt(t, "/flow/x")
 		w.eventually(t, func() bool { return q.waiting.Load() == 1 })
-		w.nameWeights(t, q)
+		w.setDesiredWeights(t, q)
 		assertGatewayAnswer(t, readAnswer(t, conn, http.MethodGet), http.StatusBadGateway)
 		assertCancelled(t, q)
 	})
 }
 
-// An entry that has just started cannot know for how long the named weights have been named. If no agent reports that,
+// An entry that has just started cannot know for how long the desired weights have been so. If no agent reports that,
 // it has to assume that older weights may no longer be used.
-func TestWeightsNamedBeforeEntryStart(t *testing.T) {
+func TestWeightsDesiredBeforeEntryStart(t *testing.T) {
 	store := newEngineStore()
 	store.Put("versions", site.Model, site.WeightsOf(2))
 	old := &site.Engine{Model: site.Model, Version: 1}
--- a/localstate/namings.go
+++ b/localstate/namings.go
@@ -11,26 +11,26 @@
 	"github.com/rillreach/rillreach/deployment"
 )
 
-// versionRecord is a version of a model's weights and when operators named it as the one to serve.
+// versionRecord is a version of a model's weights and when it became the desired one.
 type versionRecord struct {
 	version deployment.WeightVersion
-	// namedAt is when the version was named, as far as this process knows, and learnedAt when this
+	// desiredSince is when operators requested the version, as far as this process knows, and learnedAt when this
 	// process learned of it.
-	namedAt   time.Time
-	learnedAt time.Time
-	// timeUnknown means that namedAt is only an upper bound: the version was in the first list or arrived right
+	desiredSince time.Time
+	learnedAt    time.Time
+	// timeUnknown means that desiredSince is only an upper bound: the version was in the first list or arrived right
 	// after a stall, and no other process has reported its time yet.
 	timeUnknown bool
-	// mayFollowGap means that earlier versions may have been named without this process learning of them.
+	// mayFollowGap means that earlier versions may have been desired without this process learning of them.
 	mayFollowGap bool
 }
 
-// peerReportTimeout is how long other processes have to report when a version of unknown time was named. A
+// peerReportTimeout is how long other processes have to report since when a version of unknown time is desired. A
 // restarted entry follows its 18 agents within 0.23 s. If none of them reports a time, none has its runner load
 // the version either, and older weights are considered outdated.
 const peerReportTimeout = 1500 * time.Millisecond
 
-// minLoggedCorrection is the smallest correction of a naming time that is logged. Smaller ones come from differing
+// minLoggedCorrection is the smallest correction of desiredSince that is logged. Smaller ones come from differing
 // delivery times of messages.
 const minLoggedCorrection = 200 * time.Millisecond
 
@@ -38,18 +38,18 @@
 // replaced weights may still be used.
 const maxVersionRecords = 32
 
-// NamedWeights returns the newest named version of a model, and when it was named as far as this process knows.
-func (s *State) NamedWeights(model rillreach.ModelID) (deployment.DesiredWeights, time.Time) {
+// DesiredWeights returns the desired weights of a model, and when they were requested as far as this process knows.
+func (s *State) DesiredWeights(model rillreach.ModelID) (deployment.DesiredWeights, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	records := s.versions[model]
 	if len(records) == 0 {
 		return deployment.DesiredWeights{}, time.Time{}
 	}
-	return s.weights[model], records[len(records)-1].namedAt
+	return s.weights[model], records[len(records)-1].desiredSince
 }
 
-// ReplacedAt returns when the given version was replaced, that is, when the first newer one was named, as far as
+// ReplacedAt returns when the given version was replaced, that is, when the first newer one was requested, as far as
 // this process knows. It returns the zero time if there is no newer version, and the Unix epoch if no process has
 // reported that time or this process may have missed a version in between.
 func (s *State) ReplacedAt(model rillreach.ModelID, version deployment.WeightVersion) time.Time {
@@ -63,68 +63,68 @@
 		if unsure && time.Since(n.learnedAt) > peerReportTimeout {
 			return time.Unix(0, 0)
 		}
-		return n.namedAt
+		return n.desiredSince
 	}
 	return time.Time{}
 }
 
-// NamedVersion is a version of a model's weights and when it was named.
-type NamedVersion struct {
+// DesiredVersion is a desired or formerly desired version of a model's weights and when operators requested it.
+type DesiredVersion struct {
 	Model   rillreach.ModelID
 	Version deployment.WeightVersion
 	At      time.Time
 }
 
-// NamedVersions returns the versions whose naming time is known, by model and in ascending order of version.
-func (s *State) NamedVersions() []NamedVersion {
+// DesiredVersions returns the versions whose desiredSince is known, by model and in ascending order of version.
+func (s *State) DesiredVersions() []DesiredVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []NamedVersion
+	var all []DesiredVersion
 	for _, model := range slices.Sorted(maps.Keys(s.versions)) {
 		for _, n := range s.versions[model] {
 			if n.timeUnknown {
 				continue
 			}
-			all = append(all, NamedVersion{Model: model, Version: n.version, At: n.namedAt})
+			all = append(all, DesiredVersion{Model: model, Version: n.version, At: n.desiredSince})
 		}
 	}
 	return all
 }
 
-// NamedVersionsRevision returns a counter that changes whenever the result of NamedVersions does.
-func (s *State) NamedVersionsRevision() uint64 { return s.namedVersionsRevision.Load() }
+// DesiredVersionsRevision returns a counter that changes whenever the result of DesiredVersions does.
+func (s *State) DesiredVersionsRevision() uint64 { return s.desiredVersionsRevision.Load() }
 
-// ApplyNamedVersion records a naming time that another process has reported; this process may have started later.
-func (s *State) ApplyNamedVersion(reported NamedVersion) {
+// ApplyDesiredVersion records a version that another process has reported; this process may have started later.
+func (s *State) ApplyDesiredVersion(reported DesiredVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	records := s.versions[reported.Model]
 	i, known := slices.BinarySearchFunc(records, reported.Version, func(n versionRecord, v deployment.WeightVersion) int { return cmp.Compare(n.version, v) })
 	switch {
 	case known:
-		s.correctNamedAt(&records[i], reported)
-	case i < len(records): // the newest version is taken from the object store only
+		s.correctDesiredSince(&records[i], reported)
+	case i < len(records): // the desired version is taken from the object store only
 		// If this process may have missed versions before the next one, it may also have missed some before this one.
-		record := versionRecord{version: reported.Version, namedAt: reported.At, learnedAt: time.Now(), mayFollowGap: records[i].mayFollowGap}
+		record := versionRecord{version: reported.Version, desiredSince: reported.At, learnedAt: time.Now(), mayFollowGap: records[i].mayFollowGap}
 		records = slices.Insert(records, i, record)
 		s.setVersions(reported.Model, records)
 	}
 }
 
-// correctNamedAt replaces a naming time by the reported one if that is earlier. The lock must be held.
-func (s *State) correctNamedAt(record *versionRecord, reported NamedVersion) {
+// correctDesiredSince replaces desiredSince by the reported time if that is earlier. The lock must be held.
+func (s *State) correctDesiredSince(record *versionRecord, reported DesiredVersion) {
 	if record.timeUnknown {
 		record.timeUnknown = false
-		s.namedVersionsRevision.Add(1)
+		s.desiredVersionsRevision.Add(1)
 	}
-	if !reported.At.Before(record.namedAt) {
+	if !reported.At.Before(record.desiredSince) {
 		return
 	}
-	if correction := record.namedAt.Sub(reported.At); correction > minLoggedCorrection {
+	if correction := record.desiredSince.Sub(reported.At); correction > minLoggedCorrection {
 		s.Log.Info("weights were named earlier", "decision", "apply", "model", reported.Model, "weights", reported.Version, "by", correction.String())
 	}
-	record.namedAt = reported.At
-	s.namedVersionsRevision.Add(1)
+	record.desiredSince = reported.At
+	s.desiredVersionsRevision.Add(1)
 }
 
 // setVersions stores the newest records of a model. The lock must be held. The oldest remaining record takes the
@@ -132,16 +132,16 @@
 // later than they were.
 func (s *State) setVersions(model rillreach.ModelID, records []versionRecord) {
 	if forgotten := len(records) - maxVersionRecords; forgotten > 0 {
-		first := records[0].namedAt
+		first := records[0].desiredSince
 		records = slices.Clone(records[forgotten:])
-		records[0].namedAt = first
+		records[0].desiredSince = first
 	}
 	s.versions[model] = records
-	s.namedVersionsRevision.Add(1)
+	s.desiredVersionsRevision.Add(1)
 }
 
-// AllNamedWeights returns the newest named version of each model.
-func (s *State) AllNamedWeights() []deployment.DesiredWeights {
+// AllDesiredWeights returns the desired weights of each model.
+func (s *State) AllDesiredWeights() []deployment.DesiredWeights {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]deployment.DesiredWeights, 0, len(s.weights))
@@ -151,11 +151,12 @@
 	return all
 }
 
-// SetWeights records a version of a model's weights that has just been named, unless it is older than the known one.
+// SetWeights records desired weights of a model that have just been requested, unless they are older than the known
+// ones.
 func (s *State) SetWeights(w deployment.DesiredWeights) { s.setWeights(w, false) }
 
-// SetWeightsOfUnknownAge records a version of a model's weights that may have been named at any time before,
-// unless it is older than the known one.
+// SetWeightsOfUnknownAge records desired weights of a model that may have been requested at any time before,
+// unless they are older than the known ones.
 func (s *State) SetWeightsOfUnknownAge(w deployment.DesiredWeights) { s.setWeights(w, true) }
 
 func (s *State) setWeights(w deployment.DesiredWeights, timeUnknown bool) {
@@ -164,7 +165,7 @@
 	known, ok := s.weights[w.Model]
 	switch {
 	case ok && w.Revision == known.Revision:
-		s.confirmNamedAt(w, timeUnknown)
+		s.confirmDesiredSince(w, timeUnknown)
 		return
 	case ok && !supersedes(w, known):
 		return
@@ -177,37 +178,37 @@
 	}
 	s.weights[w.Model] = w
 	now := time.Now()
-	s.setVersions(w.Model, append(s.versions[w.Model], versionRecord{version: w.Version, namedAt: now, learnedAt: now, timeUnknown: timeUnknown, mayFollowGap: timeUnknown}))
+	s.setVersions(w.Model, append(s.versions[w.Model], versionRecord{version: w.Version, desiredSince: now, learnedAt: now, timeUnknown: timeUnknown, mayFollowGap: timeUnknown}))
 	s.Log.Info("weights named", "decision", "apply", "model", w.Model, "weights", w.Version, "revision", w.Revision, "found", timeUnknown)
 	if s.WeightsChanged != nil {
 		s.WeightsChanged(w)
 	}
 }
 
-// confirmNamedAt records that the newest version of a model's weights has just been named. Another process had
-// reported it before the object store did.
-func (s *State) confirmNamedAt(w deployment.DesiredWeights, timeUnknown bool) {
+// confirmDesiredSince records that the desired weights of a model have just been requested. Another process had
+// reported them before the object store did.
+func (s *State) confirmDesiredSince(w deployment.DesiredWeights, timeUnknown bool) {
 	if timeUnknown {
 		return
 	}
 	records := s.versions[w.Model]
 	records[len(records)-1].timeUnknown = false
-	s.namedVersionsRevision.Add(1)
+	s.desiredVersionsRevision.Add(1)
 }
 
-// supersedes reports whether a named version replaces the known one.
+// supersedes reports whether desired weights replace the known ones.
 func supersedes(next, known deployment.DesiredWeights) bool {
 	return rillreach.Supersedes(next.Revision, next.Version, known.Revision, known.Version)
 }
 
-// WeightsFollower returns a controller that keeps the named weights in sync with their source.
+// WeightsFollower returns a controller that keeps the desired weights in sync with their source.
 func (s *State) WeightsFollower(source rillreach.Source[deployment.DesiredWeights], wait time.Duration) rillreach.Controller {
 	apply := func(u rillreach.Update[deployment.DesiredWeights], timeUnknown bool) {
 		if checkReadable(s.Log, "weights", &s.unreadableWeights, u) && !u.Deleted {
 			s.setWeights(u.Value, timeUnknown)
 		}
 	}
-	// A later list, requested because changes were missed, contains what was named in the short time between; the
+	// A later list, requested because changes were missed, contains what was requested in the short time between; the
 	// first list may contain older versions.
 	firstList := true
 	return &follow.Controller[deployment.DesiredWeights]{
@@ -222,7 +223,7 @@
 			for _, u := range all {
 				if u.Err == nil && s.isKnown(u.Value) {
 					s.unreadableWeights.remove(u.Name)
-					continue // a list does not tell when a known version was named
+					continue // a list does not tell when a known version was requested
 				}
 				apply(u, firstList || s.stalls.mayBeDelayed(time.Now()))
 			}
@@ -231,7 +232,7 @@
 	}
 }
 
-// isKnown reports whether a named version is already known or older than the known one.
+// isKnown reports whether desired weights are already known or older than the known ones.
 func (s *State) isKnown(w deployment.DesiredWeights) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/localstate/namings_test.go
+++ b/localstate/namings_test.go
@@ -25,7 +25,7 @@
 	assert.False(t, s.ReplacedAt("m", 2).IsZero())
 }
 
-func TestApplyNamedVersion(t *testing.T) {
+func TestApplyDesiredVersion(t *testing.T) {
 	const model = "m"
 	start := time.Now()
 	begin := func() *State {
@@ -35,44 +35,44 @@
 	}
 	t.Run("an earlier reported time is adopted", func(t *testing.T) {
 		s := begin()
-		s.ApplyNamedVersion(NamedVersion{Model: model, Version: 5, At: start.Add(-time.Minute)})
+		s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 5, At: start.Add(-time.Minute)})
 		assert.Equal(t, start.Add(-time.Minute), s.ReplacedAt(model, 4))
 	})
 	t.Run("the time of a dropped version is kept", func(t *testing.T) {
 		s := begin()
-		s.ApplyNamedVersion(NamedVersion{Model: model, Version: 5, At: start.Add(-time.Minute)})
+		s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 5, At: start.Add(-time.Minute)})
 		for version := deployment.WeightVersion(6); version < 6+2*maxVersionRecords; version++ {
 			s.SetWeights(deployment.DesiredWeights{Model: model, Version: version, Revision: rillreach.Revision{Number: uint64(version)}})
 		}
 		assert.Equal(t, start.Add(-time.Minute), s.ReplacedAt(model, 4))
-		assert.Len(t, s.NamedVersions(), maxVersionRecords)
+		assert.Len(t, s.DesiredVersions(), maxVersionRecords)
 	})
 	t.Run("a later reported time is ignored", func(t *testing.T) {
 		s := begin()
 		before := s.ReplacedAt(model, 4)
-		s.ApplyNamedVersion(NamedVersion{Model: model, Version: 5, At: start.Add(time.Minute)})
+		s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 5, At: start.Add(time.Minute)})
 		assert.Equal(t, before, s.ReplacedAt(model, 4))
 	})
 	t.Run("a reported version in between replaces only those before it", func(t *testing.T) {
 		s := begin()
-		s.ApplyNamedVersion(NamedVersion{Model: model, Version: 3, At: start.Add(-time.Minute)})
+		s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 3, At: start.Add(-time.Minute)})
 		assert.Equal(t, start.Add(-time.Minute), s.ReplacedAt(model, 2))
 		assert.False(t, s.ReplacedAt(model, 3).Before(start))
-		assert.Len(t, s.NamedVersions(), 2)
+		assert.Len(t, s.DesiredVersions(), 2)
 	})
 	t.Run("a version newer than that of the object store is ignored", func(t *testing.T) {
 		s := begin()
-		s.ApplyNamedVersion(NamedVersion{Model: model, Version: 6, At: start})
-		s.ApplyNamedVersion(NamedVersion{Model: "other", Version: 1, At: start})
-		assert.Len(t, s.NamedVersions(), 1)
+		s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 6, At: start})
+		s.ApplyDesiredVersion(DesiredVersion{Model: "other", Version: 1, At: start})
+		assert.Len(t, s.DesiredVersions(), 1)
 	})
 }
 
-// Weights that the first list contains may have been named at any time before.
+// Weights that the first list contains may have been requested at any time before.
 func TestWeightsOfUnknownAge(t *testing.T) {
 	const model = "m"
 	longAgo := time.Unix(0, 0)
-	named := func(version uint64) []rillreach.Update[deployment.DesiredWeights] {
+	listOf := func(version uint64) []rillreach.Update[deployment.DesiredWeights] {
 		w := deployment.DesiredWeights{Model: model, Version: deployment.WeightVersion(version), Revision: rillreach.Revision{Number: version}}
 		return []rillreach.Update[deployment.DesiredWeights]{{Name: model, Revision: rillreach.Revision{Number: version}, Value: w}}
 	}
@@ -100,7 +100,7 @@
 			start := time.Now()
 			s := found()
 			time.Sleep(time.Minute)
-			s.ApplyNamedVersion(NamedVersion{Model: model, Version: 5, At: start.Add(-time.Second)})
+			s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 5, At: start.Add(-time.Second)})
 			assert.Equal(t, start.Add(-time.Second), s.ReplacedAt(model, 4))
 		})
 	})
@@ -123,19 +123,19 @@
 	})
 	t.Run("an unknown time is not reported to others", func(t *testing.T) {
 		s := found()
-		assert.Empty(t, s.NamedVersions())
-		s.ApplyNamedVersion(NamedVersion{Model: model, Version: 5, At: time.Now()})
-		assert.Len(t, s.NamedVersions(), 1)
+		assert.Empty(t, s.DesiredVersions())
+		s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 5, At: time.Now()})
+		assert.Len(t, s.DesiredVersions(), 1)
 	})
 	t.Run("a version in between may have been named, until another process reports it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			s := found()
-			s.ApplyNamedVersion(NamedVersion{Model: model, Version: 5, At: start.Add(-time.Second)})
+			s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 5, At: start.Add(-time.Second)})
 			time.Sleep(peerReportTimeout + 1)
 			assert.Equal(t, start.Add(-time.Second), s.ReplacedAt(model, 4))
 			assert.Equal(t, longAgo, s.ReplacedAt(model, 3))
-			s.ApplyNamedVersion(NamedVersion{Model: model, Version: 4, At: start.Add(-time.Minute)})
+			s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 4, At: start.Add(-time.Minute)})
 			assert.Equal(t, start.Add(-time.Minute), s.ReplacedAt(model, 3))
 		})
 	})
@@ -143,7 +143,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			s := found()
-			s.ApplyNamedVersion(NamedVersion{Model: model, Version: 4, At: start.Add(-time.Second)})
+			s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 4, At: start.Add(-time.Second)})
 			time.Sleep(peerReportTimeout + 1)
 			assert.Equal(t, start.Add(-time.Second), s.ReplacedAt(model, 3))
 			assert.Equal(t, longAgo, s.ReplacedAt(model, 1))
@@ -163,8 +163,8 @@
 			s := newState()
 			c, ok := s.WeightsFollower(nil, time.Second).(*follow.Controller[deployment.DesiredWeights])
 			require.True(t, ok)
-			c.OnListed(named(5), time.Time{})
-			c.OnListed(named(5), time.Time{})
+			c.OnListed(listOf(5), time.Time{})
+			c.OnListed(listOf(5), time.Time{})
 			time.Sleep(peerReportTimeout + 1)
 			assert.Equal(t, longAgo, s.ReplacedAt(model, 4))
 		})
@@ -176,7 +176,7 @@
 			require.True(t, ok)
 			c.OnListed(nil, time.Time{})
 			time.Sleep(time.Minute)
-			c.OnListed(named(5), time.Time{})
+			c.OnListed(listOf(5), time.Time{})
 			start := time.Now()
 			time.Sleep(peerReportTimeout + 1)
 			assert.Equal(t, start, s.ReplacedAt(model, 4))
--- a/localstate/runners_test.go
+++ b/localstate/runners_test.go
@@ -298,21 +298,21 @@
 		s, lines := countLines("object refused")
 		c, ok := s.WeightsFollower(nil, time.Second).(*follow.Controller[deployment.DesiredWeights])
 		require.True(t, ok)
-		named := func(revision uint64) rillreach.Update[deployment.DesiredWeights] {
+		desired := func(revision uint64) rillreach.Update[deployment.DesiredWeights] {
 			return rillreach.Update[deployment.DesiredWeights]{
 				Name: "m", Revision: rillreach.Revision{Number: revision}, Value: deployment.DesiredWeights{Model: "m", Version: deployment.WeightVersion(revision), Revision: rillreach.Revision{Number: revision}},
 			}
 		}
 		broken := rillreach.Update[deployment.DesiredWeights]{Name: "m", Revision: rillreach.Revision{Number: 2}, Err: errUnreadable}
-		c.OnListed([]rillreach.Update[deployment.DesiredWeights]{named(1)}, time.Time{})
+		c.OnListed([]rillreach.Update[deployment.DesiredWeights]{desired(1)}, time.Time{})
 		c.OnChanged(broken, time.Time{})
 		c.OnListed([]rillreach.Update[deployment.DesiredWeights]{broken}, time.Time{})
-		known, _ := s.NamedWeights("m")
+		known, _ := s.DesiredWeights("m")
 		assert.Equal(t, deployment.WeightVersion(1), known.Version)
 		assert.Equal(t, 1, *lines)
 		assert.InDelta(t, 1, gauge(t, s, "rillreach.objects.unreadable.weights"), 0)
-		c.OnChanged(named(3), time.Time{})
-		known, _ = s.NamedWeights("m")
+		c.OnChanged(desired(3), time.Time{})
+		known, _ = s.DesiredWeights("m")
 		assert.Equal(t, deployment.WeightVersion(3), known.Version)
 		assert.InDelta(t, 0, gauge(t, s, "rillreach.objects.unreadable.weights"), 0)
 	})
--- a/localstate/state.go
+++ b/localstate/state.go
@@ -1,5 +1,5 @@
 // Package localstate is a process's copy of what the platform's object store says about the site: the
-// configuration, the runners, and the weights that operators have named as the versions to serve. None of it ever
+// configuration, the runners, and the desired weights of the models. None of it ever
 // reverts to an older version, even if the store is restored from a backup.
 package localstate
 
@@ -69,7 +69,7 @@
 	weights  map[rillreach.ModelID]deployment.DesiredWeights
 	versions map[rillreach.ModelID][]versionRecord
 
-	namedVersionsRevision atomic.Uint64
+	desiredVersionsRevision atomic.Uint64
 }
 
 // Config returns the newest configuration, or nil before the first.
--- a/localstate/state_test.go
+++ b/localstate/state_test.go
@@ -28,8 +28,8 @@
 		s := newState()
 		s.SetWeights(deployment.DesiredWeights{Model: "m", Version: 3, Revision: rillreach.Revision{Number: 10}})
 		s.SetWeights(deployment.DesiredWeights{Model: "m", Version: 2, Revision: rillreach.Revision{Number: 9}})
-		named, since := s.NamedWeights("m")
-		assert.Equal(t, deployment.WeightVersion(3), named.Version)
+		desired, since := s.DesiredWeights("m")
+		assert.Equal(t, deployment.WeightVersion(3), desired.Version)
 		assert.False(t, since.IsZero())
 	})
 }
--- a/sidecar/collector.go
+++ b/sidecar/collector.go
@@ -244,16 +244,16 @@
 	store.tracker.Apply(changes)
 }
 
-// obsolete reports whether the parts under a salt are no longer worth keeping: newer weights are named, and either two
-// thirds of the model's runners have loaded weights newer than the salt's, or the newest were named more than
-// maxReplacedAge ago.
+// obsolete reports whether the parts under a salt are no longer worth keeping: newer weights are desired, and either
+// two thirds of the model's runners have loaded weights newer than the salt's, or the desired ones were requested more
+// than maxReplacedAge ago.
 func (c *collector) obsolete(saltText string, now time.Time) bool {
 	salt, ok := deployment.ParseSalt(saltText)
 	if !ok {
 		return false
 	}
-	named, since := c.sidecar.state.NamedWeights(salt.Model)
-	if salt.Weights >= named.Version {
+	desired, since := c.sidecar.state.DesiredWeights(salt.Model)
+	if salt.Weights >= desired.Version {
 		return false
 	}
 	outdated, total := 0, 0
--- a/sidecar/follower.go
+++ b/sidecar/follower.go
@@ -92,7 +92,7 @@
 // addState adds what the agent knows from the object store, and the number of followers.
 func (f *follower) addState(b *bulletin.Bulletin) {
 	s := f.publisher.sidecar
-	b.DesiredWeights, b.Followers = s.state.AllNamedWeights(), int(f.publisher.followers.Load())
+	b.DesiredWeights, b.Followers = s.state.AllDesiredWeights(), int(f.publisher.followers.Load())
 	if c := s.state.Config(); c != nil {
 		version := c.ConfigVersion()
 		b.Config = &version
--- a/sidecar/loader.go
+++ b/sidecar/loader.go
@@ -21,7 +21,7 @@
 	maxPollInterval = 100 * time.Millisecond
 )
 
-// loader polls the runner's report, and has the runner load the newest named weights.
+// loader polls the runner's report, and has the runner load the desired weights.
 type loader struct {
 	sidecar  *Sidecar
 	sequence loadSequence
@@ -78,11 +78,11 @@
 	info := runner.Info()
 	weightLoad := weightLoadStatus{loading: load.LoadingWeights}
 	for model, loaded := range load.Weights {
-		named, since := s.state.NamedWeights(model)
-		if named.Version == 0 {
-			continue // no weights of the model are named yet
+		desired, since := s.state.DesiredWeights(model)
+		if desired.Version == 0 {
+			continue // no weights of the model are desired yet
 		}
-		weightLoad = weightLoad.merge(l.decide(ctx, info, load, named, loaded, time.Since(since)))
+		weightLoad = weightLoad.merge(l.decide(ctx, info, load, desired, loaded, time.Since(since)))
 	}
 	s.publisher.setReport(load, weightLoad)
 }
@@ -117,28 +117,28 @@
 	}
 }
 
-// decide decides whether the runner loads the named weights of one model now and sends the order if so. It returns the
-// status of the load for entries.
-func (l *loader) decide(ctx context.Context, runner deployment.Runner, load deployment.Load, named deployment.DesiredWeights, loaded deployment.WeightVersion, knownFor time.Duration) weightLoadStatus {
-	rank, total := l.sequence.rank(l.sidecar.state.Roster.ByService(runner.Service), named, runner.ID)
+// decide decides whether the runner loads the desired weights of one model now and sends the order if so. It returns
+// the status of the load for entries.
+func (l *loader) decide(ctx context.Context, runner deployment.Runner, load deployment.Load, desired deployment.DesiredWeights, loaded deployment.WeightVersion, knownFor time.Duration) weightLoadStatus {
+	rank, total := l.sequence.rank(l.sidecar.state.Roster.ByService(runner.Service), desired, runner.ID)
 	input := weights.Input{
-		Newest: named.Version, Loaded: loaded, KnownFor: knownFor, Bound: l.sidecar.Settings.Bounds.WeightsRollout, Rank: rank, Total: total,
+		Desired: desired.Version, Loaded: loaded, KnownFor: knownFor, Bound: l.sidecar.Settings.Bounds.WeightsRollout, Rank: rank, Total: total,
 		Busy: load.LoadingWeights, Leaving: runner.Leaving || load.Leaving,
 	}
 	startByRank := time.Now().Add(weights.StartDelay(rank, total, input.Bound) - knownFor)
-	start := l.scheduleFor(named.Model).Update(loaded, named.Version, startByRank)
+	start := l.scheduleFor(desired.Model).Update(loaded, desired.Version, startByRank)
 	input.EarlierBy = startByRank.Sub(start)
-	if l.lastOrderRun == runner.Run() && l.lastOrder.Weights == named.Version {
+	if l.lastOrderRun == runner.Run() && l.lastOrder.Weights == desired.Version {
 		input.SinceOrder = time.Since(l.lastOrderAt)
 	}
 	action := weights.Decide(input)
 	if action != l.lastAction {
 		l.lastAction = action
-		l.sidecar.Log.Info("weights", "decision", action, "model", named.Model, "named", named.Version, "loaded", loaded,
+		l.sidecar.Log.Info("weights", "decision", action, "model", desired.Model, "named", desired.Version, "loaded", loaded,
 			"rank", rank, "total", total, "since", knownFor.String(), "earlier", input.EarlierBy.String(), "busy", load.LoadingWeights)
 	}
 	if action == weights.ActionLoad {
-		l.sendOrder(ctx, runner, load, named)
+		l.sendOrder(ctx, runner, load, desired)
 	}
 	return weightLoadStatusOf(action, start)
 }
@@ -154,20 +154,20 @@
 	return l.schedules[model]
 }
 
-// sendOrder orders the runner to load the named weights.
-func (l *loader) sendOrder(ctx context.Context, runner deployment.Runner, load deployment.Load, named deployment.DesiredWeights) {
+// sendOrder orders the runner to load the desired weights.
+func (l *loader) sendOrder(ctx context.Context, runner deployment.Runner, load deployment.Load, desired deployment.DesiredWeights) {
 	l.lastOrder = platform.Order{
-		Runner: runner.ID, Model: named.Model, Weights: named.Version,
-		Issuer: l.sidecar.Settings.Name, FencingToken: named.FencingToken(), ExpectedOrdersTaken: load.OrdersTaken,
+		Runner: runner.ID, Model: desired.Model, Weights: desired.Version,
+		Issuer: l.sidecar.Settings.Name, FencingToken: desired.FencingToken(), ExpectedOrdersTaken: load.OrdersTaken,
 	}
 	l.lastOrderRun, l.lastOrderAt = runner.Run(), time.Now()
 	answer, err := l.sidecar.Runner.Order(ctx, l.lastOrder)
 	if err != nil {
-		l.sidecar.Log.Error(err, "no response to order", "decision", "wait", "runner", runner.ID, "weights", named.Version, "after", load.OrdersTaken)
+		l.sidecar.Log.Error(err, "no response to order", "decision", "wait", "runner", runner.ID, "weights", desired.Version, "after", load.OrdersTaken)
 		return
 	}
-	l.sidecar.Log.Info("order sent", "decision", answer.Status, "runner", runner.ID, "generation", answer.Generation, "model", named.Model, "weights", named.Version,
-		"fence", named.FencingToken(), "after", load.OrdersTaken)
+	l.sidecar.Log.Info("order sent", "decision", answer.Status, "runner", runner.ID, "generation", answer.Generation, "model", desired.Model, "weights", desired.Version,
+		"fence", desired.FencingToken(), "after", load.OrdersTaken)
 	if answer.Status != platform.OrderRefused { // a refusal may come from another runner that has the address now
 		l.sidecar.state.ObserveRun(rillreach.InstanceRun{ID: runner.ID, Generation: answer.Generation})
 	}
--- a/sidecar/order.go
+++ b/sidecar/order.go
@@ -21,12 +21,12 @@
 
 // rank returns the runner's position in the sequence, from zero, and the length of the sequence. A runner that was
 // listed later ranks last.
-func (s *loadSequence) rank(runners []*roster.Runner, named deployment.DesiredWeights, id rillreach.InstanceID) (rank, total int) {
+func (s *loadSequence) rank(runners []*roster.Runner, desired deployment.DesiredWeights, id rillreach.InstanceID) (rank, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.model != named.Model || s.version != named.Version {
-		s.model, s.version = named.Model, named.Version
-		s.ranks = ranksOf(runners, named.Model)
+	if s.model != desired.Model || s.version != desired.Version {
+		s.model, s.version = desired.Model, desired.Version
+		s.ranks = ranksOf(runners, desired.Model)
 	}
 	total = max(len(s.ranks), 1)
 	rank, ok := s.ranks[id]
--- a/sidecar/publisher.go
+++ b/sidecar/publisher.go
@@ -49,7 +49,7 @@
 	load       deployment.Load
 	reportedAt time.Time
 	weightLoad weightLoadStatus
-	// firstSeen is the last result of weightsFirstSeen, and firstSeenRevision the revision of the named versions that
+	// firstSeen is the last result of weightsFirstSeen, and firstSeenRevision the revision of the desired versions that
 	// it was computed from.
 	firstSeen         []bulletin.WeightsFirstSeen
 	firstSeenRevision uint64
@@ -151,7 +151,7 @@
 	return min(interval, maxBulletinInterval)
 }
 
-// weightsFirstSeen returns when each version of weights was named, on the runners' clock, whose current reading is
+// weightsFirstSeen returns when each version of weights was requested, on the runners' clock, whose current reading is
 // given. Each time is computed only once, so that bulletins differ only if something new is known.
 func (p *publisher) weightsFirstSeen(clock int64) []bulletin.WeightsFirstSeen {
 	if clock == 0 {
@@ -159,11 +159,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	revision := p.sidecar.state.NamedVersionsRevision()
+	revision := p.sidecar.state.DesiredVersionsRevision()
 	if revision == p.firstSeenRevision {
 		return p.firstSeen
 	}
-	versions := p.sidecar.state.NamedVersions()
+	versions := p.sidecar.state.DesiredVersions()
 	firstSeen := make([]bulletin.WeightsFirstSeen, 0, len(versions))
 	for _, version := range versions {
 		seen := bulletin.WeightsFirstSeen{Model: version.Model, Version: version.Version, At: clock - time.Since(version.At).Milliseconds()}
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -37,7 +37,7 @@
 type Sidecar struct {
 	// Settings are the process settings from the platform.
 	Settings *deployment.Settings
-	// Runners and Weights are the sources of the runners' records and of the named weights in the object store.
+	// Runners and Weights are the sources of the runners' records and of the desired weights in the object store.
 	Runners rillreach.Source[*deployment.Runner]
 	Weights rillreach.Source[deployment.DesiredWeights]
 	// Configs is the source of the configuration in the object store.
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -156,8 +156,8 @@
 	return agent
 }
 
-// nameWeights names a version of the model's weights, and returns the revision of the object.
-func (f *fixture) nameWeights(version uint64) uint64 {
+// setDesiredWeights requests a version of the model's weights, and returns the revision of the object.
+func (f *fixture) setDesiredWeights(version uint64) uint64 {
 	return f.store.Put("versions", "m", map[string]any{"model": "m", "version": version})
 }
 
@@ -169,21 +169,21 @@
 func TestOrders(t *testing.T) {
 	t.Run("an order carries the version, the runner, the fencing token and the count of earlier orders", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1, ordersTaken: 4})
-		revision := f.nameWeights(2)
+		revision := f.setDesiredWeights(2)
 		f.eventually(t, func() bool { return len(f.engine.receivedOrders()) > 0 })
 		assert.Equal(t, receivedOrder{Op: "version", Version: 2, Mode: "queue", Holder: "side-1", Fence: revision, Expected: 4, instance: "r1"}, f.engine.receivedOrders()[0])
 	})
 	t.Run("an order without a response is repeated with the same count", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1, dropResponses: 1})
-		f.nameWeights(2)
+		f.setDesiredWeights(2)
 		f.eventually(t, func() bool { return len(f.engine.receivedOrders()) == 2 })
 		orders := f.engine.receivedOrders()
 		assert.Equal(t, orders[0], orders[1])
 	})
 	t.Run("the newest of two named versions is loaded, and fencing tokens increase", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1})
-		f.nameWeights(2)
-		f.nameWeights(3)
+		f.setDesiredWeights(2)
+		f.setDesiredWeights(3)
 		f.eventually(t, func() bool {
 			orders := f.engine.receivedOrders()
 			return len(orders) > 0 && orders[len(orders)-1].Version == 3
@@ -196,10 +196,10 @@
 	})
 	t.Run("a runner with the named version gets no order", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 2})
-		f.nameWeights(2)
-		f.eventually(t, func() bool { named, _ := f.agent.state.NamedWeights("m"); return named.Version == 2 })
+		f.setDesiredWeights(2)
+		f.eventually(t, func() bool { desired, _ := f.agent.state.DesiredWeights("m"); return desired.Version == 2 })
 		calls := f.store.Calls()
-		f.nameWeights(2)
+		f.setDesiredWeights(2)
 		f.eventually(t, func() bool { return f.store.Calls() > calls })
 		assert.Empty(t, f.engine.receivedOrders())
 	})
@@ -224,7 +224,7 @@
 
 func TestBulletinsReachFollower(t *testing.T) {
 	f := newFixture(t, &fakeEngine{version: 1})
-	f.nameWeights(1)
+	f.setDesiredWeights(1)
 	self, err := fleet.Self(rillreach.RoleEntry, &deployment.Settings{Name: "entry-1", Host: netip.MustParseAddr("127.0.0.1"), FirstPort: 1, Zone: "z"})
 	require.NoError(t, err)
 	pool := &peer.Pool{Self: self, Mux: &peer.Mux{Log: testr.New(t)}, Log: testr.New(t)}
--- a/sidecar/turn_test.go
+++ b/sidecar/turn_test.go
@@ -14,13 +14,13 @@
 	"github.com/rillreach/rillreach/weights"
 )
 
-// If a newer version is named when the last of four runners is due to load but too busy to be sent an order, its delay
-// must not start again: its weights were replaced by the version before.
+// If a newer version is requested when the last of four runners is due to load but too busy to be sent an order, its
+// delay must not start again: its weights were replaced by the version before.
 func TestNewerWeightsDoNotPostponeLoad(t *testing.T) {
 	const bound = 10 * time.Second
 	startDelay := weights.StartDelay(3, 4, bound)
-	// decideFunc calls loader.decide for a runner with the loaded version, some time after a version was named.
-	type decideFunc func(named, loaded deployment.WeightVersion, knownFor time.Duration, busy bool)
+	// decideFunc calls loader.decide for a runner with the loaded version, some time after a version was requested.
+	type decideFunc func(desired, loaded deployment.WeightVersion, knownFor time.Duration, busy bool)
 	ordersAfter := func(t *testing.T, decisions func(decideFunc)) []receivedOrder {
 		t.Helper()
 		e := &fakeEngine{version: 1}
@@ -36,8 +36,8 @@
 		}
 		s.state.Roster.Put(record)
 		l := &loader{sidecar: s}
-		decisions(func(named, loaded deployment.WeightVersion, knownFor time.Duration, busy bool) {
-			l.decide(t.Context(), record, deployment.Load{LoadingWeights: busy}, deployment.DesiredWeights{Model: "m", Version: named, Revision: rillreach.Revision{Number: uint64(named)}}, loaded, knownFor)
+		decisions(func(desired, loaded deployment.WeightVersion, knownFor time.Duration, busy bool) {
+			l.decide(t.Context(), record, deployment.Load{LoadingWeights: busy}, deployment.DesiredWeights{Model: "m", Version: desired, Revision: rillreach.Revision{Number: uint64(desired)}}, loaded, knownFor)
 		})
 		return e.receivedOrders()
 	}
--- a/weights/decide.go
+++ b/weights/decide.go
@@ -1,8 +1,8 @@
 // Package weights decides when a runner is ordered to load newer weights. It rolls a version out in batches: every
 // runner has to have it before its old weights expire, only a limited number load at the same time, and the rollout
 // is as slow as the bound allows, because a runner that has just loaded has an empty KV cache and leaves more work to
-// the others. A version is named when an object in the object store makes it the one to serve. The package does no I/O
-// and reads no clock.
+// the others. The desired version is the one that operators last requested by an object in the object store. The
+// package does no I/O and reads no clock.
 package weights
 
 import (
@@ -31,10 +31,10 @@
 
 // Input is the state that a decision is based on.
 type Input struct {
-	// Newest is the newest version that is named for the model, zero if there is none. Loaded is the runner's version.
-	Newest deployment.WeightVersion
-	Loaded deployment.WeightVersion
-	// KnownFor is the time since this process learned of the newest version. Bound is how long replaced weights may be
+	// Desired is the desired version of the model's weights, zero if there is none. Loaded is the runner's version.
+	Desired deployment.WeightVersion
+	Loaded  deployment.WeightVersion
+	// KnownFor is the time since this process learned of the desired version. Bound is how long replaced weights may be
 	// used.
 	KnownFor time.Duration
 	Bound    time.Duration
@@ -62,7 +62,7 @@
 	ActionWait Action = "wait"
 	// ActionDrain sends the runner no more requests, because its load is about to start or in progress.
 	ActionDrain Action = "empty"
-	// ActionLoad orders the runner to load the newest version.
+	// ActionLoad orders the runner to load the desired version.
 	ActionLoad Action = "order"
 )
 
@@ -70,7 +70,7 @@
 func Decide(in Input) Action {
 	start := StartDelay(in.Rank, in.Total, in.Bound) - in.EarlierBy
 	switch {
-	case in.Newest == 0 || in.Loaded >= in.Newest || in.Leaving:
+	case in.Desired == 0 || in.Loaded >= in.Desired || in.Leaving:
 		return ActionNone
 	case in.Busy, in.SinceOrder > 0 && in.SinceOrder < orderRetryInterval:
 		return ActionDrain
@@ -90,10 +90,10 @@
 	start  time.Time
 }
 
-// Update takes the start computed for the newest version and returns the start in effect, the earlier one. Once the
-// runner has the newest version, it clears the schedule.
-func (s *Schedule) Update(loaded, newest deployment.WeightVersion, start time.Time) time.Time {
-	if loaded >= newest {
+// Update takes the start computed for the desired version and returns the start in effect, the earlier one. Once the
+// runner has the desired version, it clears the schedule.
+func (s *Schedule) Update(loaded, desired deployment.WeightVersion, start time.Time) time.Time {
+	if loaded >= desired {
 		*s = Schedule{}
 		return start
 	}
@@ -108,7 +108,7 @@
 	return max(1, (total+Batches-1)/Batches)
 }
 
-// StartDelay returns how long after a version was named the runner with the given rank starts to load it. The first
+// StartDelay returns how long after a version was requested the runner with the given rank starts to load it. The first
 // batch starts after drainLead, the others are spread evenly until the start of the last batch.
 func StartDelay(rank, total int, bound time.Duration) time.Duration {
 	lastStart := max(bound-lastBatchMargin, (Batches-1)*minBatchInterval)
--- a/weights/decide_test.go
+++ b/weights/decide_test.go
@@ -14,7 +14,7 @@
 
 func TestDecide(t *testing.T) {
 	decide := func(change func(*Input)) Action {
-		s := Input{Newest: 2, Loaded: 1, Bound: bound, Rank: 4, Total: 18, KnownFor: time.Hour}
+		s := Input{Desired: 2, Loaded: 1, Bound: bound, Rank: 4, Total: 18, KnownFor: time.Hour}
 		change(&s)
 		return Decide(s)
 	}
@@ -24,7 +24,7 @@
 		want   Action
 	}{
 		{"the runner's load is due", func(*Input) {}, ActionLoad},
-		{"no version is named", func(s *Input) { s.Newest = 0 }, ActionNone},
+		{"no version is named", func(s *Input) { s.Desired = 0 }, ActionNone},
 		{"the runner has the version", func(s *Input) { s.Loaded = 2 }, ActionNone},
 		{"the runner has a newer version", func(s *Input) { s.Loaded = 3 }, ActionNone},
 		{"the runner is leaving", func(s *Input) { s.Leaving = true }, ActionNone},
@@ -54,7 +54,7 @@
 		for now := step; now < bound; now += step {
 			loading := 0
 			for rank := range total {
-				s := Input{Newest: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, KnownFor: now}
+				s := Input{Desired: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, KnownFor: now}
 				if ordered[rank] > 0 {
 					s.SinceOrder = now - ordered[rank]
 					s.Busy = s.SinceOrder < load
@@ -90,7 +90,7 @@
 			drainedAt := time.Duration(-1)
 			now := time.Duration(0)
 			for ; ; now += step {
-				action := Decide(Input{Newest: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, KnownFor: now})
+				action := Decide(Input{Desired: 2, Loaded: 1, Bound: bound, Rank: rank, Total: total, KnownFor: now})
 				if action == ActionDrain && drainedAt < 0 {
 					drainedAt = now
 				}
@@ -121,9 +121,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 40).Draw(t, "runners")
 		gaps := rapid.SliceOfN(rapid.IntRange(1, 250), 1, 12).Draw(t, "steps between names")
-		named := []time.Duration{0, 0} // version 1 was named long before, version 2 at the start
+		desiredSince := []time.Duration{0, 0} // version 1 was requested long before, version 2 at the start
 		for _, gap := range gaps {
-			named = append(named, named[len(named)-1]+time.Duration(gap)*step)
+			desiredSince = append(desiredSince, desiredSince[len(desiredSince)-1]+time.Duration(gap)*step)
 		}
 		schedules := make([]Schedule, total)
 		loaded, ordered := make([]int, total), make([]time.Duration, total)
@@ -131,23 +131,23 @@
 			loaded[rank] = 1
 			ordered[rank] = -load
 		}
-		newest := 2
-		for now := time.Duration(0); now < named[len(named)-1]+bound; now += step {
-			for newest < len(named) && named[newest] <= now {
-				newest++
+		desired := 2
+		for now := time.Duration(0); now < desiredSince[len(desiredSince)-1]+bound; now += step {
+			for desired < len(desiredSince) && desiredSince[desired] <= now {
+				desired++
 			}
 			for rank := range total {
 				s := Input{
-					Newest: deployment.WeightVersion(newest), Loaded: deployment.WeightVersion(loaded[rank]), Bound: bound,
-					Rank: rank, Total: total, KnownFor: now - named[newest-1], Busy: now < ordered[rank]+load,
+					Desired: deployment.WeightVersion(desired), Loaded: deployment.WeightVersion(loaded[rank]), Bound: bound,
+					Rank: rank, Total: total, KnownFor: now - desiredSince[desired-1], Busy: now < ordered[rank]+load,
 				}
-				byRank := start.Add(named[newest-1] + StartDelay(rank, total, bound))
-				s.EarlierBy = byRank.Sub(schedules[rank].Update(s.Loaded, s.Newest, byRank))
+				byRank := start.Add(desiredSince[desired-1] + StartDelay(rank, total, bound))
+				s.EarlierBy = byRank.Sub(schedules[rank].Update(s.Loaded, s.Desired, byRank))
 				if Decide(s) == ActionLoad {
-					ordered[rank], loaded[rank] = now, newest
+					ordered[rank], loaded[rank] = now, desired
 				}
-				if loaded[rank] < newest {
-					assert.Less(t, now, named[loaded[rank]]+bound-load-time.Second, "rank %d has version %d", rank, loaded[rank])
+				if loaded[rank] < desired {
+					assert.Less(t, now, desiredSince[loaded[rank]]+bound-load-time.Second, "rank %d has version %d", rank, loaded[rank])
 				}
 			}
 		}
--- a/weights/window.go
+++ b/weights/window.go
@@ -5,7 +5,7 @@
 const (
 	// cancelMargin is how long before the bound on replaced weights a request that has not begun is cancelled. It
 	// covers a timer that fires late on a small share of a core, the time for the closed connection to reach the
-	// runner (12 ms between regions), and the delay of the newer version's name on its way to this process (at most
+	// runner (12 ms between regions), and the delay until this process learns of the newer version (at most
 	// 0.4 s from a live agent).
 	cancelMargin = 500 * time.Millisecond
 	// minExpectedWait is the least time that a request is assumed to wait at a runner. Without slow runners and
@@ -16,7 +16,7 @@
 // StartWindow is the time during which requests may begin on weights that a newer version has replaced. The zero
 // value never closes.
 type StartWindow struct {
-	// ReplacedAt is when the first newer version was named, the zero time if there is none.
+	// ReplacedAt is when the first newer version was requested, the zero time if there is none.
 	ReplacedAt time.Time
 	// Bound is how long after ReplacedAt a request may begin; zero means no limit.
 	Bound time.Duration
