--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -15,32 +15,32 @@
 
 func TestEngineStateAdmits(t *testing.T) {
 	t.Run("a request that fits beside the running ones is admitted", func(t *testing.T) {
-		assert.True(t, EngineState{Capacity: 1000, Used: 500}.Admits(250))
-		assert.False(t, EngineState{Capacity: 1000, Used: 500}.Admits(251))
+		assert.True(t, EngineState{Capacity: 1000, UsedTokens: 500}.Admits(250))
+		assert.False(t, EngineState{Capacity: 1000, UsedTokens: 500}.Admits(251))
 	})
 	t.Run("requests sent since the report count once per sending entry", func(t *testing.T) {
-		assert.True(t, EngineState{Capacity: 1000, Used: 100, SentSinceReport: 100, Senders: 4}.Admits(250))
-		assert.False(t, EngineState{Capacity: 1000, Used: 100, SentSinceReport: 100, Senders: 5}.Admits(250))
+		assert.True(t, EngineState{Capacity: 1000, UsedTokens: 100, UnreportedUsedTokens: 100, Senders: 4}.Admits(250))
+		assert.False(t, EngineState{Capacity: 1000, UsedTokens: 100, UnreportedUsedTokens: 100, Senders: 5}.Admits(250))
 	})
 	t.Run("requests queued at the engine count", func(t *testing.T) {
-		assert.True(t, EngineState{Capacity: 1000, Used: 400, Queued: 100}.Admits(250))
-		assert.False(t, EngineState{Capacity: 1000, Used: 400, Queued: 101}.Admits(250))
+		assert.True(t, EngineState{Capacity: 1000, UsedTokens: 400, QueuedTokens: 100}.Admits(250))
+		assert.False(t, EngineState{Capacity: 1000, UsedTokens: 400, QueuedTokens: 101}.Admits(250))
 	})
 	t.Run("an engine with too much queued prefill work admits nothing", func(t *testing.T) {
-		assert.True(t, EngineState{Capacity: 1000, Used: 1, PendingPrefill: maxPendingPrefill}.Admits(1))
-		assert.False(t, EngineState{Capacity: 1000, Used: 1, PendingPrefill: maxPendingPrefill + 1}.Admits(1))
+		assert.True(t, EngineState{Capacity: 1000, UsedTokens: 1, QueuedPrefill: maxQueuedPrefill}.Admits(1))
+		assert.False(t, EngineState{Capacity: 1000, UsedTokens: 1, QueuedPrefill: maxQueuedPrefill + 1}.Admits(1))
 	})
 	t.Run("a prompt larger than half of the memory limit may fill the memory", func(t *testing.T) {
-		assert.False(t, EngineState{Capacity: 1000, Used: 376}.Admits(375))
-		assert.True(t, EngineState{Capacity: 1000, Used: 600}.Admits(400))
-		assert.True(t, EngineState{Capacity: 1000, Used: 100}.Admits(900))
-		assert.False(t, EngineState{Capacity: 1000, Used: 101}.Admits(900))
+		assert.False(t, EngineState{Capacity: 1000, UsedTokens: 376}.Admits(375))
+		assert.True(t, EngineState{Capacity: 1000, UsedTokens: 600}.Admits(400))
+		assert.True(t, EngineState{Capacity: 1000, UsedTokens: 100}.Admits(900))
+		assert.False(t, EngineState{Capacity: 1000, UsedTokens: 101}.Admits(900))
 	})
 	t.Run("an engine without requests admits a request of any size", func(t *testing.T) {
 		assert.True(t, EngineState{Capacity: 1000}.Admits(5000))
 	})
 	t.Run("memory of unknown size is not limited", func(t *testing.T) {
-		assert.True(t, EngineState{Used: 5000}.Admits(5000))
+		assert.True(t, EngineState{UsedTokens: 5000}.Admits(5000))
 	})
 }
 
@@ -79,8 +79,8 @@
 }
 
 func TestIdle(t *testing.T) {
-	assert.True(t, EngineState{Capacity: 1000, Used: 500, PendingPrefill: maxIdlePrefill}.Idle(), "memory in use but no prefill work")
-	assert.False(t, EngineState{Capacity: 1000, PendingPrefill: maxIdlePrefill + 1}.Idle())
+	assert.True(t, EngineState{Capacity: 1000, UsedTokens: 500, QueuedPrefill: maxIdlePrefill}.Idle(), "memory in use but no prefill work")
+	assert.False(t, EngineState{Capacity: 1000, QueuedPrefill: maxIdlePrefill + 1}.Idle())
 }
 
 func TestStandingQueueShedding(t *testing.T) {
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -115,13 +115,13 @@
 
 // admit sends a prompt to the engine with the least prefill work if that engine admits it, and reports whether it did.
 func (o *overloadReplay) admit(p *prompt, now time.Time) bool {
-	best := slices.MinFunc(o.engines, func(a, b *engine) int { return int(a.reported.PendingPrefill - b.reported.PendingPrefill) })
+	best := slices.MinFunc(o.engines, func(a, b *engine) int { return int(a.reported.QueuedPrefill - b.reported.QueuedPrefill) })
 	if !best.reported.Admits(p.Tokens) || p.MissesTarget(now) && !best.reported.Idle() {
 		return false
 	}
 	best.waiting = append(best.waiting, p)
-	best.reported.SentSinceReport += p.Tokens
-	best.reported.PendingPrefill += time.Duration(p.Tokens/prefillPerTick) * tick
+	best.reported.UnreportedUsedTokens += p.Tokens
+	best.reported.QueuedPrefill += time.Duration(p.Tokens/prefillPerTick) * tick
 	o.sent[p] = now
 	o.admissionRate.Record(now, p.Tokens)
 	return true
--- a/admission/replay_test.go
+++ b/admission/replay_test.go
@@ -88,16 +88,16 @@
 }
 
 func (e *engine) report() {
-	e.reported = EngineState{Capacity: capacity, Used: e.usedTokens()}
+	e.reported = EngineState{Capacity: capacity, UsedTokens: e.usedTokens()}
 	prefillTokens := 0
 	for _, p := range e.waiting {
-		e.reported.Queued += p.Tokens
+		e.reported.QueuedTokens += p.Tokens
 		prefillTokens += p.Tokens
 	}
 	for _, p := range e.running {
 		prefillTokens += p.prefillTokensLeft
 	}
-	e.reported.PendingPrefill = time.Duration(prefillTokens/prefillPerTick) * tick
+	e.reported.QueuedPrefill = time.Duration(prefillTokens/prefillPerTick) * tick
 }
 
 // replay replays the load and returns the share of requests on time for each second of arrival. Without admission
@@ -166,7 +166,7 @@
 			return false
 		}
 		best.waiting = append(best.waiting, p)
-		best.reported.SentSinceReport += p.Tokens
+		best.reported.UnreportedUsedTokens += p.Tokens
 		return true
 	})
 }
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -101,8 +101,8 @@
 	c := place.Candidate{
 		Running:             v.RunningRequests,
 		Slots:               v.Slots,
-		QueuedPrefillTokens: v.PrefillTokens,
-		UsedTokens:          v.KVTokens,
+		QueuedPrefillTokens: v.QueuedPrefillTokens,
+		UsedTokens:          v.UsedTokens,
 		OtherZone:           v.Zone != g.Settings.Zone,
 		Avoided:             v.Ejected,
 		FailureRate:         v.FailureRate,
@@ -114,7 +114,7 @@
 	if v.ReportFresh {
 		c.Running = max(c.Running, v.Load.Running+v.Load.Waiting)
 		c.QueuedPrefillTokens = max(c.QueuedPrefillTokens, (v.Load.AwaitingFirstEvent+v.Load.Waiting)*meanPrefill+v.UnreportedPrefillTokens)
-		c.UsedTokens = max(c.UsedTokens, v.Load.UsedTokens+v.UnreportedKVTokens)
+		c.UsedTokens = max(c.UsedTokens, v.Load.UsedTokens+v.UnreportedUsedTokens)
 	}
 	c.Avoided = isAvoided(v) || x.headSent && g.weightLoadImminent(x, v)
 	c.HashDistance = hashDistance(conversation, v.ID)
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -15,7 +15,7 @@
 	// time.
 	reserved map[*roster.Runner]bool
 	senders  int
-	// idleOnly restricts the choice to engines without pending prefill work.
+	// idleOnly restricts the choice to engines without queued prefill work.
 	idleOnly bool
 }
 
@@ -65,11 +65,11 @@
 		// All entries see a runner that has just started as empty, so each assumes that the others send as much as
 		// itself.
 		entries := g.budgets.Entries()
-		pendingPrefill := time.Duration(v.PrefillTokens*entries) * o.request.Latency.PerToken
-		return admission.EngineState{Capacity: c.Capacity, Used: v.KVTokens * entries, PendingPrefill: pendingPrefill}
+		queuedPrefill := time.Duration(v.QueuedPrefillTokens*entries) * o.request.Latency.PerToken
+		return admission.EngineState{Capacity: c.Capacity, UsedTokens: v.UsedTokens * entries, QueuedPrefill: queuedPrefill}
 	}
 	return admission.EngineState{
-		Capacity: c.Capacity, Used: max(v.Load.UsedTokens, 0), Queued: v.Load.Waiting * g.requestSizes.mean(), SentSinceReport: v.UnreportedKVTokens, Senders: senders,
-		PendingPrefill: time.Duration(c.QueuedPrefillTokens) * o.request.Latency.PerToken,
+		Capacity: c.Capacity, UsedTokens: max(v.Load.UsedTokens, 0), QueuedTokens: v.Load.Waiting * g.requestSizes.mean(), UnreportedUsedTokens: v.UnreportedUsedTokens, Senders: senders,
+		QueuedPrefill: time.Duration(c.QueuedPrefillTokens) * o.request.Latency.PerToken,
 	}
 }
--- a/roster/recent_sends.go
+++ b/roster/recent_sends.go
@@ -14,14 +14,14 @@
 type send struct {
 	sentAt        time.Time
 	prefillTokens int
-	kvTokens      int
+	usedTokens    int
 }
 
-func (r *recentSends) add(at time.Time, prefillTokens, kvTokens int) {
+func (r *recentSends) add(at time.Time, prefillTokens, usedTokens int) {
 	if len(r.sends) >= maxRecentSends {
 		r.sends = r.sends[1:]
 	}
-	r.sends = append(r.sends, send{sentAt: at, prefillTokens: prefillTokens, kvTokens: kvTokens})
+	r.sends = append(r.sends, send{sentAt: at, prefillTokens: prefillTokens, usedTokens: usedTokens})
 }
 
 // dropReported forgets the requests that a report made at the given time covers.
@@ -34,12 +34,12 @@
 }
 
 // tokensSince sums up the tokens of the requests that were sent after the given time.
-func (r *recentSends) tokensSince(reportedAt time.Time) (kvTokens, prefillTokens int) {
+func (r *recentSends) tokensSince(reportedAt time.Time) (usedTokens, prefillTokens int) {
 	for _, s := range r.sends {
 		if s.sentAt.After(reportedAt) {
-			kvTokens += s.kvTokens
+			usedTokens += s.usedTokens
 			prefillTokens += s.prefillTokens
 		}
 	}
-	return kvTokens, prefillTokens
+	return usedTokens, prefillTokens
 }
--- a/roster/restart_test.go
+++ b/roster/restart_test.go
@@ -68,7 +68,7 @@
 	require.NotNil(t, one)
 	v := one.View(start)
 	assert.Equal(t, generation, v.Generation)
-	assert.Zero(t, v.RunningRequests+v.PrefillTokens+v.KVTokens+v.UnreportedKVTokens+v.UnreportedPrefillTokens)
+	assert.Zero(t, v.RunningRequests+v.QueuedPrefillTokens+v.UsedTokens+v.UnreportedUsedTokens+v.UnreportedPrefillTokens)
 	assert.Zero(t, v.Load)
 	assert.Zero(t, v.FailureRate)
 	assert.Zero(t, v.ExpectedWait)
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -200,6 +200,6 @@
 		r.AbandonWait(start, 100)
 		r.EndRequest(200)
 		v := r.View(start)
-		assert.Zero(t, v.RunningRequests+v.PrefillTokens+v.KVTokens)
+		assert.Zero(t, v.RunningRequests+v.QueuedPrefillTokens+v.UsedTokens)
 	})
 }
--- a/roster/runner.go
+++ b/roster/runner.go
@@ -49,15 +49,15 @@
 	info     deployment.Runner
 	removeAt time.Time
 	report   Report
-	// running counts this process's requests at the runner, prefillTokens the prompt tokens of those without a
-	// first token, and kvTokens the tokens that all of them occupy in its KV cache.
-	running       int
-	prefillTokens int
-	kvTokens      int
-	waits         waitEstimate
-	lastResponse  time.Time
-	ejectedUntil  time.Time
-	ejections     int
+	// running counts this process's requests at the runner, queuedPrefillTokens the prompt tokens of those without a
+	// first token, and usedTokens the tokens that all of them occupy in its KV cache.
+	running             int
+	queuedPrefillTokens int
+	usedTokens          int
+	waits               waitEstimate
+	lastResponse        time.Time
+	ejectedUntil        time.Time
+	ejections           int
 	// failureRate is the moving average of the share of accepted requests that the runner failed.
 	failureRate float64
 	// weights holds the versions that the runner's own responses named. They override the record where they are newer.
@@ -82,11 +82,12 @@
 // View is a snapshot of what is known about a runner.
 type View struct {
 	deployment.Runner
-	// RunningRequests counts this process's requests at the runner, PrefillTokens is the number of prompt tokens
-	// of those without a first token, and KVTokens the number of tokens that all of them occupy in its KV cache.
-	RunningRequests int
-	PrefillTokens   int
-	KVTokens        int
+	// RunningRequests counts this process's requests at the runner, QueuedPrefillTokens is the number of prompt
+	// tokens of those without a first token, and UsedTokens the number of tokens that all of them occupy in its KV
+	// cache.
+	RunningRequests     int
+	QueuedPrefillTokens int
+	UsedTokens          int
 	// ExpectedWait is the estimated time to the first token for a request that is sent now.
 	ExpectedWait time.Duration
 	// Ejected means that the runner is excluded because requests to it failed or timed out.
@@ -103,9 +104,9 @@
 	// is the time until it begins; that is zero from the start of the load to its end.
 	WeightLoadScheduled bool
 	TimeToWeightLoad    time.Duration
-	// UnreportedKVTokens and UnreportedPrefillTokens are the tokens of this process's requests that the report
+	// UnreportedUsedTokens and UnreportedPrefillTokens are the tokens of this process's requests that the report
 	// may not cover yet.
-	UnreportedKVTokens      int
+	UnreportedUsedTokens    int
 	UnreportedPrefillTokens int
 	// Cold means that the runner is in its slow start, and Limit is the rate limit that it has set. Under either,
 	// each request needs a permit.
@@ -138,13 +139,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := View{
-		Runner: r.info, RunningRequests: r.running, PrefillTokens: r.prefillTokens, KVTokens: r.kvTokens, Ejected: now.Before(r.ejectedUntil), FailureRate: r.failureRate,
+		Runner: r.info, RunningRequests: r.running, QueuedPrefillTokens: r.queuedPrefillTokens, UsedTokens: r.usedTokens, Ejected: now.Before(r.ejectedUntil), FailureRate: r.failureRate,
 		ExpectedWait: r.waits.expected(now), Load: r.report.Load, ReportFresh: r.reportFresh(now), LastResponse: r.lastResponse,
 	}
 	if !r.report.ReceivedAt.IsZero() {
 		v.ReportAge = now.Sub(r.report.ReceivedAt)
 	}
-	v.UnreportedKVTokens, v.UnreportedPrefillTokens = r.recentSends.tokensSince(r.report.ReceivedAt.Add(-maxReportLag))
+	v.UnreportedUsedTokens, v.UnreportedPrefillTokens = r.recentSends.tokensSince(r.report.ReceivedAt.Add(-maxReportLag))
 	v.Cold = now.Before(r.coldUntil)
 	v.Limit = r.throttle.Observed().Limit
 	v.Denied, v.BackoffUntil = r.denial(now), r.backoffUntil
@@ -185,14 +186,14 @@
 
 // BeginRequest counts a request that is sent to the runner, with the prompt tokens to prefill and the tokens that
 // it occupies in the KV cache.
-func (r *Runner) BeginRequest(now time.Time, prefillTokens, kvTokens int) {
+func (r *Runner) BeginRequest(now time.Time, prefillTokens, usedTokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waits.addSent(now)
-	r.recentSends.add(now, prefillTokens, kvTokens)
+	r.recentSends.add(now, prefillTokens, usedTokens)
 	r.running++
-	r.prefillTokens += prefillTokens
-	r.kvTokens += kvTokens
+	r.queuedPrefillTokens += prefillTokens
+	r.usedTokens += usedTokens
 }
 
 // RecordFirstToken records the first token of the request that was sent at the given time.
@@ -200,7 +201,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waits.addFirstToken(now, sent)
-	r.prefillTokens -= prefillTokens
+	r.queuedPrefillTokens -= prefillTokens
 	r.lastResponse = now
 }
 
@@ -209,15 +210,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waits.removePending(sent)
-	r.prefillTokens -= prefillTokens
+	r.queuedPrefillTokens -= prefillTokens
 }
 
 // EndRequest removes a request that has ended from the counts.
-func (r *Runner) EndRequest(kvTokens int) {
+func (r *Runner) EndRequest(usedTokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running--
-	r.kvTokens -= kvTokens
+	r.usedTokens -= usedTokens
 }
 
 // RecordSuccess records a response that shows the runner to be healthy.
