--- a/gateway/options.go
+++ b/gateway/options.go
@@ -121,7 +121,7 @@
 	return c
 }
 
-// isAvoided reports whether a model engine is chosen only if there is no other.
+// isAvoided reports whether a model engine is chosen only if there is no other, for any request.
 func isAvoided(v *roster.View) bool {
 	return v.Ejected || v.ReportFresh && (v.Load.LoadingWeights || v.Load.Unresponsive)
 }
--- a/roster/runner.go
+++ b/roster/runner.go
@@ -90,7 +90,8 @@
 	UsedTokens          int
 	// ExpectedWait is the estimated time to the first token for a request that is sent now.
 	ExpectedWait time.Duration
-	// Ejected means that the runner is excluded because requests to it failed or timed out.
+	// Ejected means that the runner is avoided because requests to it failed or timed out: it is chosen only if there
+	// is no other.
 	Ejected bool
 	// FailureRate is the recent share of requests that the runner failed.
 	FailureRate float64
@@ -240,7 +241,7 @@
 	return r.failureRate
 }
 
-// Eject excludes the runner after a failure, for longer with each further one, and returns for how long. A runner
+// Eject has the runner avoided after a failure, for longer with each further one, and returns for how long. A runner
 // that is already ejected stays so for the rest of its time: requests that failed together count as one failure.
 func (r *Runner) Eject(now time.Time) time.Duration {
 	r.mu.Lock()
