--- a/gateway/restored_store_test.go
+++ b/gateway/restored_store_test.go
@@ -61,7 +61,7 @@
 	return desired.Version
 }
 
-// A change that is acknowledged after the store was restored from an older copy must be in force as soon as any other,
+// A change that is acknowledged after the store was restored from a backup must be in force as soon as any other,
 // and the restore itself must revert nothing.
 func TestChangeMissedAfterStoreRestore(t *testing.T) {
 	write := func(w *world) {
@@ -115,7 +115,7 @@
 	})
 }
 
-// A restore of the store from an older copy must not revert what the entry knows of runners and zones.
+// A store that was restored from a backup must not revert what the entry knows of runners and zones.
 func TestStoreRestoreRevertsState(t *testing.T) {
 	t.Run("a runner that is draining", func(t *testing.T) {
 		r := &site.Runner{ID: "r"}
