--- a/gateway/agents.go
+++ b/gateway/agents.go
@@ -36,8 +36,8 @@
 	following map[netip.AddrPort]*followedAgent
 }
 
-// wantedAgent describes a subscription that should exist.
-type wantedAgent struct {
+// subscription is what an entry asks of an agent.
+type subscription struct {
 	// runner is the address of the agent's runner.
 	runner netip.AddrPort
 	// loadOnly means that the agent is asked for load reports only.
@@ -46,8 +46,8 @@
 
 // followedAgent is an agent that the entry is subscribed to.
 type followedAgent struct {
-	wanted wantedAgent
-	stop   context.CancelFunc
+	subscription subscription
+	stop         context.CancelFunc
 	// lastBulletinAt is when its last bulletin arrived, in nanoseconds on the entry's clock.
 	lastBulletinAt atomic.Int64
 }
@@ -70,16 +70,16 @@
 func (a *agentFollower) reconcile(ctx context.Context) {
 	groups := a.gateway.engineGroups()
 	a.gateway.updateLocalServices(groups)
-	wanted := a.wantedAgents(groups)
+	desired := a.desiredSubscriptions(groups)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for address, f := range a.following {
-		if w, ok := wanted[address]; !ok || w != f.wanted {
+		if w, ok := desired[address]; !ok || w != f.subscription {
 			f.stop()
 			delete(a.following, address)
 		}
 	}
-	for address, w := range wanted {
+	for address, w := range desired {
 		if a.following[address] == nil {
 			a.following[address] = a.follow(ctx, address, w)
 		}
@@ -87,10 +87,10 @@
 }
 
 // follow subscribes to an agent.
-func (a *agentFollower) follow(ctx context.Context, address netip.AddrPort, w wantedAgent) *followedAgent {
+func (a *agentFollower) follow(ctx context.Context, address netip.AddrPort, w subscription) *followedAgent {
 	followCtx, stop := context.WithCancel(ctx)
 	g := a.gateway
-	f := &followedAgent{wanted: w, stop: stop}
+	f := &followedAgent{subscription: w, stop: stop}
 	apply := g.applyBulletin
 	if w.loadOnly {
 		apply = g.applyLoadOnlyBulletin
@@ -147,18 +147,18 @@
 	return ok && allocator == agent
 }
 
-// wantedAgents returns the subscriptions for the runners of engine services, by the addresses of the agents.
-func (a *agentFollower) wantedAgents(groups map[rillreach.ServiceID][]*roster.Runner) map[netip.AddrPort]wantedAgent {
-	wanted := map[netip.AddrPort]wantedAgent{}
+// desiredSubscriptions returns the subscriptions for the runners of engine services, by the addresses of the agents.
+func (a *agentFollower) desiredSubscriptions(groups map[rillreach.ServiceID][]*roster.Runner) map[netip.AddrPort]subscription {
+	desired := map[netip.AddrPort]subscription{}
 	for service, group := range groups {
 		local := a.gateway.localServices.isLocal(service)
 		for _, r := range group {
 			info := r.Info()
 			address := a.gateway.agentAddress(info.Address)
-			wanted[address] = wantedAgent{runner: info.Address, loadOnly: local && info.Zone != a.gateway.Settings.Zone}
+			desired[address] = subscription{runner: info.Address, loadOnly: local && info.Zone != a.gateway.Settings.Zone}
 		}
 	}
-	return wanted
+	return desired
 }
 
 // agentAddress returns the address of the agent beside an engine.
--- a/gateway/begun_answer.go
+++ b/gateway/begun_answer.go
@@ -27,7 +27,7 @@
 // isTransient reports whether the reason why no runner can take a request may soon go away.
 func isTransient(verdict string) bool {
 	switch verdict {
-	case verdictNoRunner, verdictRunnersCold, verdictRunnersLimited, verdictRunnersResting, verdictZoneEvacuated, verdictRegionNotAllowed, verdictBacklog, verdictBudgetExhausted:
+	case verdictNoRunner, verdictRunnersCold, verdictRunnersLimited, verdictRunnersBackingOff, verdictZoneEvacuated, verdictRegionNotAllowed, verdictBacklog, verdictBudgetExhausted:
 		return true
 	default:
 		return false
--- a/gateway/bulletins.go
+++ b/gateway/bulletins.go
@@ -76,9 +76,9 @@
 	if b.Clock == 0 {
 		return
 	}
-	for _, n := range b.WeightsFirstSeen {
-		age := time.Duration(b.Clock-n.At) * time.Millisecond
-		g.state.ApplyDesiredVersion(localstate.DesiredVersion{Model: n.Model, Version: n.Version, At: now.Add(-age)})
+	for _, seen := range b.WeightsFirstSeen {
+		age := time.Duration(b.Clock-seen.At) * time.Millisecond
+		g.state.ApplyDesiredVersion(localstate.DesiredVersion{Model: seen.Model, Version: seen.Version, At: now.Add(-age)})
 	}
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -49,7 +49,7 @@
 	// trial means that the request is quarantined and sent once as a trial.
 	trial bool
 	// reason is why the last attempt failed. If the cause was a backlog, admissionWait is how long the queued requests
-	// take to be admitted; if the cause was resting runners, retryNotBefore is when they accept requests again.
+	// take to be admitted; if the cause was runners in backoff, retryNotBefore is when they accept requests again.
 	reason         string
 	admissionWait  time.Duration
 	retryNotBefore time.Time
--- a/gateway/handle.go
+++ b/gateway/handle.go
@@ -204,13 +204,13 @@
 	verdictTimedOut   = "timed-out"
 	verdictNoRunner   = "no-runner"
 	// The next five say why none of the remaining runners may take the request: they are cold and have no permits left,
-	// have reached the limits that they announce, have asked for a rest, or are in an evacuated zone or in a region in
+	// have reached the limits that they announce, have asked for backoff, or are in an evacuated zone or in a region in
 	// which the request must not run.
-	verdictRunnersCold      = "runners-cold"
-	verdictRunnersLimited   = "runners-limited"
-	verdictRunnersResting   = "runners-resting"
-	verdictZoneEvacuated    = "zone-evacuated"
-	verdictRegionNotAllowed = "region-not-allowed"
+	verdictRunnersCold       = "runners-cold"
+	verdictRunnersLimited    = "runners-limited"
+	verdictRunnersBackingOff = "runners-resting"
+	verdictZoneEvacuated     = "zone-evacuated"
+	verdictRegionNotAllowed  = "region-not-allowed"
 	// verdictNoRoom means that no engine had room in time, verdictBacklog that none will because of the requests that
 	// are already queued, and verdictLeftQueue that the request's deadline passed or its caller gave up in the queue.
 	verdictNoRoom    = "no-room"
--- a/gateway/left_out.go
+++ b/gateway/left_out.go
@@ -77,7 +77,7 @@
 		return verdictRunnersLimited
 	case e.backingOff > 0:
 		x.retryNotBefore = e.backoffEnds
-		return verdictRunnersResting
+		return verdictRunnersBackingOff
 	case e.evacuated > 0:
 		x.admissionWait = evacuationRetryAfter
 		return verdictZoneEvacuated
--- a/gateway/local_zone_test.go
+++ b/gateway/local_zone_test.go
@@ -29,7 +29,7 @@
 	t.Run("with enough local engines, engines in other zones send load reports only", func(t *testing.T) {
 		g, _ := newLocalEngines(minLocalEngines)
 		sparse := 0
-		for _, w := range (&agentFollower{gateway: g}).wantedAgents(g.engineGroups()) {
+		for _, w := range (&agentFollower{gateway: g}).desiredSubscriptions(g.engineGroups()) {
 			if w.loadOnly {
 				sparse++
 			}
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -76,11 +76,11 @@
 	g.respond(x, status, verdict, retryAfter)
 }
 
-// retryAfterFor returns when the caller of a request that has not run should retry: once the resting runners accept
-// requests again, once the queued requests have been admitted, or else soon.
+// retryAfterFor returns when the caller of a request that has not run should retry: once the runners in backoff
+// accept requests again, once the queued requests have been admitted, or else soon.
 func retryAfterFor(x *exchange) time.Duration {
 	if !x.retryNotBefore.IsZero() {
-		return max(0, time.Until(x.retryNotBefore)) + time.Duration(rand.Float64()*float64(restJitter))
+		return max(0, time.Until(x.retryNotBefore)) + time.Duration(rand.Float64()*float64(backoffJitter))
 	}
 	if x.admissionWait > 0 {
 		return admission.RetryAfter(x.admissionWait, rand.Float64())
@@ -90,8 +90,8 @@
 
 const (
 	shortRetryAfter = 50 * time.Millisecond
-	// restJitter is the period over which retries of callers are spread once a rest has ended.
-	restJitter = 300 * time.Millisecond
+	// backoffJitter is the period over which retries of callers are spread once a backoff has ended.
+	backoffJitter = 300 * time.Millisecond
 )
 
 // respond sends the entry's own answer, as opposed to a runner's.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -31,7 +31,7 @@
 		t.runner.SetWeights(x.wire.Prompt.Model, a.headers.Weights)
 	}
 	status := a.answer.Head.StatusCode
-	// A runner that asks for a rest says itself for how long to avoid it.
+	// A runner that asks for backoff says itself for how long to send it no requests.
 	if status >= minFailureStatus && a.headers.RetryAfter == 0 {
 		failureRate := t.runner.RecordFailure(time.Now())
 		g.Log.Info("runner failed the request", "decision", "judge", "request", x.wire.ID, "runner", t.view.ID, "status", status, "failures", failureRate)
--- a/gateway/restored_store_test.go
+++ b/gateway/restored_store_test.go
@@ -33,14 +33,14 @@
 	t.Cleanup(w.stop)
 	w.store.Put("versions", site.Model, site.WeightsOf(1))
 	w.awaitVersions(t, 1, 1)
-	older := w.store.Copy()
+	backup := w.store.Copy()
 	for range otherWrites {
 		w.store.Put("notes", "n", 1)
 	}
 	w.store.Put("config", "main", restoredConfig(3))
 	w.store.Put("versions", site.Model, site.WeightsOf(3))
 	w.awaitVersions(t, 3, 3)
-	return w, older
+	return w, backup
 }
 
 func (w *world) awaitVersions(t *testing.T, config int64, weights deployment.WeightVersion) {
@@ -75,15 +75,15 @@
 		w.awaitVersions(t, 4, 4)
 	}
 	t.Run("revisions stay below those before the restore", func(t *testing.T) {
-		w, older := startBeforeRestore(t, 20)
-		w.store.Restore(older)
+		w, backup := startBeforeRestore(t, 20)
+		w.store.Restore(backup)
 		assert.Never(t, func() bool { return w.configVersion() < 3 || w.weightsVersion() < 3 }, revertCheckTime, 10*time.Millisecond, "the restore reverted a version")
 		assertChanges(t, w)
 	})
 	t.Run("revisions pass those before the restore while the store is unreachable", func(t *testing.T) {
-		w, older := startBeforeRestore(t, 20)
+		w, backup := startBeforeRestore(t, 20)
 		w.store.Fail(http.StatusServiceUnavailable)
-		w.store.Restore(older)
+		w.store.Restore(backup)
 		write(w)
 		for range 40 {
 			w.store.Put("notes", "n", 1)
@@ -92,23 +92,23 @@
 		w.awaitVersions(t, 4, 4)
 	})
 	t.Run("the store was unreachable before", func(t *testing.T) {
-		w, older := startBeforeRestore(t, 20)
+		w, backup := startBeforeRestore(t, 20)
 		w.store.Fail(http.StatusServiceUnavailable)
 		time.Sleep(300 * time.Millisecond)
-		w.store.Restore(older)
+		w.store.Restore(backup)
 		w.store.Fail(0)
 		assertChanges(t, w)
 	})
 	t.Run("the store is restored twice", func(t *testing.T) {
-		w, older := startBeforeRestore(t, 20)
-		w.store.Restore(older)
+		w, backup := startBeforeRestore(t, 20)
+		w.store.Restore(backup)
 		time.Sleep(revertCheckTime)
-		w.store.Restore(older)
+		w.store.Restore(backup)
 		assertChanges(t, w)
 	})
 	t.Run("some answers lack the era", func(t *testing.T) {
-		w, older := startBeforeRestore(t, 20)
-		w.store.Restore(older)
+		w, backup := startBeforeRestore(t, 20)
+		w.store.Restore(backup)
 		time.Sleep(revertCheckTime)
 		w.store.HideEra(true)
 		assertChanges(t, w)
@@ -121,30 +121,30 @@
 		r := &site.Runner{ID: "r"}
 		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
-		older := w.store.Copy()
+		backup := w.store.Copy()
 		w.store.Put("servers", "r", runnerRecord(r, "draining"))
 		leaving := func() bool { return w.gateway.state.Roster.Find("r").View(time.Now()).Leaving }
 		w.eventually(t, leaving)
-		w.store.Restore(older)
+		w.store.Restore(backup)
 		assert.Never(t, func() bool { return !leaving() }, revertCheckTime, 10*time.Millisecond)
 	})
 	t.Run("a removed runner", func(t *testing.T) {
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"}, &site.Runner{ID: "other"})
 		defer w.stop()
-		older := w.store.Copy()
+		backup := w.store.Copy()
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
-		w.store.Restore(older)
+		w.store.Restore(backup)
 		assert.Never(t, func() bool { return w.gateway.state.Roster.Find("r") != nil }, revertCheckTime, 10*time.Millisecond)
 	})
 	t.Run("a removed runner that writes its record again", func(t *testing.T) {
 		r := &site.Runner{ID: "r"}
 		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
-		older := w.store.Copy()
+		backup := w.store.Copy()
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
-		w.store.Restore(older)
+		w.store.Restore(backup)
 		time.Sleep(revertCheckTime)
 		w.store.Put("servers", "r", runnerRecord(r, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") != nil })
@@ -153,13 +153,13 @@
 		late := &site.Runner{ID: "late"}
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"})
 		defer w.stop()
-		older := w.store.Copy()
+		backup := w.store.Copy()
 		late.Start()
 		t.Cleanup(late.Stop)
 		w.store.Put("servers", "late", runnerRecord(late, "ready"))
 		listed := func() bool { return w.gateway.state.Roster.Find("late") != nil }
 		w.eventually(t, listed)
-		w.store.Restore(older)
+		w.store.Restore(backup)
 		assert.Never(t, func() bool { return !listed() }, revertCheckTime, 10*time.Millisecond)
 		w.store.Put("servers", "late", runnerRecord(late, "ready"))
 		time.Sleep(applyWithin)
@@ -184,9 +184,9 @@
 			if !started {
 				change(true)
 			}
-			older := w.store.Copy()
+			backup := w.store.Copy()
 			change(started)
-			w.store.Restore(older)
+			w.store.Restore(backup)
 			require.Never(t, func() bool { return evacuated() != started }, revertCheckTime, 10*time.Millisecond)
 			if started {
 				change(true)
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -34,14 +34,14 @@
 		if o.views[i].Denied != "" {
 			continue
 		}
-		room := g.engineState(o, i, q.senders)
-		if room.Admits(o.request.Tokens) && (!q.idleOnly || room.Idle()) {
+		state := g.engineState(o, i, q.senders)
+		if state.Admits(o.request.Tokens) && (!q.idleOnly || state.Idle()) {
 			g.planCandidate(x, o, i, now)
 			admitted = append(admitted, o.candidates[i])
 			indexes = append(indexes, i)
 		}
-		if mostFree < 0 || room.FreeTokens() > maxFree {
-			mostFree, maxFree = i, room.FreeTokens()
+		if mostFree < 0 || state.FreeTokens() > maxFree {
+			mostFree, maxFree = i, state.FreeTokens()
 		}
 	}
 	if len(admitted) == 0 {
--- a/localstate/namings.go
+++ b/localstate/namings.go
@@ -55,15 +55,15 @@
 func (s *State) ReplacedAt(model rillreach.ModelID, version deployment.WeightVersion) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range s.versions[model] {
-		if n.version <= version {
+	for _, record := range s.versions[model] {
+		if record.version <= version {
 			continue
 		}
-		unsure := n.timeUnknown || n.mayFollowGap && n.version > version+1
-		if unsure && time.Since(n.learnedAt) > peerReportTimeout {
+		unsure := record.timeUnknown || record.mayFollowGap && record.version > version+1
+		if unsure && time.Since(record.learnedAt) > peerReportTimeout {
 			return time.Unix(0, 0)
 		}
-		return n.desiredSince
+		return record.desiredSince
 	}
 	return time.Time{}
 }
@@ -81,11 +81,11 @@
 	defer s.mu.Unlock()
 	var all []DesiredVersion
 	for _, model := range slices.Sorted(maps.Keys(s.versions)) {
-		for _, n := range s.versions[model] {
-			if n.timeUnknown {
+		for _, record := range s.versions[model] {
+			if record.timeUnknown {
 				continue
 			}
-			all = append(all, DesiredVersion{Model: model, Version: n.version, At: n.desiredSince})
+			all = append(all, DesiredVersion{Model: model, Version: record.version, At: record.desiredSince})
 		}
 	}
 	return all
@@ -99,7 +99,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	records := s.versions[reported.Model]
-	i, known := slices.BinarySearchFunc(records, reported.Version, func(n versionRecord, v deployment.WeightVersion) int { return cmp.Compare(n.version, v) })
+	i, known := slices.BinarySearchFunc(records, reported.Version, func(record versionRecord, v deployment.WeightVersion) int { return cmp.Compare(record.version, v) })
 	switch {
 	case known:
 		s.correctDesiredSince(&records[i], reported)
--- a/sidecar/rollout_test.go
+++ b/sidecar/rollout_test.go
@@ -66,17 +66,17 @@
 		assert.Equal(t, clock+delay.Milliseconds(), first.Load.WeightLoadAt)
 	})
 	t.Run("a slightly different clock reading is not sent", func(t *testing.T) {
-		_, _, worth := sendTwice(t, report(clock-3, delay))
-		assert.False(t, worth)
+		_, _, due := sendTwice(t, report(clock-3, delay))
+		assert.False(t, due)
 	})
 	t.Run("a new start time is sent", func(t *testing.T) {
-		_, second, worth := sendTwice(t, report(clock, time.Second))
-		assert.True(t, worth)
+		_, second, due := sendTwice(t, report(clock, time.Second))
+		assert.True(t, due)
 		assert.Equal(t, clock+time.Second.Milliseconds(), second.Load.WeightLoadAt)
 	})
 	t.Run("the end of a schedule is sent", func(t *testing.T) {
-		_, second, worth := sendTwice(t, func(n *publisher) { n.setReport(deployment.Load{Clock: time.UnixMilli(clock)}, weightLoadStatus{}) })
-		assert.True(t, worth)
+		_, second, due := sendTwice(t, func(p *publisher) { p.setReport(deployment.Load{Clock: time.UnixMilli(clock)}, weightLoadStatus{}) })
+		assert.True(t, due)
 		assert.Zero(t, second.Load.WeightLoadAt)
 	})
 	t.Run("no time is sent if the runners' clock is unknown", func(t *testing.T) {
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -32,13 +32,13 @@
 
 // receivedOrder is an order as the runner receives it.
 type receivedOrder struct {
-	Op       string `json:"op"`
-	Version  uint64 `json:"version"`
-	Mode     string `json:"mode"`
-	Holder   string `json:"holder"`
-	Fence    uint64 `json:"fencing_token"`
-	Expected uint64 `json:"expected_revision"`
-	instance string
+	Op           string `json:"op"`
+	Version      uint64 `json:"version"`
+	Mode         string `json:"mode"`
+	Holder       string `json:"holder"`
+	FencingToken uint64 `json:"fencing_token"`
+	Expected     uint64 `json:"expected_revision"`
+	instance     string
 }
 
 // fakeEngine serves the control calls of a runner. It sends no response to the first dropResponses orders.
@@ -171,7 +171,7 @@
 		f := newFixture(t, &fakeEngine{version: 1, ordersTaken: 4})
 		revision := f.setDesiredWeights(2)
 		f.eventually(t, func() bool { return len(f.engine.receivedOrders()) > 0 })
-		assert.Equal(t, receivedOrder{Op: "version", Version: 2, Mode: "queue", Holder: "side-1", Fence: revision, Expected: 4, instance: "r1"}, f.engine.receivedOrders()[0])
+		assert.Equal(t, receivedOrder{Op: "version", Version: 2, Mode: "queue", Holder: "side-1", FencingToken: revision, Expected: 4, instance: "r1"}, f.engine.receivedOrders()[0])
 	})
 	t.Run("an order without a response is repeated with the same count", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1, dropResponses: 1})
@@ -188,10 +188,10 @@
 			orders := f.engine.receivedOrders()
 			return len(orders) > 0 && orders[len(orders)-1].Version == 3
 		})
-		fence := uint64(0)
+		fencingToken := uint64(0)
 		for _, o := range f.engine.receivedOrders() {
-			assert.Greater(t, o.Fence, fence)
-			fence = o.Fence
+			assert.Greater(t, o.FencingToken, fencingToken)
+			fencingToken = o.FencingToken
 		}
 	})
 	t.Run("a runner with the named version gets no order", func(t *testing.T) {
