--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,7 +40,7 @@
 	// weightsWatchWait is how long a watch of the desired weights waits. It may be long since agents report them, too.
 	weightsWatchWait = 20 * time.Second
 	// coalesceDivisor gives the delay between watches of the runners, whose records change in quick succession, as a
-	// fraction of RunnerDrainNotice, at most maxCoalesceDelay. An entry that finds a new run at an address asks at
+	// fraction of RunnerDrainDelay, at most maxCoalesceDelay. An entry that finds a new run at an address asks at
 	// once.
 	coalesceDivisor  = 3
 	maxCoalesceDelay = time.Second
@@ -194,7 +194,7 @@
 	return min(max(g.Settings.Bounds.Recovery-watchMargin, minWatchWait), maxWatchWait)
 }
 
-// noticeTTL returns how long a relay's notice is valid. It leaves half of RunnerDrainNotice for the entry's own watch.
+// noticeTTL returns how long a relay's notice is valid. It leaves half of RunnerDrainDelay for the entry's own watch.
 func (g *Gateway) noticeTTL() time.Duration {
 	return min(g.Settings.Bounds.RunnerDrainDelay/noticeTTLDivisor, maxNoticeTTL)
 }
--- a/gateway/local_zone_test.go
+++ b/gateway/local_zone_test.go
@@ -13,7 +13,7 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// engineZones is the number of zones across which beforeEngines spreads its engines.
+// engineZones is the number of zones across which gatewayWithEngines spreads its engines.
 const engineZones = 3
 
 // newLocalEngines returns an entry whose zone has the given number of engines, as do the two other zones.
--- a/place/choose.go
+++ b/place/choose.go
@@ -27,8 +27,8 @@
 	OtherZone bool
 	// OldWeights reports whether the runner has model weights that were replaced some time ago.
 	OldWeights bool
-	// Avoided reports whether the runner is ejected, unresponsive or about to load weights, and is chosen only if there
-	// is no other.
+	// Avoided reports whether the runner is ejected, unresponsive, or loading weights now or soon, and is chosen only if
+	// there is no other.
 	Avoided bool
 	// Tried reports whether the request was already sent to the runner.
 	Tried bool
