--- a/gateway/namings_test.go
+++ b/gateway/namings_test.go
@@ -21,7 +21,7 @@
 	x := &exchange{service: &deployment.Service{Engine: &deployment.Engine{}}}
 	x.wire.Prompt = &deployment.Prompt{Model: model}
 	admits := func() bool { return g.startWindow(x, 1).Admits(now, 0) }
-	assert.True(t, admits(), "as far as the entry knows, the weights were named just now")
+	assert.True(t, admits(), "as far as the entry knows, the weights were requested just now")
 	g.applyBulletin(&bulletin.Bulletin{Clock: 1_000_000, WeightsFirstSeen: []bulletin.WeightsFirstSeen{{Model: model, Version: 2, At: 1_000_000 - 9_000}}}, now)
 	assert.False(t, admits())
 }
--- a/gateway/weights_test.go
+++ b/gateway/weights_test.go
@@ -139,7 +139,7 @@
 		assert.Len(t, newest.Runs(), 1)
 		assertCancelled(t, q)
 	})
-	t.Run("the newer weights are named while the request waits", func(t *testing.T) {
+	t.Run("the newer weights are requested while the request waits", func(t *testing.T) {
 		q := newQueuedEngine("old")
 		w := startWithEngines(t, &q.Engine)
 		defer w.stop()
--- a/localstate/namings_test.go
+++ b/localstate/namings_test.go
@@ -21,7 +21,7 @@
 	first := s.ReplacedAt("m", 1)
 	assert.False(t, first.IsZero())
 	s.SetWeights(deployment.DesiredWeights{Model: "m", Version: 3, Revision: rillreach.Revision{Number: 3}})
-	assert.Equal(t, first, s.ReplacedAt("m", 1), "a version is replaced when the next one is named")
+	assert.Equal(t, first, s.ReplacedAt("m", 1), "a version is replaced when the next one is requested")
 	assert.False(t, s.ReplacedAt("m", 2).IsZero())
 }
 
@@ -113,7 +113,7 @@
 			assert.Equal(t, start, s.ReplacedAt(model, 4))
 		})
 	})
-	t.Run("weights that are named later need no report", func(t *testing.T) {
+	t.Run("weights that are requested later need no report", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := found()
 			time.Sleep(time.Minute)
@@ -127,7 +127,7 @@
 		s.ApplyDesiredVersion(DesiredVersion{Model: model, Version: 5, At: time.Now()})
 		assert.Len(t, s.DesiredVersions(), 1)
 	})
-	t.Run("a version in between may have been named, until another process reports it", func(t *testing.T) {
+	t.Run("a version in between may have been requested, until another process reports it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			s := found()
@@ -139,7 +139,7 @@
 			assert.Equal(t, start.Add(-time.Minute), s.ReplacedAt(model, 3))
 		})
 	})
-	t.Run("a reported version leaves open what was named before it", func(t *testing.T) {
+	t.Run("a reported version leaves open what was requested before it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			s := found()
@@ -149,7 +149,7 @@
 			assert.Equal(t, longAgo, s.ReplacedAt(model, 1))
 		})
 	})
-	t.Run("a version named while the process was watching replaces all before it", func(t *testing.T) {
+	t.Run("a version requested while the process was watching replaces all before it", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			s := newState()
@@ -169,7 +169,7 @@
 			assert.Equal(t, longAgo, s.ReplacedAt(model, 4))
 		})
 	})
-	t.Run("a version that first appears in a later list has just been named", func(t *testing.T) {
+	t.Run("a version that first appears in a later list has just been requested", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newState()
 			c, ok := s.WeightsFollower(nil, time.Second).(*follow.Controller[deployment.DesiredWeights])
--- a/localstate/runners_test.go
+++ b/localstate/runners_test.go
@@ -294,7 +294,7 @@
 		assert.Equal(t, rillreach.Revision{Number: 3}, s.Config().Revision)
 		assert.InDelta(t, 0, gauge(t, s, "rillreach.objects.unreadable.config"), 0)
 	})
-	t.Run("an unreadable weights object leaves the named version, and is logged once", func(t *testing.T) {
+	t.Run("an unreadable weights object leaves the desired version, and is logged once", func(t *testing.T) {
 		s, lines := countLines("object refused")
 		c, ok := s.WeightsFollower(nil, time.Second).(*follow.Controller[deployment.DesiredWeights])
 		require.True(t, ok)
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -180,7 +180,7 @@
 		orders := f.engine.receivedOrders()
 		assert.Equal(t, orders[0], orders[1])
 	})
-	t.Run("the newest of two named versions is loaded, and fencing tokens increase", func(t *testing.T) {
+	t.Run("the newer of two requested versions is loaded, and fencing tokens increase", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 1})
 		f.setDesiredWeights(2)
 		f.setDesiredWeights(3)
@@ -194,7 +194,7 @@
 			fencingToken = o.FencingToken
 		}
 	})
-	t.Run("a runner with the named version gets no order", func(t *testing.T) {
+	t.Run("a runner with the desired version gets no order", func(t *testing.T) {
 		f := newFixture(t, &fakeEngine{version: 2})
 		f.setDesiredWeights(2)
 		f.eventually(t, func() bool { desired, _ := f.agent.state.DesiredWeights("m"); return desired.Version == 2 })
--- a/weights/decide_test.go
+++ b/weights/decide_test.go
@@ -24,7 +24,7 @@
 		want   Action
 	}{
 		{"the runner's load is due", func(*Input) {}, ActionLoad},
-		{"no version is named", func(s *Input) { s.Desired = 0 }, ActionNone},
+		{"no version is desired", func(s *Input) { s.Desired = 0 }, ActionNone},
 		{"the runner has the version", func(s *Input) { s.Loaded = 2 }, ActionNone},
 		{"the runner has a newer version", func(s *Input) { s.Loaded = 3 }, ActionNone},
 		{"the runner is leaving", func(s *Input) { s.Leaving = true }, ActionNone},
