--- a/gateway/local_zone_test.go
+++ b/gateway/local_zone_test.go
@@ -13,7 +13,7 @@
 	"github.com/rillreach/rillreach/roster"
 )
 
-// engineZones is the number of zones across which beforeEngines spreads its engines.
+// engineZones is the number of zones across which gatewayWithEngines spreads its engines.
 const engineZones = 3
 
 // newLocalEngines returns an entry whose zone has the given number of engines, as do the two other zones.
@@ -29,7 +29,7 @@
 	t.Run("with enough local engines, engines in other zones send load reports only", func(t *testing.T) {
 		g, _ := newLocalEngines(minLocalEngines)
 		sparse := 0
-		for _, w := range (&agentFollower{gateway: g}).wantedAgents(g.engineGroups()) {
+		for _, w := range (&agentFollower{gateway: g}).desiredSubscriptions(g.engineGroups()) {
 			if w.loadOnly {
 				sparse++
 			}
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -15,7 +15,7 @@
 	// time.
 	reserved map[*roster.Runner]bool
 	senders  int
-	// idleOnly restricts the choice to engines without pending prefill work.
+	// idleOnly restricts the choice to engines without queued prefill work.
 	idleOnly bool
 }
 
@@ -34,14 +34,14 @@
 		if o.views[i].Denied != "" {
 			continue
 		}
-		room := g.engineState(o, i, q.senders)
-		if room.Admits(o.request.Tokens) && (!q.idleOnly || room.Idle()) {
+		state := g.engineState(o, i, q.senders)
+		if state.Admits(o.request.Tokens) && (!q.idleOnly || state.Idle()) {
 			g.planCandidate(x, o, i, now)
 			admitted = append(admitted, o.candidates[i])
 			indexes = append(indexes, i)
 		}
-		if mostFree < 0 || room.FreeTokens() > maxFree {
-			mostFree, maxFree = i, room.FreeTokens()
+		if mostFree < 0 || state.FreeTokens() > maxFree {
+			mostFree, maxFree = i, state.FreeTokens()
 		}
 	}
 	if len(admitted) == 0 {
@@ -65,11 +65,11 @@
 		// All entries see a runner that has just started as empty, so each assumes that the others send as much as
 		// itself.
 		entries := g.budgets.Entries()
-		pendingPrefill := time.Duration(v.PrefillTokens*entries) * o.request.Latency.PerToken
-		return admission.EngineState{Capacity: c.Capacity, Used: v.KVTokens * entries, PendingPrefill: pendingPrefill}
+		queuedPrefill := time.Duration(v.QueuedPrefillTokens*entries) * o.request.Latency.PerToken
+		return admission.EngineState{Capacity: c.Capacity, UsedTokens: v.UsedTokens * entries, QueuedPrefill: queuedPrefill}
 	}
 	return admission.EngineState{
-		Capacity: c.Capacity, Used: max(v.Load.UsedTokens, 0), Queued: v.Load.Waiting * g.requestSizes.mean(), SentSinceReport: v.UnreportedKVTokens, Senders: senders,
-		PendingPrefill: time.Duration(c.QueuedPrefillTokens) * o.request.Latency.PerToken,
+		Capacity: c.Capacity, UsedTokens: max(v.Load.UsedTokens, 0), QueuedTokens: v.Load.Waiting * g.requestSizes.mean(), UnreportedUsedTokens: v.UnreportedUsedTokens, Senders: senders,
+		QueuedPrefill: time.Duration(c.QueuedPrefillTokens) * o.request.Latency.PerToken,
 	}
 }
