--- a/table.go
+++ b/table.go
@@ -84,7 +84,7 @@
 
 func (r Row) checkFormat() error {
 	if r.Format != RowFormat {
-		return errors.Newf("format is %d, expected %d", r.Format, RowFormat)
+		return errors.Newf("format %d is not %d", r.Format, RowFormat)
 	}
 	return nil
 }
