--- a/bench/path/path_test.go
+++ b/bench/path/path_test.go
@@ -77,7 +77,7 @@
 
 func startFleet(tb testing.TB, tokenTime time.Duration) (*demo.Fleet, *caller) {
 	tb.Helper()
-	f := &demo.Fleet{Entries: 1, Runners: 1, TokenTime: tokenTime, PrefillRate: 1e9, Slots: 100_000, Log: logr.Discard()}
+	f := &demo.Fleet{Entries: 1, Runners: 1, TokenInterval: tokenTime, PrefillRate: 1e9, Slots: 100_000, Log: logr.Discard()}
 	tb.Cleanup(f.Stop)
 	require.NoError(tb, f.Start(context.Background()))
 	key, credential, err := rillreach.NewAPIKey("bench")
@@ -88,7 +88,7 @@
 		Credentials: []rillreach.Credential{credential},
 	}, 0)
 	require.NoError(tb, err)
-	require.NoError(tb, f.Ready(context.Background(), key))
+	require.NoError(tb, f.WaitReady(context.Background(), key))
 	return f, newCaller(key)
 }
 
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	if summary.Failed() {
-		return errors.Newf("%d requests were lost and %d run twice", summary.Lost, summary.Doubled)
+		return errors.Newf("%d requests were lost and %d run twice", summary.Lost, summary.Duplicated)
 	}
 	return nil
 }
@@ -79,8 +79,8 @@
 links to stores    old side %.1f MB, new side %.1f MB
 `
 	const mega = 1e6
-	_, err := fmt.Fprintf(w, form, s.Requests, s.Whole, s.Lost, s.Doubled, s.OnceCalls, s.TTFTP50, s.TTFTP95, s.Before.TTFTP50,
-		s.Before.TTFTP95, 100*s.Before.Recomputed, s.After.TTFTP50, s.After.TTFTP95, 100*s.After.Recomputed, 100*s.Recomputed,
-		float64(s.BytesOld)/mega, float64(s.BytesNew)/mega)
+	_, err := fmt.Fprintf(w, form, s.Requests, s.Complete, s.Lost, s.Duplicated, s.NonIdempotentCalls, s.TTFTP50, s.TTFTP95, s.BeforeShift.TTFTP50,
+		s.BeforeShift.TTFTP95, 100*s.BeforeShift.RecomputedShare, s.AfterShift.TTFTP50, s.AfterShift.TTFTP95, 100*s.AfterShift.RecomputedShare, 100*s.RecomputedShare,
+		float64(s.OldStoreBytes)/mega, float64(s.NewStoreBytes)/mega)
 	return errors.Wrap(err, "write summary")
 }
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -56,11 +56,11 @@
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			e := &engine.Server{
-				Model:       rillreach.ModelID(c.String("engine-model")),
-				Version:     rillreach.VersionID(c.String("engine-version")),
-				PrefillRate: float64(c.Int("engine-prefill")),
-				CacheBlocks: c.Int("engine-cache"),
-				TokenTime:   c.Duration("engine-token-time"),
+				Model:         rillreach.ModelID(c.String("engine-model")),
+				Version:       rillreach.VersionID(c.String("engine-version")),
+				PrefillRate:   float64(c.Int("engine-prefill")),
+				CacheBlocks:   c.Int("engine-cache"),
+				TokenInterval: c.Duration("engine-token-time"),
 			}
 			return serveStandin(ctx, c, e.Handler())
 		},
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -47,9 +47,9 @@
 	Entries int
 	Runners int
 	Stores  int
-	// TokenTime is the engines' time between two tokens, PrefillRate how many tokens of a prompt they compute a second.
-	TokenTime   time.Duration
-	PrefillRate float64
+	// TokenInterval is the engines' time between two tokens, PrefillRate how many tokens of a prompt they compute a second.
+	TokenInterval time.Duration
+	PrefillRate   float64
 	// Slots is how many requests run at each engine at once; zero means the agents' default.
 	Slots int
 	// TLS makes the configuration of each process for its role; nil means plain TCP between peers.
@@ -62,9 +62,9 @@
 	EngineURLs []string
 	// Services count the calls that were run.
 	Services []*service.Server
-	// StoresOn and EnginesOn are the stand-ins of each side.
-	StoresOn  map[rillreach.Side][]*store.Server
-	EnginesOn map[rillreach.Side][]*engine.Server
+	// StoresBySide and EnginesOn are the stand-ins of each side.
+	StoresBySide  map[rillreach.Side][]*store.Server
+	EnginesBySide map[rillreach.Side][]*engine.Server
 	// Platform is the platform's stand-in, Editor writes its rows.
 	Platform *standinplatform.Server
 	Editor   *edit.Editor
@@ -80,7 +80,7 @@
 func (f *Fleet) Start(ctx context.Context) error {
 	ctx, f.stop = context.WithCancel(ctx)
 	f.group = pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
-	f.StoresOn, f.EnginesOn = map[rillreach.Side][]*store.Server{}, map[rillreach.Side][]*engine.Server{}
+	f.StoresBySide, f.EnginesBySide = map[rillreach.Side][]*store.Server{}, map[rillreach.Side][]*engine.Server{}
 	f.Platform = standinplatform.New()
 	base, err := f.serve(f.Platform)
 	if err != nil {
@@ -109,9 +109,9 @@
 	}
 }
 
-// Ready waits until every entry answers requests of a key: it knows the rows, an agent of the service, and one of the model. Entries learn of
+// WaitReady waits until every entry answers requests of a key: it knows the rows, an agent of the service, and one of the model. Entries learn of
 // agents some time after they have the rows.
-func (f *Fleet) Ready(ctx context.Context, key string) error {
+func (f *Fleet) WaitReady(ctx context.Context, key string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	for _, url := range f.URLs {
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	f.StoresOn[side] = append(f.StoresOn[side], s)
+	f.StoresBySide[side] = append(f.StoresBySide[side], s)
 	self, err := instance(rillreach.RoleStore, side, fmt.Sprintf("store-%s-%d", side, i), listener)
 	if err != nil {
 		return err
@@ -186,12 +186,12 @@
 }
 
 func (f *Fleet) startRunner(side rillreach.Side, i int) error {
-	e := &engine.Server{Model: Model, Version: Version, TokenTime: f.TokenTime, PrefillRate: f.PrefillRate}
+	e := &engine.Server{Model: Model, Version: Version, TokenInterval: f.TokenInterval, PrefillRate: f.PrefillRate}
 	listener, err := f.serve(e.Handler())
 	if err != nil {
 		return err
 	}
-	f.EnginesOn[side] = append(f.EnginesOn[side], e)
+	f.EnginesBySide[side] = append(f.EnginesBySide[side], e)
 	base := "http://" + listener.Addr().String()
 	f.EngineURLs = append(f.EngineURLs, base)
 	n, err := f.node(rillreach.RoleAgent, side, fmt.Sprintf("runner-%s-%d", side, i))
--- a/demo/run.go
+++ b/demo/run.go
@@ -34,37 +34,37 @@
 
 // Summary is what the demonstration has shown.
 type Summary struct {
-	Requests   int     `json:"requests"`
-	Whole      int     `json:"whole"`
-	Lost       int     `json:"lost"`
-	Doubled    int     `json:"doubled"`
-	TTFTP50    float64 `json:"ttft_p50_ms"`
-	TTFTP95    float64 `json:"ttft_p95_ms"`
-	Recomputed float64 `json:"recomputed_share"`
-	// OnceCalls is how many calls that must not run twice were answered.
-	OnceCalls int `json:"once_calls"`
-	// BytesOld and BytesNew are what went over the links to each side's stores.
-	BytesOld int64 `json:"store_bytes_old"`
-	BytesNew int64 `json:"store_bytes_new"`
-	// Before and After are the first and last round's times to first token and share recomputed.
-	Before Round `json:"before_shift"`
-	After  Round `json:"after_shift"`
+	Requests        int     `json:"requests"`
+	Complete        int     `json:"whole"`
+	Lost            int     `json:"lost"`
+	Duplicated      int     `json:"doubled"`
+	TTFTP50         float64 `json:"ttft_p50_ms"`
+	TTFTP95         float64 `json:"ttft_p95_ms"`
+	RecomputedShare float64 `json:"recomputed_share"`
+	// NonIdempotentCalls is how many calls that must not run twice were answered.
+	NonIdempotentCalls int `json:"once_calls"`
+	// OldStoreBytes and BytesNew are what went over the links to each side's stores.
+	OldStoreBytes int64 `json:"store_bytes_old"`
+	NewStoreBytes int64 `json:"store_bytes_new"`
+	// BeforeShift and After are the first and last round's times to first token and share recomputed.
+	BeforeShift Round `json:"before_shift"`
+	AfterShift  Round `json:"after_shift"`
 }
 
 // Round is the traffic under one setting of the weights.
 type Round struct {
-	TTFTP50    float64 `json:"ttft_p50_ms"`
-	TTFTP95    float64 `json:"ttft_p95_ms"`
-	Recomputed float64 `json:"recomputed_share"`
+	TTFTP50         float64 `json:"ttft_p50_ms"`
+	TTFTP95         float64 `json:"ttft_p95_ms"`
+	RecomputedShare float64 `json:"recomputed_share"`
 }
 
 // Failed reports whether anything was lost or doubled.
-func (s Summary) Failed() bool { return s.Lost > 0 || s.Doubled > 0 }
+func (s Summary) Failed() bool { return s.Lost > 0 || s.Duplicated > 0 }
 
 // Run runs the demonstration and writes its progress; keep, which may be nil, is called at its end, while the fleet is
 // still up, with an entry's address and a key.
 func Run(ctx context.Context, progress io.Writer, keep func(ctx context.Context, url, key string)) (Summary, error) {
-	f := &Fleet{Entries: 2, Runners: 2, Stores: 1, TokenTime: engineTime, PrefillRate: prefill, TLS: fleetTLS(), Log: logr.Discard()}
+	f := &Fleet{Entries: 2, Runners: 2, Stores: 1, TokenInterval: engineTime, PrefillRate: prefill, TLS: fleetTLS(), Log: logr.Discard()}
 	defer f.Stop()
 	if err := f.Start(ctx); err != nil {
 		return Summary{}, err
@@ -77,7 +77,7 @@
 	if err := d.write(ctx, 0); err != nil {
 		return Summary{}, err
 	}
-	if err := f.Ready(ctx, key); err != nil {
+	if err := f.WaitReady(ctx, key); err != nil {
 		return Summary{}, err
 	}
 	for i := range conversations {
@@ -258,24 +258,24 @@
 
 func (d *demonstration) summary(before, after *traffic) Summary {
 	s := Summary{
-		Requests: d.all.requests + len(d.once), Whole: d.all.whole + len(d.once) - d.onceLost, Lost: d.all.lost + d.onceLost,
-		TTFTP50: d.all.quantile(50), TTFTP95: d.all.quantile(95), Recomputed: d.all.share(),
-		OnceCalls: len(d.once) - d.onceLost, Before: roundOf(before), After: roundOf(after),
+		Requests: d.all.requests + len(d.once), Complete: d.all.whole + len(d.once) - d.onceLost, Lost: d.all.lost + d.onceLost,
+		TTFTP50: d.all.quantile(50), TTFTP95: d.all.quantile(95), RecomputedShare: d.all.share(),
+		NonIdempotentCalls: len(d.once) - d.onceLost, BeforeShift: roundOf(before), AfterShift: roundOf(after),
 	}
 	for _, served := range d.fleet.Services {
-		for body, count := range served.Runs() {
+		for body, count := range served.RunCounts() {
 			if _, ours := d.once[body]; ours && count > 1 {
-				s.Doubled++
+				s.Duplicated++
 			}
 		}
 	}
-	s.BytesOld, s.BytesNew = d.bytesOn(rillreach.SideOld), d.bytesOn(rillreach.SideNew)
+	s.OldStoreBytes, s.NewStoreBytes = d.bytesOn(rillreach.SideOld), d.bytesOn(rillreach.SideNew)
 	return s
 }
 
 func (d *demonstration) bytesOn(side rillreach.Side) int64 {
 	var bytes int64
-	for _, st := range d.fleet.StoresOn[side] {
+	for _, st := range d.fleet.StoresBySide[side] {
 		counts := st.Counts()
 		bytes += counts.ReadBytes + counts.WriteBytes
 	}
@@ -283,7 +283,7 @@
 }
 
 func roundOf(t *traffic) Round {
-	return Round{TTFTP50: t.quantile(50), TTFTP95: t.quantile(95), Recomputed: t.share()}
+	return Round{TTFTP50: t.quantile(50), TTFTP95: t.quantile(95), RecomputedShare: t.share()}
 }
 
 // add takes another traffic's counts in.
--- a/e2e/mixed_test.go
+++ b/e2e/mixed_test.go
@@ -156,7 +156,7 @@
 func (f *mixedFleet) checkAnswer(a answer, text, version string, stream bool, r *mixedReport) {
 	got, err := answerText(a, stream)
 	want := func(v string) string {
-		return " " + strings.Join(engine.AnswerWords(v, userWord+` "`+text+`"`, wordCount), " ")
+		return " " + strings.Join(engine.ResponseWords(v, userWord+` "`+text+`"`, wordCount), " ")
 	}
 	other := map[string]string{"v1": "v2", "v2": "v1"}[version]
 	switch {
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -34,7 +34,7 @@
 
 // expected is the answer that the engine stand-in owes to a chat with one message.
 func expected(text string) string {
-	return " " + strings.Join(engine.AnswerWords("v1", userWord+` "`+text+`"`, wordCount), " ")
+	return " " + strings.Join(engine.ResponseWords("v1", userWord+` "`+text+`"`, wordCount), " ")
 }
 
 type chatAnswer struct {
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -55,9 +55,9 @@
 		settings: filepath.Join(t.TempDir(), "boot.toml"),
 	}
 	e.good = (&site.Settings{
-		Name: "entry-1", Host: netip.MustParseAddr(host), PeerPort: 7580, Callers: e.callers, Readiness: e.ready,
-		Store: netip.MustParseAddrPort(store),
-	}).Text()
+		Name: "entry-1", Host: netip.MustParseAddr(host), PeerPort: 7580, FrontendAddress: e.callers, ReadinessAddress: e.ready,
+		PlatformAddress: netip.MustParseAddrPort(store),
+	}).TOML()
 	e.write(t, e.good)
 	return e
 }
@@ -119,7 +119,7 @@
 		"services": []map[string]any{{"name": "s"}},
 		"limits":   map[string]any{"max_body_bytes": 1000},
 	})
-	store.Put("servers", "r1", site.RecordOf(runner.Address(), "ready"))
+	store.Put("servers", "r1", site.NewRunnerRecord(runner.Address(), "ready"))
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	e := startPlatformEntry(t, strings.TrimPrefix(server.URL, "http://"))
@@ -146,11 +146,11 @@
 		require.Eventually(t, func() bool { return strings.Contains(e.text(), "settings read again") }, patience, 10*time.Millisecond)
 	})
 	t.Run("the store's outage leaves what is known in force", func(t *testing.T) {
-		store.Fail(http.StatusServiceUnavailable)
+		store.FailWithStatus(http.StatusServiceUnavailable)
 		require.Eventually(t, func() bool { return strings.Contains(e.text(), "dependency lost") }, patience, 10*time.Millisecond)
 		got, _ := e.call(t)
 		assert.Equal(t, http.StatusOK, got)
-		store.Fail(0)
+		store.FailWithStatus(0)
 		require.Eventually(t, func() bool { return strings.Contains(e.text(), "dependency regained") }, patience, 10*time.Millisecond)
 	})
 	t.Run("figures are served", func(t *testing.T) {
--- a/e2e/reload_test.go
+++ b/e2e/reload_test.go
@@ -24,7 +24,7 @@
 	store := site.NewStore()
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
-	store.Put("config", "main", site.ConfigOf(1, nil))
+	store.Put("config", "main", site.NewConfig(1, nil))
 	callers, ready := freeAddress(t, "127.0.0.1"), freeAddress(t, "127.0.0.1")
 	file := filepath.Join(t.TempDir(), "boot.toml")
 	require.NoError(t, syscall.Mkfifo(file, 0o600))
@@ -35,9 +35,9 @@
 	require.NoError(t, err)
 	p.signal(syscall.SIGHUP)
 	_, err = pipe.WriteString((&site.Settings{
-		Name: "entry-1", Host: netip.MustParseAddr("127.0.0.1"), PeerPort: 7580, Callers: callers, Readiness: ready,
-		Store: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")),
-	}).Text())
+		Name: "entry-1", Host: netip.MustParseAddr("127.0.0.1"), PeerPort: 7580, FrontendAddress: callers, ReadinessAddress: ready,
+		PlatformAddress: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")),
+	}).TOML())
 	require.NoError(t, err)
 	require.NoError(t, pipe.Close())
 	require.Eventually(t, func() bool { return status("http://"+ready+"/ready") == http.StatusOK }, patience, 10*time.Millisecond)
--- a/e2e/stopping_callers_test.go
+++ b/e2e/stopping_callers_test.go
@@ -196,7 +196,7 @@
 	}
 	text := ""
 	for id := 1; id <= l.events; id++ {
-		text += site.Piece(id)
+		text += site.EventText(id)
 	}
 	return text
 }
--- a/e2e/stopping_judge_test.go
+++ b/e2e/stopping_judge_test.go
@@ -41,15 +41,15 @@
 	s := &stopSite{store: site.NewStore(), runner: &site.Runner{ID: "r1"}}
 	s.runner.Handle = func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/"+streamRoute+"/") {
-			site.Pace(w, r, events, streamTick)
+			site.StreamEventsAtInterval(w, r, events, streamTick)
 			return
 		}
-		site.Answer(w, r, plainAnswer)
+		site.WriteResponse(w, r, plainAnswer)
 	}
 	s.runner.Start()
 	t.Cleanup(s.runner.Stop)
 	s.configure(1)
-	s.store.Put("servers", "r1", site.RecordOf(s.runner.Address(), "ready"))
+	s.store.Put("servers", "r1", site.NewRunnerRecord(s.runner.Address(), "ready"))
 	server := httptest.NewServer(s.store)
 	t.Cleanup(server.Close)
 	s.address = strings.TrimPrefix(server.URL, "http://")
@@ -131,7 +131,7 @@
 // ran are the requests that came to the runner.
 func (s *stopSite) ran() map[string]bool {
 	ids := map[string]bool{}
-	for _, run := range s.runner.Runs() {
+	for _, run := range s.runner.ReceivedRequests() {
 		ids[run.Header.Get("X-Rillreach-Attempt-Id")] = true
 	}
 	return ids
--- a/gateway/backpressure_test.go
+++ b/gateway/backpressure_test.go
@@ -42,7 +42,7 @@
 	if l.limiting.Load() {
 		w.Header().Set("Server-Limit", fmt.Sprint(limitPerSecond))
 	}
-	site.Answer(w, req, l.body)
+	site.WriteResponse(w, req, l.body)
 }
 
 // maxInWindow returns the largest number of arrivals in any window that begins with an arrival after start.
--- a/gateway/begin_test.go
+++ b/gateway/begin_test.go
@@ -18,7 +18,7 @@
 	begin := func(t *testing.T) (*world, *site.Store) {
 		t.Helper()
 		store := site.NewStore()
-		r := &site.Runner{ID: "r", Handle: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "sound") }}
+		r := &site.Runner{ID: "r", Handle: func(w http.ResponseWriter, req *http.Request) { site.WriteResponse(w, req, "sound") }}
 		r.Start()
 		t.Cleanup(r.Stop)
 		store.Put("servers", r.ID, runnerRecord(r, "ready"))
--- a/gateway/begun_answer_test.go
+++ b/gateway/begun_answer_test.go
@@ -36,7 +36,7 @@
 	s := &brokenStreamSite{}
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if s.brokenAt.CompareAndSwap(0, time.Now().UnixNano()) {
-			site.Events(w, r, streamEvents, cutAfterEvent)
+			site.StreamEvents(w, r, streamEvents, cutAfterEvent)
 			return
 		}
 		other(s, time.Since(time.Unix(0, s.brokenAt.Load())), w, r)
@@ -50,7 +50,7 @@
 
 func (s *brokenStreamSite) refuse(w http.ResponseWriter, r *http.Request) {
 	s.refused.Add(1)
-	site.Refuse(w, r)
+	site.WriteNotExecuted(w, r)
 }
 
 func (s *brokenStreamSite) assertCompleteAnswer(t *testing.T) {
@@ -68,7 +68,7 @@
 				s.refuse(w, r)
 				return
 			}
-			site.Events(w, r, streamEvents, 0)
+			site.StreamEvents(w, r, streamEvents, 0)
 		})
 		s.assertCompleteAnswer(t)
 	})
@@ -78,7 +78,7 @@
 				s.refuse(w, r)
 				return
 			}
-			site.Events(w, r, streamEvents, 0)
+			site.StreamEvents(w, r, streamEvents, 0)
 		})
 		s.assertCompleteAnswer(t)
 		assert.LessOrEqual(t, s.refused.Load(), int64(refuseDuration/(20*time.Millisecond)), "runners without room are tried too often")
@@ -90,7 +90,7 @@
 				s.refuse(w, r)
 				return
 			}
-			site.Events(w, r, streamEvents, 0)
+			site.StreamEvents(w, r, streamEvents, 0)
 		})
 		s.assertCompleteAnswer(t)
 	})
@@ -102,7 +102,7 @@
 				return
 			}
 			runs.Add(1)
-			site.Events(w, r, streamEvents, cutAfterEvent+2)
+			site.StreamEvents(w, r, streamEvents, cutAfterEvent+2)
 		})
 		got := s.send(t, "POST", "/stream/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
@@ -124,10 +124,10 @@
 	refusesOnce := func(refused *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if refused.CompareAndSwap(false, true) {
-				site.Refuse(w, r)
+				site.WriteNotExecuted(w, r)
 				return
 			}
-			site.Events(w, r, streamEvents, 0)
+			site.StreamEvents(w, r, streamEvents, 0)
 		}
 	}
 	t.Run("the only other engine refuses once", func(t *testing.T) {
@@ -148,12 +148,12 @@
 		w, loads, _ := loadingWorld(t, refusesOnce(&refused))
 		defer w.stop()
 		loads.Handle = func(rw http.ResponseWriter, r *http.Request) {
-			site.Events(rw, r, cutAfterEvent, 0)
+			site.StreamEvents(rw, r, cutAfterEvent, 0)
 			setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 			for from := cutAfterEvent; !refused.Load() && r.Context().Err() == nil; from++ {
 				time.Sleep(eventInterval)
 				r.Header.Set("Last-Event-Id", site.EventID(min(from, streamEvents-2)))
-				site.Events(rw, r, min(from+1, streamEvents-1), 0)
+				site.StreamEvents(rw, r, min(from+1, streamEvents-1), 0)
 			}
 			time.Sleep(eventInterval) // so that the entry has received the refusal
 			panic(http.ErrAbortHandler)
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -16,7 +16,7 @@
 // startRunnerInZone starts and lists a runner in a zone. It answers with the name of the zone.
 func startRunnerInZone(t *testing.T, store *site.Store, zone string) *site.Runner {
 	t.Helper()
-	r := &site.Runner{ID: "r-" + zone, Handle: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, zone) }}
+	r := &site.Runner{ID: "r-" + zone, Handle: func(w http.ResponseWriter, req *http.Request) { site.WriteResponse(w, req, zone) }}
 	r.Start()
 	t.Cleanup(r.Stop)
 	listed := runnerRecord(r, "ready")
@@ -66,7 +66,7 @@
 		defer later.stop()
 		later.awaitReady(t)
 		assert.Equal(t, map[string]bool{"z2": true}, served(t, later))
-		assert.Empty(t, runners[0].Runs())
+		assert.Empty(t, runners[0].ReceivedRequests())
 	})
 	t.Run("requests are refused at once if all zones are evacuated", func(t *testing.T) {
 		w, _ := begin(t, "z1")
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -31,7 +31,7 @@
 func eventsOf(first, last int) string {
 	var b strings.Builder
 	for id := first; id <= last; id++ {
-		b.WriteString(site.Piece(id))
+		b.WriteString(site.EventText(id))
 	}
 	return b.String()
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -24,7 +24,7 @@
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status)
 		assert.Equal(t, "sealed", got.header.Get("X-Rillreach-Response-Seal"))
-		run := runner.Runs()[0]
+		run := runner.ReceivedRequests()[0]
 		assert.Equal(t, "/once/a%2Fb//c?q=%20x&&y", run.Target)
 		assert.Equal(t, "POST", run.Method)
 		assert.Equal(t, host, run.Host)
@@ -37,7 +37,7 @@
 	t.Run("internal headers are not accepted from callers", func(t *testing.T) {
 		w.send(t, "GET", "/repeat/x", "", "X-Rillreach-Tenant: other", "Hold: 7", "Kv-From: 1.2.3.4:1/2", "Pin-Ms: 5", "Kv-Backup: 1.2.3.4:1",
 			"Cache-Salt: s", "Connection: X-Rillreach-Model", "X-Rillreach-Model: m", "X-Plain: kept")
-		runs := runner.Runs()
+		runs := runner.ReceivedRequests()
 		run := runs[len(runs)-1]
 		assert.Equal(t, "shop", run.Header.Get("X-Rillreach-Tenant"))
 		assert.Equal(t, "m", run.Header.Get("X-Rillreach-Model"))
@@ -48,7 +48,7 @@
 	})
 	t.Run("the runner gets the remaining time", func(t *testing.T) {
 		w.send(t, "GET", "/repeat/x", "", "X-Rillreach-Deadline-Ms: 90000")
-		runs := runner.Runs()
+		runs := runner.ReceivedRequests()
 		var left int
 		_, err := fmt.Sscan(runs[len(runs)-1].Header.Get("X-Rillreach-Deadline-Ms"), &left)
 		require.NoError(t, err)
@@ -58,13 +58,13 @@
 	t.Run("a chunked body arrives complete", func(t *testing.T) {
 		got := w.send(t, "POST", "/once/c", "", "Transfer-Encoding: chunked", "", "5", "hello", "0", "")
 		assert.Equal(t, http.StatusOK, got.status)
-		runs := runner.Runs()
+		runs := runner.ReceivedRequests()
 		assert.Equal(t, "hello", runs[len(runs)-1].Body)
 	})
 	t.Run("a request smuggled in a body is not run", func(t *testing.T) {
-		before := len(runner.Runs())
+		before := len(runner.ReceivedRequests())
 		w.send(t, "POST", "/once/s", "GET /once/smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
-		runs := runner.Runs()
+		runs := runner.ReceivedRequests()
 		require.Len(t, runs, before+1)
 		assert.Equal(t, "/once/s", runs[before].Target)
 	})
@@ -88,9 +88,9 @@
 		w.eventually(t, func() bool { return w.send(t, "GET", "/repeat/", "").status == http.StatusUnauthorized })
 	})
 	t.Run("an invalid configuration leaves the last one in force", func(t *testing.T) {
-		calls := w.store.Calls()
+		calls := w.store.CallCount()
 		w.store.Put("config", "main", jsonMap{"version": 3, "routes": []jsonMap{{"name": "broken"}}})
-		w.eventually(t, func() bool { return w.store.Calls() > calls+1 })
+		w.eventually(t, func() bool { return w.store.CallCount() > calls+1 })
 		assert.Equal(t, int64(2), w.gateway.state.Config().Version)
 	})
 }
@@ -113,14 +113,14 @@
 
 func TestRunnerFailures(t *testing.T) {
 	t.Run("a request refused by a runner moves to another", func(t *testing.T) {
-		good, refusing := &site.Runner{ID: "good"}, &site.Runner{ID: "full", Handle: site.Refuse}
+		good, refusing := &site.Runner{ID: "good"}, &site.Runner{ID: "full", Handle: site.WriteNotExecuted}
 		w := startWorld(t, defaultConfig(), good, refusing)
 		defer w.stop()
 		for range 8 {
 			got := w.send(t, "POST", "/once/x", "body")
 			assert.Equal(t, http.StatusOK, got.status)
 		}
-		assert.Len(t, good.Runs(), 8)
+		assert.Len(t, good.ReceivedRequests(), 8)
 	})
 	t.Run("a non-idempotent request that may have run is not retried, and gets a 502", func(t *testing.T) {
 		closeConn := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -128,7 +128,7 @@
 		w := startWorld(t, defaultConfig(), a, b)
 		defer w.stop()
 		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusBadGateway)
-		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
+		assert.Equal(t, 1, len(a.ReceivedRequests())+len(b.ReceivedRequests()))
 	})
 	t.Run("an idempotent request is retried up to the max_attempts of the route", func(t *testing.T) {
 		closeConn := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -136,7 +136,7 @@
 		w := startWorld(t, defaultConfig(), a, b, c)
 		defer w.stop()
 		assertGatewayAnswer(t, w.send(t, "GET", "/repeat/x", ""), http.StatusBadGateway)
-		assert.Equal(t, 2, len(a.Runs())+len(b.Runs())+len(c.Runs()))
+		assert.Equal(t, 2, len(a.ReceivedRequests())+len(b.ReceivedRequests())+len(c.ReceivedRequests()))
 	})
 	t.Run("without runners the request is refused at once", func(t *testing.T) {
 		w := startWorld(t, defaultConfig())
@@ -151,11 +151,11 @@
 		defer w.stop()
 		w.store.Put("servers", "leaves", runnerRecord(draining, "draining"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("leaves").Info().Leaving })
-		before := len(draining.Runs())
+		before := len(draining.ReceivedRequests())
 		for range 6 {
 			w.send(t, "GET", "/repeat/x", "")
 		}
-		assert.Len(t, draining.Runs(), before)
+		assert.Len(t, draining.ReceivedRequests(), before)
 	})
 	t.Run("another runner at the listed address does not run the request", func(t *testing.T) {
 		runner := &site.Runner{ID: "new"}
@@ -166,7 +166,7 @@
 		w.store.Put("servers", "old", runnerRecord(runner, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Len() == 1 })
 		assertGatewayAnswer(t, w.send(t, "POST", "/once/x", "body"), http.StatusServiceUnavailable)
-		assert.Empty(t, runner.Runs())
+		assert.Empty(t, runner.ReceivedRequests())
 	})
 }
 
@@ -196,7 +196,7 @@
 	require.NoError(t, err)
 	_, err = fmt.Fprintf(conn, "GET /repeat/ HTTP/1.1\r\nHost: %s\r\nX-Rillreach-Attempt-Id: a\r\nAuthorization: Bearer %s\r\n\r\n", host, key)
 	require.NoError(t, err)
-	w.eventually(t, func() bool { return len(runner.Runs()) == 1 })
+	w.eventually(t, func() bool { return len(runner.ReceivedRequests()) == 1 })
 	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
 	select {
 	case <-disconnected:
--- a/gateway/hedge_test.go
+++ b/gateway/hedge_test.go
@@ -20,7 +20,7 @@
 // route allows, the caller's answer is cut although the first runner was still answering.
 func TestStreamCutBeforeHedgeAnswers(t *testing.T) {
 	t.Run("the other runner refuses", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, site.Refuse)
+		w, loads, other := loadingWorld(t, site.WriteNotExecuted)
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
@@ -32,13 +32,13 @@
 	t.Run("the other runner refuses after a delay", func(t *testing.T) {
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(4 * eventInterval)
-			site.Refuse(w, r)
+			site.WriteNotExecuted(w, r)
 		})
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
 	t.Run("the other runner continues after the last event that the caller has", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, streamEvents, 0) })
+		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) { site.StreamEvents(w, r, streamEvents, 0) })
 		defer w.stop()
 		assertStreamCompleteWithHedge(t, w, loads, other)
 	})
@@ -48,19 +48,19 @@
 // the first runner continues after a pause, no attempt is left to receive its answer.
 func TestSilentRunnerDroppedBeforeHedgeAnswers(t *testing.T) {
 	pauseStream := func(w http.ResponseWriter, r *http.Request) {
-		site.Events(w, r, 4, 0)
+		site.StreamEvents(w, r, 4, 0)
 		select {
 		case <-time.After(4 * minSilence):
 		case <-r.Context().Done():
 			return
 		}
 		r.Header.Set("Last-Event-Id", "4")
-		site.Events(w, r, streamEvents, 0)
+		site.StreamEvents(w, r, streamEvents, 0)
 	}
 	answerLate := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(4 * minSilence):
-			site.Answer(w, r, "late and whole")
+			site.WriteResponse(w, r, "late and whole")
 		case <-r.Context().Done():
 		}
 	}
@@ -68,7 +68,7 @@
 		name    string
 		answers http.HandlerFunc
 	}{
-		{"the other runner refuses", site.Refuse},
+		{"the other runner refuses", site.WriteNotExecuted},
 		{"the other runner disconnects", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
 	} {
 		t.Run("a stream and "+other.name, func(t *testing.T) {
@@ -142,33 +142,33 @@
 // runner.
 func TestHedgeExceedsLimits(t *testing.T) {
 	t.Run("there is no second hedge after a refusal", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, site.Refuse)
+		w, loads, other := loadingWorld(t, site.WriteNotExecuted)
 		defer w.stop()
 		third := &site.Engine{Model: site.Model, Version: 1}
-		third.ID, third.Handle = "third", site.Refuse
+		third.ID, third.Handle = "third", site.WriteNotExecuted
 		w.addEngine(t, third)
 		setReport(w, "third", deployment.Load{Running: 60, UsedTokens: 3000})
 		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
 		assert.Equal(t, eventsUpTo(streamEvents), got.body)
-		assert.Len(t, loads.Runs(), 1)
-		assert.LessOrEqual(t, len(other.Runs())+len(third.Runs()), 1, "the route allows two runners")
+		assert.Len(t, loads.ReceivedRequests(), 1)
+		assert.LessOrEqual(t, len(other.ReceivedRequests())+len(third.ReceivedRequests()), 1, "the route allows two runners")
 	})
 	t.Run("there is no hedge once the retry budget is used up", func(t *testing.T) {
-		w, loads, other := loadingWorld(t, site.Refuse)
+		w, loads, other := loadingWorld(t, site.WriteNotExecuted)
 		defer w.stop()
 		for w.gateway.budgets.TrySpend(time.Now(), "e") {
 			continue
 		}
 		got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 		require.NoError(t, got.err)
-		assert.Len(t, loads.Runs(), 1)
-		assert.Empty(t, other.Runs())
+		assert.Len(t, loads.ReceivedRequests(), 1)
+		assert.Empty(t, other.ReceivedRequests())
 	})
 	t.Run("there is no hedge for a request that must not run twice", func(t *testing.T) {
 		answerLate := func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(3 * minSilence)
-			site.Answer(w, r, "once")
+			site.WriteResponse(w, r, "once")
 		}
 		var second atomic.Int64
 		w := silentWorld(t, answerLate, func(http.ResponseWriter, *http.Request) { second.Add(1) })
@@ -209,7 +209,7 @@
 	other.ID = "other"
 	other.Handle = answers
 	loads.Handle = func(rw http.ResponseWriter, r *http.Request) {
-		site.Events(rw, r, 4, 0)
+		site.StreamEvents(rw, r, 4, 0)
 		setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 		for last := 5; last <= streamEvents; last++ {
 			select {
@@ -218,7 +218,7 @@
 				return
 			}
 			r.Header.Set("Last-Event-Id", site.EventID(last-1))
-			site.Events(rw, r, last, 0)
+			site.StreamEvents(rw, r, last, 0)
 		}
 	}
 	w = startWithEngines(t, loads, other)
@@ -230,14 +230,14 @@
 // pauses after the fifth event until goOn is closed.
 func pauseAfterFifthEvent(w *world, goOn <-chan struct{}) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
-		site.Events(rw, r, 4, 0)
+		site.StreamEvents(rw, r, 4, 0)
 		setReport(w, "loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 		r.Header.Set("Last-Event-Id", "4")
 		time.Sleep(eventInterval)
-		site.Events(rw, r, 5, 0)
+		site.StreamEvents(rw, r, 5, 0)
 		<-goOn
 		r.Header.Set("Last-Event-Id", "5")
-		site.Events(rw, r, streamEvents, 0)
+		site.StreamEvents(rw, r, streamEvents, 0)
 	}
 }
 
@@ -251,8 +251,8 @@
 	got := readAnswer(t, w.sendPrompt(t, "/prompt/x"), "POST")
 	require.NoError(t, got.err, "the answer was cut although its runner was still answering")
 	assert.Equal(t, eventsUpTo(streamEvents), got.body)
-	assert.Len(t, loads.Runs(), 1)
-	require.Len(t, other.Runs(), 1, "the other runner was not tried")
+	assert.Len(t, loads.ReceivedRequests(), 1)
+	require.Len(t, other.ReceivedRequests(), 1, "the other runner was not tried")
 }
 
 // silentWorld is an entry with a runner that answers with the first handler and is not known to be alive. A second
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -58,7 +58,7 @@
 
 // Guards against requests to a runner whose answers state that it is leaving although its record in the store does not.
 func TestRequestsSentToLeavingRunner(t *testing.T) {
-	answer := func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "leaves") }
+	answer := func(w http.ResponseWriter, req *http.Request) { site.WriteResponse(w, req, "leaves") }
 	call := func(t *testing.T, path string) func(*world) {
 		t.Helper()
 		return func(w *world) { w.send(t, "POST", path, "body") }
@@ -72,15 +72,15 @@
 	})
 	t.Run("stated in a refusal", func(t *testing.T) {
 		t.Parallel()
-		l := leavingRunner{answer: site.Refuse}
+		l := leavingRunner{answer: site.WriteNotExecuted}
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, &site.Runner{ID: "sound"})
 		defer w.stop()
 		assertNoLateRequests(t, &l, w, call(t, "/repeat/x"), func() {})
 	})
 	t.Run("stated in the headers of a stream", func(t *testing.T) {
 		t.Parallel()
-		l := leavingRunner{answer: func(w http.ResponseWriter, req *http.Request) { site.Events(w, req, 2, 0) }}
-		sound := &site.Runner{ID: "sound", Handle: func(w http.ResponseWriter, req *http.Request) { site.Events(w, req, 2, 0) }}
+		l := leavingRunner{answer: func(w http.ResponseWriter, req *http.Request) { site.StreamEvents(w, req, 2, 0) }}
+		sound := &site.Runner{ID: "sound", Handle: func(w http.ResponseWriter, req *http.Request) { site.StreamEvents(w, req, 2, 0) }}
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "leaves", Handle: l.handle}, sound)
 		defer w.stop()
 		assertNoLateRequests(t, &l, w, call(t, "/flow/x"), func() {})
--- a/gateway/line_test.go
+++ b/gateway/line_test.go
@@ -36,7 +36,7 @@
 		defer w.stop()
 		conn := w.sendPrompt(t, "/prompt/x")
 		w.eventually(t, func() bool { return w.gateway.queue.len() == 1 })
-		assert.Empty(t, engine.Runs())
+		assert.Empty(t, engine.ReceivedRequests())
 		w.reportLoad("e", deployment.Load{})
 		got := readAnswer(t, conn, "POST")
 		require.NoError(t, got.err)
@@ -50,7 +50,7 @@
 		require.NoError(t, conn.Close())
 		w.eventually(t, func() bool { return w.gateway.queue.len() == 0 })
 		w.reportLoad("e", deployment.Load{})
-		assert.Empty(t, engine.Runs())
+		assert.Empty(t, engine.ReceivedRequests())
 	})
 	t.Run("without room the prompt is refused as not run with a Retry-After header", func(t *testing.T) {
 		w, engine := begin(t)
@@ -60,7 +60,7 @@
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		assert.Positive(t, after)
-		assert.Empty(t, engine.Runs())
+		assert.Empty(t, engine.ReceivedRequests())
 	})
 }
 
--- a/gateway/loads_soon_test.go
+++ b/gateway/loads_soon_test.go
@@ -23,24 +23,24 @@
 	loads := &site.Engine{Model: site.Model, Version: 1}
 	loads.ID = "loads"
 	loads.Handle = func(w http.ResponseWriter, r *http.Request) {
-		site.Events(w, r, 4, 0)
+		site.StreamEvents(w, r, 4, 0)
 		<-sendFifth
 		r.Header.Set("Last-Event-Id", "4")
-		site.Events(w, r, 5, 0)
+		site.StreamEvents(w, r, 5, 0)
 		select {
 		case <-sendSixth:
 		case <-r.Context().Done():
 			return
 		}
 		r.Header.Set("Last-Event-Id", "5")
-		site.Events(w, r, 6, 0)
+		site.StreamEvents(w, r, 6, 0)
 	}
 	soon := &site.Engine{Model: site.Model, Version: 1}
 	soon.ID = "soon"
 	w := startWithEngines(t, loads)
 	defer w.stop()
 	conn := w.sendPrompt(t, "/prompt/x")
-	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
+	w.eventually(t, func() bool { return len(loads.ReceivedRequests()) == 1 })
 	w.addEngine(t, soon)
 	later := time.Now().Add(testTimeout) // so that the reports stay fresh
 	w.gateway.state.Roster.Find("soon").SetReport(roster.Report{ReceivedAt: later, WeightLoadAt: time.Now()})
@@ -55,7 +55,7 @@
 	rest, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	assert.Equal(t, eventsUpTo(6), string(firstPart)+string(rest))
-	assert.Empty(t, soon.Runs())
+	assert.Empty(t, soon.ReceivedRequests())
 }
 
 // TestAvoidsRunnersAboutToLoad checks which runners are avoided by a stream that moves.
--- a/gateway/move_test.go
+++ b/gateway/move_test.go
@@ -25,7 +25,7 @@
 	loads := &site.Engine{Model: site.Model, Version: 1}
 	loads.ID = "loads"
 	loads.Handle = func(w http.ResponseWriter, r *http.Request) {
-		site.Events(w, r, 4, 0)
+		site.StreamEvents(w, r, 4, 0)
 		writeEventAfter(w, 5, sendFifth)
 		writeEventAfter(w, 6, sendSixth)
 	}
@@ -38,7 +38,7 @@
 	}
 	report("full", deployment.Load{Running: 5, UsedTokens: 39000})
 	conn := w.sendPrompt(t, "/prompt/x")
-	w.eventually(t, func() bool { return len(loads.Runs()) == 1 })
+	w.eventually(t, func() bool { return len(loads.ReceivedRequests()) == 1 })
 	report("loads", deployment.Load{Running: 1, UsedTokens: 1540, LoadingWeights: true})
 	close(sendFifth)
 	body := readThroughEvent(t, conn, 5) // by then the entry has decided whether to move the stream
@@ -46,13 +46,13 @@
 	rest, err := io.ReadAll(body.rest)
 	require.NoError(t, err)
 	assert.Equal(t, eventsUpTo(6), body.read+string(rest))
-	assert.Empty(t, full.Runs())
+	assert.Empty(t, full.ReceivedRequests())
 }
 
 // writeEventAfter writes an event once turn is closed.
 func writeEventAfter(w http.ResponseWriter, id int, turn <-chan struct{}) {
 	<-turn
-	_, _ = io.WriteString(w, site.Piece(id))
+	_, _ = io.WriteString(w, site.EventText(id))
 	_ = http.NewResponseController(w).Flush()
 }
 
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	b := partialBody{rest: resp.Body}
 	buf := make([]byte, 256)
-	for !strings.HasSuffix(b.read, site.Piece(id)) {
+	for !strings.HasSuffix(b.read, site.EventText(id)) {
 		n, err := resp.Body.Read(buf)
 		require.NoError(t, err)
 		b.read += string(buf[:n])
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -79,7 +79,7 @@
 		for range repeats {
 			assert.Equal(t, http.StatusBadGateway, w.send(t, "POST", "/once/x", "body").status)
 		}
-		assert.Len(t, closing.Runs(), repeats)
+		assert.Len(t, closing.ReceivedRequests(), repeats)
 	})
 	t.Run("a runner that has announced to leave does not make a request suspect", func(t *testing.T) {
 		var crashed crashLog
@@ -96,7 +96,7 @@
 			w.store.Put("servers", last.ID, runnerRecord(last, "draining"))
 			w.eventually(t, func() bool { return w.gateway.state.Roster.Find(rillreach.InstanceID(last.ID)).Info().Leaving })
 			close(leaving)
-			last.End()
+			last.Crash()
 			panic(http.ErrAbortHandler)
 		}
 		w.send(t, "POST", "/once/x", "body")
@@ -159,7 +159,7 @@
 			release := make(chan struct{})
 			waitForRelease := func(w http.ResponseWriter, req *http.Request) {
 				<-release
-				site.Answer(w, req, "late")
+				site.WriteResponse(w, req, "late")
 			}
 			a, b := &site.Runner{ID: "a", Handle: waitForRelease}, &site.Runner{ID: "b", Handle: waitForRelease}
 			w := startWorld(t, defaultConfig(), a, b)
@@ -170,7 +170,7 @@
 			}
 			time.AfterFunc(3*firstByteTimeout(&deployment.Route{TargetLatency: 300 * time.Millisecond})/2, func() { close(release) })
 			assert.Equal(t, http.StatusOK, w.send(t, "GET", "/repeat/x", "").status)
-			assert.Equal(t, attempts, len(a.Runs())+len(b.Runs()))
+			assert.Equal(t, attempts, len(a.ReceivedRequests())+len(b.ReceivedRequests()))
 		})
 	}
 }
@@ -204,16 +204,16 @@
 		r := &site.Runner{ID: fmt.Sprint("r", i)}
 		r.Handle = func(w http.ResponseWriter, req *http.Request) {
 			if !strings.Contains(req.RequestURI, "popular") {
-				site.Answer(w, req, "sound")
+				site.WriteResponse(w, req, "sound")
 				return
 			}
 			if req.Header.Get("X-Plain") == "first" {
-				site.Answer(w, req, "sound")
+				site.WriteResponse(w, req, "sound")
 				return
 			}
 			started <- struct{}{}
 			<-fail
-			r.End()
+			r.Crash()
 			panic(http.ErrAbortHandler)
 		}
 		runners = append(runners, r)
--- a/gateway/poison_world_test.go
+++ b/gateway/poison_world_test.go
@@ -35,11 +35,11 @@
 		r := &site.Runner{ID: fmt.Sprint("r", i)}
 		r.Handle = func(w http.ResponseWriter, req *http.Request) {
 			if !strings.Contains(req.RequestURI, fatalPath) {
-				site.Answer(w, req, "sound")
+				site.WriteResponse(w, req, "sound")
 				return
 			}
 			l.add()
-			r.End()
+			r.Crash()
 			panic(http.ErrAbortHandler)
 		}
 		runners = append(runners, r)
@@ -98,7 +98,7 @@
 	s.engine.ID = "engine"
 	s.engine.Start()
 	t.Cleanup(s.engine.Stop)
-	s.store.Put("servers", s.engine.ID, site.EngineRecordOf(s.engine.Address(), "ready", 1))
+	s.store.Put("servers", s.engine.ID, site.NewEngineRecord(s.engine.Address(), "ready", 1))
 	l := listener(t)
 	s.agent = netip.MustParseAddrPort(l.Addr().String())
 	s.startAgent(t, l)
--- a/gateway/records_test.go
+++ b/gateway/records_test.go
@@ -41,31 +41,31 @@
 	t.Run("a runner whose record becomes invalid gets no requests", func(t *testing.T) {
 		w.store.Put("servers", "turns", map[string]any{"service": "plain"})
 		w.eventually(t, func() bool { return used() == 1 })
-		before := len(changing.Runs())
+		before := len(changing.ReceivedRequests())
 		assertServed(t)
-		assert.Len(t, changing.Runs(), before)
+		assert.Len(t, changing.ReceivedRequests(), before)
 	})
 	t.Run("the runner gets requests again once its record is valid", func(t *testing.T) {
 		w.store.Put("servers", "turns", runnerRecord(changing, "ready"))
 		w.eventually(t, func() bool { return used() == 2 })
-		before := len(changing.Runs())
+		before := len(changing.ReceivedRequests())
 		w.eventually(t, func() bool {
-			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(changing.Runs()) > before
+			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(changing.ReceivedRequests()) > before
 		})
 	})
 	t.Run("a runner that is also listed under a second key is used under its own", func(t *testing.T) {
 		w.store.Put("servers", "copy", runnerRecord(good, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("copy") != nil })
-		before := len(good.Runs())
+		before := len(good.ReceivedRequests())
 		assertServed(t)
 		w.eventually(t, func() bool {
-			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(good.Runs()) > before
+			return w.send(t, "GET", "/repeat/x", "").status == http.StatusOK && len(good.ReceivedRequests()) > before
 		})
 		w.store.Remove("servers", "copy")
 		w.eventually(t, func() bool { return used() == 2 })
 	})
 	t.Run("a list with invalid records yields the valid ones", func(t *testing.T) {
-		w.store.Forget()
+		w.store.DropHistory()
 		last := w.store.Put("servers", "good", runnerRecord(good, "ready"))
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("good").Info().Revision.Number == last })
 		assert.Equal(t, 2, used())
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -47,12 +47,12 @@
 
 // newBackoffRunner returns a runner that refuses a request as not run, and answers otherwise.
 func newBackoffRunner() *backoffRunner {
-	return &backoffRunner{refuse: site.Refuse, answer: func(w http.ResponseWriter, req *http.Request) { site.Answer(w, req, "rested") }}
+	return &backoffRunner{refuse: site.WriteNotExecuted, answer: func(w http.ResponseWriter, req *http.Request) { site.WriteResponse(w, req, "rested") }}
 }
 
 // refuseWithSeal refuses a request with the seal of an answer that the runner made itself.
 func refuseWithSeal(w http.ResponseWriter, req *http.Request) {
-	site.Seal(w, req)
+	site.SetSealHeaders(w, req)
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -133,7 +133,7 @@
 
 // Guards against missing the restart of an engine that only the store reports.
 func TestRestartInStoreMissed(t *testing.T) {
-	e := &site.Engine{Model: site.Model, Version: 1, Born: earlierGeneration}
+	e := &site.Engine{Model: site.Model, Version: 1, StartUnixMS: earlierGeneration}
 	e.ID = "e1"
 	w := startWithEngines(t)
 	e.Start()
@@ -155,7 +155,7 @@
 // connections of its callers are not reset.
 func TestStreamHangsOnEndedRun(t *testing.T) {
 	hangs := func(w http.ResponseWriter, r *http.Request) {
-		site.Events(w, r, 4, 0)
+		site.StreamEvents(w, r, 4, 0)
 		<-r.Context().Done()
 	}
 	a, b := &site.Runner{ID: "a", Handle: hangs}, &site.Runner{ID: "b", Handle: cutAfterEvents(0)}
@@ -171,7 +171,7 @@
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find("a").Info().Generation == earlierGeneration })
 	conn := w.dial(t)
 	w.sendGet(t, conn, "/stream/x")
-	w.eventually(t, func() bool { return len(a.Runs()) == 1 })
+	w.eventually(t, func() bool { return len(a.ReceivedRequests()) == 1 })
 	b.Start()
 	t.Cleanup(b.Stop)
 	w.store.Put("servers", "b", runnerRecord(b, "ready"))
@@ -180,5 +180,5 @@
 	got := readAnswer(t, conn, "GET")
 	require.NoError(t, got.err)
 	assert.Equal(t, eventsUpTo(9), got.body)
-	assert.Len(t, b.Runs(), 1)
+	assert.Len(t, b.ReceivedRequests(), 1)
 }
--- a/gateway/restored_store_test.go
+++ b/gateway/restored_store_test.go
@@ -27,18 +27,18 @@
 
 // startBeforeRestore returns an entry that knows version 3 of the configuration and the weights, and a copy of the
 // store with version 1 of both. In between the store has had the given number of other writes.
-func startBeforeRestore(t *testing.T, otherWrites int) (*world, site.Copy) {
+func startBeforeRestore(t *testing.T, otherWrites int) (*world, site.Snapshot) {
 	t.Helper()
 	w := startWorld(t, restoredConfig(1), &site.Runner{ID: "r"})
 	t.Cleanup(w.stop)
-	w.store.Put("versions", site.Model, site.WeightsOf(1))
+	w.store.Put("versions", site.Model, site.NewModelWeights(1))
 	w.awaitVersions(t, 1, 1)
-	older := w.store.Copy()
+	older := w.store.Snapshot()
 	for range otherWrites {
 		w.store.Put("notes", "n", 1)
 	}
 	w.store.Put("config", "main", restoredConfig(3))
-	w.store.Put("versions", site.Model, site.WeightsOf(3))
+	w.store.Put("versions", site.Model, site.NewModelWeights(3))
 	w.awaitVersions(t, 3, 3)
 	return w, older
 }
@@ -67,7 +67,7 @@
 	write := func(w *world) {
 		w.store.Put("config", "main", restoredConfig(3))
 		w.store.Put("config", "main", restoredConfig(4))
-		w.store.Put("versions", site.Model, site.WeightsOf(4))
+		w.store.Put("versions", site.Model, site.NewModelWeights(4))
 	}
 	assertChanges := func(t *testing.T, w *world) {
 		t.Helper()
@@ -82,21 +82,21 @@
 	})
 	t.Run("revisions pass those before the restore while the store is unreachable", func(t *testing.T) {
 		w, older := startBeforeRestore(t, 20)
-		w.store.Fail(http.StatusServiceUnavailable)
+		w.store.FailWithStatus(http.StatusServiceUnavailable)
 		w.store.Restore(older)
 		write(w)
 		for range 40 {
 			w.store.Put("notes", "n", 1)
 		}
-		w.store.Fail(0)
+		w.store.FailWithStatus(0)
 		w.awaitVersions(t, 4, 4)
 	})
 	t.Run("the store was unreachable before", func(t *testing.T) {
 		w, older := startBeforeRestore(t, 20)
-		w.store.Fail(http.StatusServiceUnavailable)
+		w.store.FailWithStatus(http.StatusServiceUnavailable)
 		time.Sleep(300 * time.Millisecond)
 		w.store.Restore(older)
-		w.store.Fail(0)
+		w.store.FailWithStatus(0)
 		assertChanges(t, w)
 	})
 	t.Run("the store is restored twice", func(t *testing.T) {
@@ -121,7 +121,7 @@
 		r := &site.Runner{ID: "r"}
 		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
-		older := w.store.Copy()
+		older := w.store.Snapshot()
 		w.store.Put("servers", "r", runnerRecord(r, "draining"))
 		leaving := func() bool { return w.gateway.state.Roster.Find("r").View(time.Now()).Leaving }
 		w.eventually(t, leaving)
@@ -131,7 +131,7 @@
 	t.Run("a removed runner", func(t *testing.T) {
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"}, &site.Runner{ID: "other"})
 		defer w.stop()
-		older := w.store.Copy()
+		older := w.store.Snapshot()
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
 		w.store.Restore(older)
@@ -141,7 +141,7 @@
 		r := &site.Runner{ID: "r"}
 		w := startWorld(t, defaultConfig(), r, &site.Runner{ID: "other"})
 		defer w.stop()
-		older := w.store.Copy()
+		older := w.store.Snapshot()
 		w.store.Remove("servers", "r")
 		w.eventually(t, func() bool { return w.gateway.state.Roster.Find("r") == nil })
 		w.store.Restore(older)
@@ -153,7 +153,7 @@
 		late := &site.Runner{ID: "late"}
 		w := startWorld(t, defaultConfig(), &site.Runner{ID: "r"})
 		defer w.stop()
-		older := w.store.Copy()
+		older := w.store.Snapshot()
 		late.Start()
 		t.Cleanup(late.Stop)
 		w.store.Put("servers", "late", runnerRecord(late, "ready"))
@@ -184,7 +184,7 @@
 			if !started {
 				change(true)
 			}
-			older := w.store.Copy()
+			older := w.store.Snapshot()
 			change(started)
 			w.store.Restore(older)
 			require.Never(t, func() bool { return evacuated() != started }, revertCheckTime, 10*time.Millisecond)
--- a/gateway/second_attempt_test.go
+++ b/gateway/second_attempt_test.go
@@ -19,12 +19,12 @@
 
 // Guards against counting a request as running at a runner that has refused it, since that keeps other requests away.
 func TestRefusedHedgeCountsAsRunning(t *testing.T) {
-	w, loads, other := loadingWorld(t, site.Refuse)
+	w, loads, other := loadingWorld(t, site.WriteNotExecuted)
 	defer w.stop()
 	goOn := make(chan struct{})
 	loads.Handle = pauseAfterFifthEvent(w, goOn)
 	conn := w.sendPrompt(t, "/prompt/x")
-	w.eventually(t, func() bool { return len(other.Runs()) == 1 })
+	w.eventually(t, func() bool { return len(other.ReceivedRequests()) == 1 })
 	assert.Eventually(t, func() bool { return w.gateway.state.Roster.Find("other").View(time.Now()).RunningRequests == 0 }, testTimeout/4, 5*time.Millisecond,
 		"a refused request counts as running until the answer of the first runner ends")
 	close(goOn)
@@ -38,7 +38,7 @@
 	failAfter := func(hedged chan struct{}) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			<-hedged
-			site.Seal(w, r)
+			site.SetSealHeaders(w, r)
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
@@ -47,7 +47,7 @@
 		w := silentWorld(t, failAfter(hedged), func(w http.ResponseWriter, r *http.Request) {
 			close(hedged)
 			time.Sleep(minSilence)
-			site.Answer(w, r, "second")
+			site.WriteResponse(w, r, "second")
 		})
 		defer w.stop()
 		got := w.send(t, "GET", "/repeat/x", "")
@@ -60,7 +60,7 @@
 		w := silentWorld(t, failAfter(hedged), func(w http.ResponseWriter, r *http.Request) {
 			close(hedged)
 			time.Sleep(minSilence)
-			site.Refuse(w, r)
+			site.WriteNotExecuted(w, r)
 		})
 		defer w.stop()
 		got := w.send(t, "GET", "/repeat/x", "")
@@ -81,12 +81,12 @@
 		sixthSent := make(chan struct{})
 		w, loads, other := loadingWorld(t, func(w http.ResponseWriter, r *http.Request) {
 			<-sixthSent
-			site.Seal(w, r)
+			site.SetSealHeaders(w, r)
 			writeEvents(w, 5, streamEvents)
 		})
 		defer w.stop()
 		loads.Handle = func(rw http.ResponseWriter, r *http.Request) {
-			site.Seal(rw, r)
+			site.SetSealHeaders(rw, r)
 			flush := func() { _ = http.NewResponseController(rw).Flush() }
 			writeEvents(rw, 1, 4)
 			flush()
@@ -94,7 +94,7 @@
 			time.Sleep(eventInterval)
 			writeEvents(rw, 5, 5)
 			flush()
-			for len(other.Runs()) == 0 && r.Context().Err() == nil {
+			for len(other.ReceivedRequests()) == 0 && r.Context().Err() == nil {
 				time.Sleep(time.Millisecond)
 			}
 			writeEvents(rw, 6, 6)
@@ -117,18 +117,18 @@
 		hedged, began := make(chan struct{}), make(chan struct{})
 		w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
 			<-hedged
-			site.Events(w, r, 4, 0)
+			site.StreamEvents(w, r, 4, 0)
 			close(began)
 			select {
 			case <-r.Context().Done():
 			case <-time.After(4 * eventInterval):
 				r.Header.Set("Last-Event-Id", "4")
-				site.Events(w, r, streamEvents, 0)
+				site.StreamEvents(w, r, streamEvents, 0)
 			}
 		}, func(w http.ResponseWriter, r *http.Request) {
 			close(hedged)
 			<-began
-			site.Seal(w, r)
+			site.SetSealHeaders(w, r)
 			w.WriteHeader(http.StatusNotFound)
 		})
 		defer w.stop()
@@ -174,10 +174,10 @@
 	var others atomic.Int64
 	refusesOnce := func(w http.ResponseWriter, r *http.Request) {
 		if others.Add(1) == 1 {
-			site.Refuse(w, r)
+			site.WriteNotExecuted(w, r)
 			return
 		}
-		site.Answer(w, r, "third")
+		site.WriteResponse(w, r, "third")
 	}
 	w := threeRunnerWorld(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -200,7 +200,7 @@
 			<-r.Context().Done()
 			return
 		}
-		site.Answer(w, r, "third")
+		site.WriteResponse(w, r, "third")
 	}
 	w := threeRunnerWorld(t, func(http.ResponseWriter, *http.Request) {
 		<-hedged
@@ -220,11 +220,11 @@
 		select {
 		case n := <-written:
 			written <- n
-			site.Events(w, r, streamEvents, 0)
+			site.StreamEvents(w, r, streamEvents, 0)
 		case <-r.Context().Done():
 		}
 	}, func(w http.ResponseWriter, r *http.Request) {
-		site.Seal(w, r)
+		site.SetSealHeaders(w, r)
 		sum := 0
 		for chunk := strings.Repeat("x", relayBufferSize); sum < most && r.Context().Err() == nil; sum += len(chunk) {
 			if _, err := io.WriteString(w, chunk); err != nil {
@@ -249,7 +249,7 @@
 	// The 26 MB of the answer take longer than the default timeout on a busy machine.
 	config := configWithRoutes(1, routeConfig("stream", "streaming", "plain", jsonMap{"resumable": true, "timeout_ms": 60000}))
 	w := silentWorldWithConfig(t, config, func(w http.ResponseWriter, r *http.Request) {
-		site.Seal(w, r)
+		site.SetSealHeaders(w, r)
 		for id := 1; id <= events; id++ {
 			if id == events/2 {
 				close(blocked)
@@ -258,7 +258,7 @@
 		}
 	}, func(w http.ResponseWriter, r *http.Request) {
 		second.Add(1)
-		site.Refuse(w, r)
+		site.WriteNotExecuted(w, r)
 	})
 	defer w.stop()
 	conn := w.dial(t)
@@ -278,14 +278,14 @@
 func TestShutdownEndsHedge(t *testing.T) {
 	hedged, leaving := make(chan struct{}), make(chan struct{})
 	w := silentWorld(t, func(w http.ResponseWriter, r *http.Request) {
-		site.Events(w, r, 4, 0)
+		site.StreamEvents(w, r, 4, 0)
 		<-leaving
 		panic(http.ErrAbortHandler)
 	}, func(w http.ResponseWriter, r *http.Request) {
 		close(hedged)
 		<-leaving
 		time.Sleep(minSilence)
-		site.Events(w, r, streamEvents, 0)
+		site.StreamEvents(w, r, streamEvents, 0)
 	})
 	conn := w.dial(t)
 	w.sendGet(t, conn, "/stream/x")
--- a/gateway/slow_start_test.go
+++ b/gateway/slow_start_test.go
@@ -90,7 +90,7 @@
 	var reached arrivals
 	r := &site.Runner{ID: "cold", Handle: func(w http.ResponseWriter, req *http.Request) {
 		reached.add()
-		site.Answer(w, req, "sound")
+		site.WriteResponse(w, req, "sound")
 	}}
 	r.Start()
 	defer r.Stop()
@@ -130,14 +130,14 @@
 	var reached arrivals
 	s.engine.Handle = func(w http.ResponseWriter, req *http.Request) {
 		reached.add()
-		site.Answer(w, req, "sound")
+		site.WriteResponse(w, req, "sound")
 	}
 	config := defaultConfig()
 	config["routes"] = append(config["routes"].([]jsonMap), routeConfig("prompt", "streaming", "e", jsonMap{"resumable": true, "target_latency_ms": promptLatencyTarget.Milliseconds(), "gap_aim_ms": 1000}))
 	config["services"] = append(config["services"].([]jsonMap), engineServiceConfig())
 	s.store.Put("config", "main", withSlowStart(config, "e"))
 	first, second := s.startEntry(t, "entry-1"), s.startEntry(t, "entry-2")
-	listed := site.EngineRecordOf(s.engine.Address(), "ready", 1)
+	listed := site.NewEngineRecord(s.engine.Address(), "ready", 1)
 	listed["cold_remaining_ms"] = coldDuration.Milliseconds()
 	s.store.Put("servers", s.engine.ID, listed)
 	for _, w := range []*world{first, second} {
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -25,7 +25,7 @@
 // recognized.
 func slowEvents(length time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		site.Seal(w, r)
+		site.SetSealHeaders(w, r)
 		w.Header().Set("Content-Type", "text/event-stream")
 		for id := range int(length / (100 * time.Millisecond)) {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: piece\n\n", id+1)
@@ -92,14 +92,14 @@
 		signalled := stop()
 		time.Sleep(time.Until(signalled.Add(3 * time.Second)))
 		got := w.send(t, "GET", "/stream/x", "")
-		assertNotCut(t, got, len(runner.Runs()))
+		assertNotCut(t, got, len(runner.ReceivedRequests()))
 	})
 	t.Run("connections are accepted for as long as the process lives", func(t *testing.T) {
 		t.Parallel()
 		w, runner, stop := startForShutdown(t, slowEvents(3700*time.Millisecond))
 		old := w.dial(t)
 		w.sendGet(t, old, "/stream/old")
-		w.eventually(t, func() bool { return len(runner.Runs()) == 1 })
+		w.eventually(t, func() bool { return len(runner.ReceivedRequests()) == 1 })
 		signalled := stop()
 		time.Sleep(time.Until(signalled.Add(3350 * time.Millisecond)))
 		got := w.send(t, "GET", "/repeat/x", "")
@@ -114,7 +114,7 @@
 		w, runner, stop := startForShutdown(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		conn := w.dial(t)
 		w.sendGet(t, conn, "/once/x")
-		w.eventually(t, func() bool { return len(runner.Runs()) == 1 })
+		w.eventually(t, func() bool { return len(runner.ReceivedRequests()) == 1 })
 		stop()
 		assertGatewayAnswer(t, readAnswer(t, conn, "GET"), http.StatusBadGateway)
 	})
@@ -178,7 +178,7 @@
 				cutAfterEvents(4)(w, r)
 				return
 			}
-			site.Events(w, r, 9, 0)
+			site.StreamEvents(w, r, 9, 0)
 		}
 		w := startPastNoticePeriod(t, 300*time.Millisecond, &site.Runner{ID: "a", Handle: breaksOnce}, &site.Runner{ID: "b", Handle: breaksOnce})
 		got := w.send(t, "GET", "/stream/x", "")
@@ -190,14 +190,14 @@
 		a, b := &site.Runner{ID: "a", Handle: cutAfterEvents(4)}, &site.Runner{ID: "b", Handle: cutAfterEvents(4)}
 		w := startPastNoticePeriod(t, 300*time.Millisecond, a, b)
 		assertGatewayAnswer(t, w.send(t, "GET", "/flow/x", ""), http.StatusBadGateway)
-		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
+		assert.Equal(t, 1, len(a.ReceivedRequests())+len(b.ReceivedRequests()))
 	})
 	t.Run("a stream that likely takes longer than its caller's idle timeout is refused", func(t *testing.T) {
 		t.Parallel()
 		a := &site.Runner{ID: "a"}
 		w := startPastNoticePeriod(t, 3*time.Second, a) // callers give up after 2.4 s
 		assertGatewayAnswer(t, w.send(t, "GET", "/flow/x", ""), http.StatusServiceUnavailable)
-		assert.Empty(t, a.Runs())
+		assert.Empty(t, a.ReceivedRequests())
 	})
 }
 
@@ -217,7 +217,7 @@
 			return
 		}
 		time.Sleep(time.Until(end.Load().Add(offset)))
-		site.Events(w, r, 1, 0)
+		site.StreamEvents(w, r, 1, 0)
 	}}
 	config := configWithRoutes(1, routeConfig("flow", "streaming", "plain", jsonMap{"timeout_ms": 60000}))
 	config["services"] = []jsonMap{{"name": "plain", "max_connections": 6 * streams}} // this entry may use a sixth
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -27,7 +27,7 @@
 }
 
 func cutAfterEvents(n int) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) { site.Events(w, r, 9, n) }
+	return func(w http.ResponseWriter, r *http.Request) { site.StreamEvents(w, r, 9, n) }
 }
 
 func TestStreams(t *testing.T) {
@@ -46,9 +46,9 @@
 		breakOnce := func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-once:
-				site.Events(w, r, 9, 4)
+				site.StreamEvents(w, r, 9, 4)
 			default:
-				site.Events(w, r, 9, 0)
+				site.StreamEvents(w, r, 9, 0)
 			}
 		}
 		a, b := &site.Runner{ID: "a", Handle: breakOnce}, &site.Runner{ID: "b", Handle: breakOnce}
@@ -57,8 +57,8 @@
 		got := w.send(t, "POST", "/stream/x", "prompt")
 		require.NoError(t, got.err)
 		assert.Equal(t, eventsUpTo(9), got.body)
-		assert.Len(t, a.Runs(), 1)
-		assert.Len(t, b.Runs(), 1)
+		assert.Len(t, a.ReceivedRequests(), 1)
+		assert.Len(t, b.ReceivedRequests(), 1)
 	})
 	t.Run("a non-resumable stream that breaks off reaches the caller incomplete", func(t *testing.T) {
 		a, b := &site.Runner{ID: "a", Handle: cutAfterEvents(4)}, &site.Runner{ID: "b", Handle: cutAfterEvents(4)}
@@ -66,7 +66,7 @@
 		defer w.stop()
 		got := w.send(t, "POST", "/flow/x", "prompt")
 		require.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
-		assert.Equal(t, 1, len(a.Runs())+len(b.Runs()))
+		assert.Equal(t, 1, len(a.ReceivedRequests())+len(b.ReceivedRequests()))
 	})
 	t.Run("a stream that breaks off at every runner reaches the caller incomplete", func(t *testing.T) {
 		breakAfterTwo := func(w http.ResponseWriter, r *http.Request) {
@@ -74,7 +74,7 @@
 			if err != nil {
 				from = 0
 			}
-			site.Events(w, r, 9, from+2)
+			site.StreamEvents(w, r, 9, from+2)
 		}
 		a, b := &site.Runner{ID: "a", Handle: breakAfterTwo}, &site.Runner{ID: "b", Handle: breakAfterTwo}
 		w := startWorld(t, defaultConfig(), a, b)
@@ -116,10 +116,10 @@
 	hangOnce := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-once:
-			site.Events(w, r, 4, 0)
+			site.StreamEvents(w, r, 4, 0)
 			<-release
 		default:
-			site.Events(w, r, 9, 0)
+			site.StreamEvents(w, r, 9, 0)
 		}
 	}
 	a, b := &site.Runner{ID: "a", Handle: hangOnce}, &site.Runner{ID: "b", Handle: hangOnce}
@@ -136,10 +136,10 @@
 func TestStreamOfRunnerLoadingWeights(t *testing.T) {
 	refuseToResume := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last-Event-Id") != "" {
-			site.Refuse(w, r)
+			site.WriteNotExecuted(w, r)
 			return
 		}
-		site.Events(w, r, 9, 0)
+		site.StreamEvents(w, r, 9, 0)
 	}
 	aboutToLoad := roster.Report{Load: deployment.Load{LoadingWeights: true}, ReceivedAt: time.Now().Add(testTimeout)}
 	t.Run("a stream stays if no other runner can take it", func(t *testing.T) {
@@ -156,7 +156,7 @@
 	t.Run("a stream continues at another runner that can take it", func(t *testing.T) {
 		reported := make(chan struct{})
 		a := &site.Runner{ID: "a", Handle: func(w http.ResponseWriter, r *http.Request) {
-			site.Events(w, r, 4, 0)
+			site.StreamEvents(w, r, 4, 0)
 			<-reported
 			_, _ = io.WriteString(w, "id: 5\ndata: piece 5\n\n")
 			_ = http.NewResponseController(w).Flush()
@@ -167,7 +167,7 @@
 		defer w.stop()
 		conn := w.dial(t)
 		w.sendGet(t, conn, "/stream/x")
-		w.eventually(t, func() bool { return len(a.Runs()) == 1 })
+		w.eventually(t, func() bool { return len(a.ReceivedRequests()) == 1 })
 		b.Start()
 		t.Cleanup(b.Stop)
 		w.store.Put("servers", "b", runnerRecord(b, "ready"))
@@ -184,17 +184,17 @@
 func TestSilentStreamWithoutOtherRunner(t *testing.T) {
 	pauses := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last-Event-Id") != "" {
-			site.Refuse(w, r)
+			site.WriteNotExecuted(w, r)
 			return
 		}
-		site.Events(w, r, 4, 0)
+		site.StreamEvents(w, r, 4, 0)
 		select {
 		case <-time.After(4 * minSilence):
 		case <-r.Context().Done():
 			return
 		}
 		r.Header.Set("Last-Event-Id", "4")
-		site.Events(w, r, 9, 0)
+		site.StreamEvents(w, r, 9, 0)
 	}
 	assertWhole := func(t *testing.T, w *world) {
 		t.Helper()
--- a/gateway/weights_test.go
+++ b/gateway/weights_test.go
@@ -48,7 +48,7 @@
 		}
 		if named := q.namedAt.Load(); named != 0 && time.Since(time.Unix(0, named)) > shortWeightsBound {
 			q.begun.Add(1)
-			site.Events(w, r, 9, 0)
+			site.StreamEvents(w, r, 9, 0)
 			return
 		}
 	}
@@ -57,10 +57,10 @@
 // newEngineStore returns an object store that configures routes to engines.
 func newEngineStore() *site.Store {
 	store := site.NewStore()
-	store.Put("config", "main", site.ConfigOf(
+	store.Put("config", "main", site.NewConfig(
 		1, []string{key},
-		site.Route{Name: "prompt", Host: host, Kind: "streaming", Attempts: 2, Resumable: true, Engines: true, Timeout: testTimeout},
-		site.Route{Name: "flow", Host: host, Kind: "streaming", Attempts: 1, Engines: true, Timeout: testTimeout},
+		site.Route{Name: "prompt", Host: host, Kind: "streaming", Attempts: 2, Resumable: true, UsesEngines: true, Timeout: testTimeout},
+		site.Route{Name: "flow", Host: host, Kind: "streaming", Attempts: 1, UsesEngines: true, Timeout: testTimeout},
 	))
 	return store
 }
@@ -69,7 +69,7 @@
 func startWithEngines(t *testing.T, engines ...*site.Engine) *world {
 	t.Helper()
 	store := newEngineStore()
-	store.Put("versions", site.Model, site.WeightsOf(1))
+	store.Put("versions", site.Model, site.NewModelWeights(1))
 	w := startWithWeightsBound(t, store, shortWeightsBound)
 	w.awaitReady(t)
 	for _, e := range engines {
@@ -83,7 +83,7 @@
 	t.Helper()
 	e.Start()
 	t.Cleanup(e.Stop)
-	w.store.Put("servers", e.ID, site.EngineRecordOf(e.Address(), "ready", e.Weights()))
+	w.store.Put("servers", e.ID, site.NewEngineRecord(e.Address(), "ready", e.LoadedVersion()))
 	id := rillreach.InstanceID(e.ID)
 	w.eventually(t, func() bool { return w.gateway.state.Roster.Find(id) != nil })
 	w.gateway.state.Roster.Find(id).SetReport(roster.Report{ReceivedAt: time.Now().Add(testTimeout)}) // reported alive
@@ -93,7 +93,7 @@
 func (w *world) nameWeights(t *testing.T, q *queuedEngine) {
 	t.Helper()
 	q.namedAt.Store(time.Now().UnixNano())
-	w.store.Put("versions", site.Model, site.WeightsOf(2))
+	w.store.Put("versions", site.Model, site.NewModelWeights(2))
 	w.eventually(t, func() bool { return !w.gateway.state.ReplacedAt(site.Model, 1).IsZero() })
 }
 
@@ -136,7 +136,7 @@
 		got := readAnswer(t, conn, http.MethodGet)
 		require.NoError(t, got.err)
 		assert.Equal(t, eventsUpTo(9), got.body)
-		assert.Len(t, newest.Runs(), 1)
+		assert.Len(t, newest.ReceivedRequests(), 1)
 		assertCancelled(t, q)
 	})
 	t.Run("the newer weights are named while the request waits", func(t *testing.T) {
@@ -155,7 +155,7 @@
 // it has to assume that older weights may no longer be used.
 func TestWeightsNamedBeforeEntryStart(t *testing.T) {
 	store := newEngineStore()
-	store.Put("versions", site.Model, site.WeightsOf(2))
+	store.Put("versions", site.Model, site.NewModelWeights(2))
 	old := &site.Engine{Model: site.Model, Version: 1}
 	old.ID, old.Handle = "old", cutAfterEvents(0)
 	w := startWithWeightsBound(t, store, time.Minute)
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -58,7 +58,7 @@
 		chat:   chat,
 		tokens: tokens,
 		blocks: blocks(p.Salt, tokens),
-		words:  AnswerWords(string(s.Version), strings.Join(tokens, " "), p.MaxTokens),
+		words:  ResponseWords(string(s.Version), strings.Join(tokens, " "), p.MaxTokens),
 	}
 }
 
@@ -102,7 +102,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	for i, word := range run.words {
-		if i > 0 && !sleep(r.Context(), s.TokenTime) {
+		if i > 0 && !sleep(r.Context(), s.TokenInterval) {
 			s.count(func(st *stats) { st.Cancelled++ })
 			return
 		}
@@ -123,7 +123,7 @@
 
 func (s *Server) whole(w http.ResponseWriter, r *http.Request, run *run) {
 	for range run.words {
-		if !sleep(r.Context(), s.TokenTime) {
+		if !sleep(r.Context(), s.TokenInterval) {
 			s.count(func(st *stats) { st.Cancelled++ })
 			return
 		}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -36,8 +36,8 @@
 	Version rillreach.VersionID
 	// PrefillRate is tokens a second; zero means a default.
 	PrefillRate float64
-	// TokenTime is the time between two tokens of an answer.
-	TokenTime time.Duration
+	// TokenInterval is the time between two tokens of an answer.
+	TokenInterval time.Duration
 	// CacheBlocks bounds the prefix cache; zero means a default.
 	CacheBlocks int
 
--- a/internal/standin/engine/prompt.go
+++ b/internal/standin/engine/prompt.go
@@ -70,8 +70,8 @@
 	return hashes
 }
 
-// AnswerWords is the answer of a weight version to a prompt's text, so that a test can tell whether it is whole.
-func AnswerWords(version, text string, count int) []string {
+// ResponseWords is the answer of a weight version to a prompt's text, so that a test can tell whether it is whole.
+func ResponseWords(version, text string, count int) []string {
 	sum := hash.Mix(hash.String(version), hash.String(strings.Join(strings.Fields(text), " ")))
 	words := make([]string, count)
 	for i := range words {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -24,8 +24,8 @@
 	Down bool `json:"down"`
 	// Delay holds every call back.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers has every write take effect and then fail.
-	LoseAnswers bool `json:"loseAnswers"`
+	// LoseResponses has every write take effect and then fail.
+	LoseResponses bool `json:"loseAnswers"`
 }
 
 // Counts are the calls since the start.
@@ -197,7 +197,7 @@
 		value = old.Value
 	}
 	o := s.store(kind, name, value, r.Method == http.MethodDelete)
-	if s.faults.LoseAnswers {
+	if s.faults.LoseResponses {
 		return rillreach.Object{}, http.StatusInternalServerError
 	}
 	return o, http.StatusOK
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -25,7 +25,7 @@
 // ServeHTTP runs a call; GET /runs returns how often each body was run.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet && r.URL.Path == "/runs" {
-		standin.WriteJSON(w, s.Runs())
+		standin.WriteJSON(w, s.RunCounts())
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
@@ -36,16 +36,16 @@
 	count := s.run(string(body))
 	time.Sleep(s.Delay)
 	w.Header().Set("Content-Type", "text/plain")
-	_, _ = fmt.Fprint(w, Answer(r.URL.Path, string(body), count))
+	_, _ = fmt.Fprint(w, ResponseText(r.URL.Path, string(body), count))
 }
 
-// Answer is what the service answers to a call that it runs for the count-th time.
-func Answer(path, body string, count int) string {
+// ResponseText is what the service answers to a call that it runs for the count-th time.
+func ResponseText(path, body string, count int) string {
 	return fmt.Sprintf("%s ran %q time %d", path, body, count)
 }
 
-// Runs returns how often each body was run.
-func (s *Server) Runs() map[string]int {
+// RunCounts returns how often each body was run.
+func (s *Server) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	runs := make(map[string]int, len(s.runs))
--- a/internal/standin/site/engine.go
+++ b/internal/standin/site/engine.go
@@ -26,16 +26,16 @@
 	Model    string
 	Version  uint64
 	LoadTime time.Duration
-	// Born is the Unix millisecond of the engine's start, which all that it says of itself tells; zero tells none.
-	Born int64
-	// Ordered is told of each order that arrives; where it says so the order gets no answer and is carried out late.
-	Ordered func(Order) (lose bool)
-	// CarryOut is given an order without an answer when it is carried out; without it the engine that got it takes it.
-	CarryOut func(Order)
-	// Queue says how long a request waits before it begins; without it requests begin at once.
-	Queue func() time.Duration
-	// Refuses says whether requests are refused now that would begin otherwise; without it none are.
-	Refuses func() bool
+	// StartUnixMS is the Unix millisecond of the engine's start, which all that it says of itself tells; zero tells none.
+	StartUnixMS int64
+	// OnOrder is told of each order that arrives; where it says so the order gets no answer and is carried out late.
+	OnOrder func(Order) (lose bool)
+	// OnDelayedOrder is given an order without an answer when it is carried out; without it the engine that got it takes it.
+	OnDelayedOrder func(Order)
+	// QueueDelay says how long a request waits before it begins; without it requests begin at once.
+	QueueDelay func() time.Duration
+	// RefusesRequests says whether requests are refused now that would begin otherwise; without it none are.
+	RefusesRequests func() bool
 
 	mu      sync.Mutex
 	taken   uint64
@@ -58,8 +58,8 @@
 	e.server = httptest.NewServer(e)
 }
 
-// Weights are those that the engine has now.
-func (e *Engine) Weights() uint64 {
+// LoadedVersion are those that the engine has now.
+func (e *Engine) LoadedVersion() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Version
@@ -83,7 +83,7 @@
 // way is no longer.
 func (e *Engine) Restart(born int64) {
 	e.mu.Lock()
-	e.Born, e.taken, e.ordered, e.kept = born, 0, 0, nil
+	e.StartUnixMS, e.taken, e.ordered, e.kept = born, 0, 0, nil
 	e.running, e.emptying = map[string]int{}, make(chan struct{})
 	e.starts++
 	e.mu.Unlock()
@@ -95,7 +95,7 @@
 
 // RecordAt is the engine's record in the object store, under the address at which others reach it.
 func (e *Engine) RecordAt(address netip.AddrPort, state string) map[string]any {
-	record := EngineRecordOf(address, state, e.Weights())
+	record := NewEngineRecord(address, state, e.LoadedVersion())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.tellStart(record)
@@ -104,8 +104,8 @@
 
 // tellStart adds the start to what the engine says of itself; the lock is held.
 func (e *Engine) tellStart(fields map[string]any) {
-	if e.Born != 0 {
-		fields["born"] = e.Born
+	if e.StartUnixMS != 0 {
+		fields["born"] = e.StartUnixMS
 	}
 }
 
@@ -143,26 +143,26 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if e.Ordered != nil && e.Ordered(o) {
+	if e.OnOrder != nil && e.OnOrder(o) {
 		time.AfterFunc(lateBy, func() { e.carryOut(o) })
 		panic(http.ErrAbortHandler)
 	}
-	status := e.Take(o)
+	status := e.AcceptOrder(o)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.say(w, status, map[string]any{"sequence": e.taken})
 }
 
 func (e *Engine) carryOut(o Order) {
-	if e.CarryOut != nil {
-		e.CarryOut(o)
+	if e.OnDelayedOrder != nil {
+		e.OnDelayedOrder(o)
 		return
 	}
-	e.Take(o)
+	e.AcceptOrder(o)
 }
 
-// Take takes an order, or says why not.
-func (e *Engine) Take(o Order) int {
+// AcceptOrder takes an order, or says why not.
+func (e *Engine) AcceptOrder(o Order) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -210,7 +210,7 @@
 	}
 	start, begun := e.begin(r)
 	if !begun {
-		Refuse(w, r)
+		WriteNotExecuted(w, r)
 		return
 	}
 	defer e.end(RequestID(r), start)
@@ -219,10 +219,10 @@
 
 // begin reports that a request begins, after its time in the queue, and in which run of the engine.
 func (e *Engine) begin(r *http.Request) (start int, begun bool) {
-	if e.Refuses != nil && e.Refuses() {
+	if e.RefusesRequests != nil && e.RefusesRequests() {
 		return 0, false
 	}
-	if e.Queue != nil && !e.queue(r, e.Queue()) {
+	if e.QueueDelay != nil && !e.queue(r, e.QueueDelay()) {
 		return 0, false
 	}
 	e.mu.Lock()
--- a/internal/standin/site/engine_cache.go
+++ b/internal/standin/site/engine_cache.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Keep has the engine hold a part from now on.
-func (e *Engine) Keep(salt, part string, tokens int) {
+// AddCachedPart has the engine hold a part from now on.
+func (e *Engine) AddCachedPart(salt, part string, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.kept = append(e.kept, []any{len(e.kept) + 1, "+", salt, part, tokens, e.Model})
--- a/internal/standin/site/engine_test.go
+++ b/internal/standin/site/engine_test.go
@@ -48,7 +48,7 @@
 		<-finish
 	}
 	var queue time.Duration
-	e.Queue = func() time.Duration { return queue }
+	e.QueueDelay = func() time.Duration { return queue }
 	e.Start()
 	t.Cleanup(e.Stop)
 	ended := make(chan int, 1)
@@ -62,19 +62,19 @@
 	assert.Equal(t, http.StatusAccepted, send(t, e, http.MethodPost, "/order", `{"version": 2}`))
 	assert.Equal(t, http.StatusServiceUnavailable, <-waited, "what waits is refused")
 	assert.Equal(t, http.StatusServiceUnavailable, send(t, e, http.MethodPost, "/prompt/x", ""), "what comes is refused")
-	assert.Equal(t, uint64(1), e.Weights(), "what runs ends on the weights that it began on")
+	assert.Equal(t, uint64(1), e.LoadedVersion(), "what runs ends on the weights that it began on")
 	close(finish)
 	assert.Equal(t, http.StatusOK, <-ended)
-	require.Eventually(t, func() bool { return e.Weights() == 2 }, patience, tick)
+	require.Eventually(t, func() bool { return e.LoadedVersion() == 2 }, patience, tick)
 	assert.Equal(t, false, says(t, e, "/report", "busy"))
 }
 
 func TestEngineTellsItsStart(t *testing.T) {
 	const born = 1_700_000_000_123
 	for _, path := range []string{"/report", "/kv-events"} {
-		e := &Engine{Model: Model, Version: 1, Born: born}
+		e := &Engine{Model: Model, Version: 1, StartUnixMS: born}
 		assert.InDelta(t, float64(born), says(t, e, path, "born"), 0, path)
-		e.Born = 0
+		e.StartUnixMS = 0
 		assert.Nil(t, says(t, e, path, "born"), path)
 	}
 }
@@ -90,7 +90,7 @@
 		return body
 	}
 	assert.True(t, json.Valid(list()))
-	s.Put("servers", "bad", Unreadable{})
+	s.Put("servers", "bad", InvalidJSON{})
 	assert.False(t, json.Valid(list()))
 	s.Remove("servers", "bad")
 	assert.True(t, json.Valid(list()))
--- a/internal/standin/site/restore.go
+++ b/internal/standin/site/restore.go
@@ -11,23 +11,23 @@
 // objectKey names an object.
 type objectKey struct{ kind, name string }
 
-// Copy is what the store held at a moment.
-type Copy struct {
+// Snapshot is what the store held at a moment.
+type Snapshot struct {
 	objects  map[string]map[string]object
 	events   []event
 	floor    uint64
 	revision uint64
 }
 
-// Copy takes a copy of all that the store holds.
-func (s *Store) Copy() Copy {
+// Snapshot takes a copy of all that the store holds.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{objects: cloneObjects(s.objects), events: slices.Clone(s.events), floor: s.floor, revision: s.revision}
+	return Snapshot{objects: cloneObjects(s.objects), events: slices.Clone(s.events), floor: s.floor, revision: s.revision}
 }
 
 // Restore has the store go on from a copy: what was written since is lost, its revisions are given out again, watches are cut, and the era rises.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.objects, s.events = cloneObjects(c.objects), slices.Clone(c.events)
@@ -67,8 +67,8 @@
 	return s.era
 }
 
-// WriteAgain has the operator and the runners write again what a restore has lost of what they had written, but for what they have written since.
-func (s *Store) WriteAgain(lost Copy) {
+// ReapplyLost has the operator and the runners write again what a restore has lost of what they had written, but for what they have written since.
+func (s *Store) ReapplyLost(lost Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for kind, named := range lost.objects {
--- a/internal/standin/site/restore_test.go
+++ b/internal/standin/site/restore_test.go
@@ -8,23 +8,23 @@
 
 // What was written or removed since a restore isn't overwritten by what that has lost, also where the history is dropped between.
 func TestWriteAgainKeepsWhatCameSince(t *testing.T) {
-	for name, between := range map[string]func(*Store){"": func(*Store) {}, ", and the history was dropped": (*Store).Forget} {
+	for name, between := range map[string]func(*Store){"": func(*Store) {}, ", and the history was dropped": (*Store).DropHistory} {
 		t.Run("written or removed since"+name, func(t *testing.T) {
 			s := NewStore()
 			s.Put("k", "kept", 1)
 			s.Put("k", "gone", 1)
-			older := s.Copy()
+			older := s.Snapshot()
 			s.Put("k", "kept", 2)
 			s.Put("k", "gone", 2)
 			s.Put("k", "lost", 1)
 			s.Put("k", "again", 1)
-			lost := s.Copy()
+			lost := s.Snapshot()
 			s.Restore(older)
 			s.Put("k", "kept", 3)
 			s.Remove("k", "gone")
 			s.Put("k", "again", 2)
 			between(s)
-			s.WriteAgain(lost)
+			s.ReapplyLost(lost)
 			specs := map[string]any{}
 			for name, o := range s.objects["k"] {
 				specs[name] = o.Spec
@@ -35,11 +35,11 @@
 	t.Run("what was removed before is removed again", func(t *testing.T) {
 		s := NewStore()
 		s.Put("k", "a", 1)
-		older := s.Copy()
+		older := s.Snapshot()
 		s.Remove("k", "a")
-		lost := s.Copy()
+		lost := s.Snapshot()
 		s.Restore(older)
-		s.WriteAgain(lost)
+		s.ReapplyLost(lost)
 		assert.Empty(t, s.objects["k"])
 	})
 }
--- a/internal/standin/site/runner.go
+++ b/internal/standin/site/runner.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Run is one request that a runner has got.
-type Run struct {
+// ReceivedRequest is one request that a runner has got.
+type ReceivedRequest struct {
 	Method string
 	Target string
 	Host   string
@@ -30,7 +30,7 @@
 
 	server *httptest.Server
 	mu     sync.Mutex
-	runs   []Run
+	runs   []ReceivedRequest
 }
 
 // Start begins to listen.
@@ -44,8 +44,8 @@
 	r.server.Close()
 }
 
-// End ends the runner as a crash does: nobody listens any more, and all connections are closed. It may be called while a request runs.
-func (r *Runner) End() {
+// Crash ends the runner as a crash does: nobody listens any more, and all connections are closed. It may be called while a request runs.
+func (r *Runner) Crash() {
 	_ = r.server.Listener.Close()
 	r.server.CloseClientConnections()
 }
@@ -55,11 +55,11 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(r.server.URL, "http://"))
 }
 
-// Runs are the requests so far.
-func (r *Runner) Runs() []Run {
+// ReceivedRequests are the requests so far.
+func (r *Runner) ReceivedRequests() []ReceivedRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Run(nil), r.runs...)
+	return append([]ReceivedRequest(nil), r.runs...)
 }
 
 // ServeHTTP takes one request.
@@ -75,39 +75,39 @@
 		return
 	}
 	r.mu.Lock()
-	r.runs = append(r.runs, Run{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: req.Header.Clone(), Body: string(body)})
+	r.runs = append(r.runs, ReceivedRequest{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: req.Header.Clone(), Body: string(body)})
 	r.mu.Unlock()
 	if r.Handle != nil {
 		r.Handle(w, req)
 		return
 	}
-	Answer(w, req, r.ID+" says hello")
+	WriteResponse(w, req, r.ID+" says hello")
 }
 
-// Seal sets what ties an answer to the request and marks it as a runner's own work.
-func Seal(w http.ResponseWriter, req *http.Request) {
+// SetSealHeaders sets what ties an answer to the request and marks it as a runner's own work.
+func SetSealHeaders(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("X-Rillreach-Attempt-Id", req.Header.Get("X-Rillreach-Attempt-Id"))
 	w.Header().Set("X-Rillreach-Response-Seal", "sealed")
 }
 
-// Answer gives a whole answer.
-func Answer(w http.ResponseWriter, req *http.Request, body string) {
-	Seal(w, req)
+// WriteResponse gives a whole answer.
+func WriteResponse(w http.ResponseWriter, req *http.Request, body string) {
+	SetSealHeaders(w, req)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = io.WriteString(w, body)
 }
 
-// Refuse says that the request has not run.
-func Refuse(w http.ResponseWriter, req *http.Request) {
+// WriteNotExecuted says that the request has not run.
+func WriteNotExecuted(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("X-Rillreach-Attempt-Id", req.Header.Get("X-Rillreach-Attempt-Id"))
 	w.Header().Set("X-Rillreach-Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Events streams events with the ids after the one that the request names, up to the last, and breaks the connection off
+// StreamEvents streams events with the ids after the one that the request names, up to the last, and breaks the connection off
 // inside an event once cutAfter has been sent; zero never does.
-func Events(w http.ResponseWriter, req *http.Request, last, cutAfter int) {
-	Seal(w, req)
+func StreamEvents(w http.ResponseWriter, req *http.Request, last, cutAfter int) {
+	SetSealHeaders(w, req)
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, err := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	if err != nil {
@@ -124,14 +124,14 @@
 	}
 }
 
-// Pace streams events with the ids up to the last, one at each tick, until the stream is whole or its caller has gone.
-func Pace(w http.ResponseWriter, req *http.Request, last int, tick time.Duration) {
-	Seal(w, req)
+// StreamEventsAtInterval streams events with the ids up to the last, one at each tick, until the stream is whole or its caller has gone.
+func StreamEventsAtInterval(w http.ResponseWriter, req *http.Request, last int, tick time.Duration) {
+	SetSealHeaders(w, req)
 	w.Header().Set("Content-Type", "text/event-stream")
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for id := 1; id <= last; id++ {
-		_, _ = io.WriteString(w, Piece(id))
+		_, _ = io.WriteString(w, EventText(id))
 		_ = http.NewResponseController(w).Flush()
 		select {
 		case <-req.Context().Done():
@@ -144,5 +144,5 @@
 // EventID is the id of the event with the number.
 func EventID(number int) string { return strconv.Itoa(number) }
 
-// Piece is one event of a paced stream.
-func Piece(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
+// EventText is one event of a paced stream.
+func EventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
--- a/internal/standin/site/specs.go
+++ b/internal/standin/site/specs.go
@@ -28,8 +28,8 @@
 	Kind      string
 	Attempts  int
 	Resumable bool
-	// Engines says that engines serve the route.
-	Engines bool
+	// UsesEngines says that engines serve the route.
+	UsesEngines bool
 	// Timeout is the longest that a request may take; zero means three seconds.
 	Timeout time.Duration
 }
@@ -40,12 +40,12 @@
 	routeTarget = 300
 )
 
-// ConfigOf is a configuration with one client account that has the keys.
-func ConfigOf(version int, keys []string, routes ...Route) any {
+// NewConfig is a configuration with one client account that has the keys.
+func NewConfig(version int, keys []string, routes ...Route) any {
 	specs := []any{}
 	for _, r := range routes {
 		service := plainService
-		if r.Engines {
+		if r.UsesEngines {
 			service = engineService
 		}
 		specs = append(specs, map[string]any{
@@ -66,16 +66,16 @@
 	}
 }
 
-// RecordOf is the record of a plain runner.
-func RecordOf(address netip.AddrPort, state string) map[string]any {
+// NewRunnerRecord is the record of a plain runner.
+func NewRunnerRecord(address netip.AddrPort, state string) map[string]any {
 	return map[string]any{
 		"service": plainService, "address": address.String(), "zone": "z", "slots": 64, "state": state,
 		"version": runnerVersion, "cold_remaining_ms": 0, "sequence": 1,
 	}
 }
 
-// EngineRecordOf is the record of an engine with the weights.
-func EngineRecordOf(address netip.AddrPort, state string, weights uint64) map[string]any {
+// NewEngineRecord is the record of an engine with the weights.
+func NewEngineRecord(address netip.AddrPort, state string, weights uint64) map[string]any {
 	return map[string]any{
 		"service": engineService, "address": address.String(), "zone": "z", "slots": 64, "state": state,
 		"version": runnerVersion, "cold_remaining_ms": 0, "sequence": 1,
@@ -83,28 +83,28 @@
 	}
 }
 
-// WeightsOf names a version of the model's weights.
-func WeightsOf(version uint64) any { return map[string]any{"model": Model, "version": version} }
+// NewModelWeights names a version of the model's weights.
+func NewModelWeights(version uint64) any { return map[string]any{"model": Model, "version": version} }
 
 // Settings are what a settings file says of one process.
 type Settings struct {
 	Name string
 	Host netip.Addr
 	// PeerPort is the first of the ports between processes.
-	PeerPort uint16
-	Store    netip.AddrPort
-	// Callers and Readiness are an entry's.
-	Callers   string
-	Readiness string
-	// Runner is an agent's.
-	Runner netip.AddrPort
+	PeerPort        uint16
+	PlatformAddress netip.AddrPort
+	// FrontendAddress and Readiness are an entry's.
+	FrontendAddress  string
+	ReadinessAddress string
+	// RunnerAddress is an agent's.
+	RunnerAddress netip.AddrPort
 }
 
-// Text is the settings file.
-func (s *Settings) Text() string {
+// TOML is the settings file.
+func (s *Settings) TOML() string {
 	runner := ""
-	if s.Runner.IsValid() {
-		runner = s.Runner.String()
+	if s.RunnerAddress.IsValid() {
+		runner = s.RunnerAddress.String()
 	}
 	return fmt.Sprintf(`
 node_name = %q
@@ -128,11 +128,11 @@
 evacuation_ms = 5000
 [platform]
 address = %q
-`, s.Name, s.Host, runner, s.PeerPort, s.PeerPort, s.Callers, s.Readiness, s.Store)
+`, s.Name, s.Host, runner, s.PeerPort, s.PeerPort, s.FrontendAddress, s.ReadinessAddress, s.PlatformAddress)
 }
 
-// SetPrompt gives a request the prompt of an engine's route.
-func SetPrompt(r *http.Request, conversation string) {
+// SetPromptHeaders gives a request the prompt of an engine's route.
+func SetPromptHeaders(r *http.Request, conversation string) {
 	r.Header.Set("X-Rillreach-Model", Model)
 	r.Header.Set("X-Rillreach-Token-Usage", "1460,80")
 	r.Header.Set("X-Rillreach-Prompt-Prefix", "5c1e07a2:800,"+conversation+":410,e4402b7d:250")
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -94,24 +94,24 @@
 	s.tell(event{kind: kind, Gone: true, Object: o})
 }
 
-// Forget drops the history, so that watches from before have to list again.
-func (s *Store) Forget() {
+// DropHistory drops the history, so that watches from before have to list again.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.floor = nil, s.revision
 	s.wake()
 }
 
-// Fail has every call answered with the status; zero ends that.
-func (s *Store) Fail(status int) {
+// FailWithStatus has every call answered with the status; zero ends that.
+func (s *Store) FailWithStatus(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status = status
 	s.wake()
 }
 
-// Calls counts the calls so far.
-func (s *Store) Calls() int {
+// CallCount counts the calls so far.
+func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -227,8 +227,8 @@
 	return events, s.revision, s.changed, 0
 }
 
-// Unreadable is the spec of an object whose bytes are no JSON.
-type Unreadable struct{}
+// InvalidJSON is the spec of an object whose bytes are no JSON.
+type InvalidJSON struct{}
 
 // unreadableMark stands for such a spec until an answer is written, unreadableBytes are what is written then.
 var (
@@ -237,7 +237,7 @@
 )
 
 // MarshalJSON gives the mark, since an encoder takes no bytes that are no JSON.
-func (Unreadable) MarshalJSON() ([]byte, error) { return unreadableMark, nil }
+func (InvalidJSON) MarshalJSON() ([]byte, error) { return unreadableMark, nil }
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -20,12 +20,12 @@
 
 // Faults are what the store is made to do wrong.
 type Faults struct {
-	// Rate is the link's rate in bytes a second; zero means no limit.
-	Rate float64 `json:"rate"`
-	// CutShort returns half of each block, Spoil changes a byte of each, Swap returns another block.
-	CutShort bool `json:"cutShort"`
-	Spoil    bool `json:"spoil"`
-	Swap     bool `json:"swap"`
+	// BytesPerSecond is the link's rate in bytes a second; zero means no limit.
+	BytesPerSecond float64 `json:"rate"`
+	// Truncate returns half of each block, Spoil changes a byte of each, Swap returns another block.
+	Truncate         bool `json:"cutShort"`
+	Corrupt          bool `json:"spoil"`
+	ReturnOtherBlock bool `json:"swap"`
 	// Full refuses every write.
 	Full bool `json:"full"`
 }
@@ -105,7 +105,7 @@
 	if e == nil {
 		return nil, false
 	}
-	if s.faults.Swap {
+	if s.faults.ReturnOtherBlock {
 		e = s.order.Front()
 	}
 	s.order.MoveToFront(e)
@@ -117,9 +117,9 @@
 
 func spoiled(f Faults, data []byte) []byte {
 	switch {
-	case f.CutShort:
+	case f.Truncate:
 		return data[:len(data)/2]
-	case f.Spoil:
+	case f.Corrupt:
 		changed := append([]byte(nil), data...)
 		changed[len(changed)/2] ^= 1
 		return changed
@@ -130,12 +130,12 @@
 
 // carry takes the time that bytes need on the link, one transfer after another.
 func (s *Server) carry(f Faults, bytes int) {
-	if f.Rate <= 0 {
+	if f.BytesPerSecond <= 0 {
 		return
 	}
 	s.link.Lock()
 	defer s.link.Unlock()
-	time.Sleep(time.Duration(float64(bytes) / f.Rate * float64(time.Second)))
+	time.Sleep(time.Duration(float64(bytes) / f.BytesPerSecond * float64(time.Second)))
 }
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
--- a/sidecar/restart_test.go
+++ b/sidecar/restart_test.go
@@ -43,9 +43,9 @@
 func newRestartFixture(t *testing.T) *restartFixture {
 	t.Helper()
 	f := &restartFixture{store: site.NewStore()}
-	f.engine = &site.Engine{Model: site.Model, Version: 1, LoadTime: time.Hour, Born: earlierGeneration}
+	f.engine = &site.Engine{Model: site.Model, Version: 1, LoadTime: time.Hour, StartUnixMS: earlierGeneration}
 	f.engine.ID = "r1"
-	f.engine.Ordered = func(o site.Order) bool {
+	f.engine.OnOrder = func(o site.Order) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.orders = append(f.orders, o)
@@ -96,9 +96,9 @@
 // A runner that restarts while it loads weights has lost the order, and must be sent another one.
 func TestRunnerRestartsDuringWeightLoad(t *testing.T) {
 	f := newRestartFixture(t)
-	f.store.Put("versions", site.Model, site.WeightsOf(2))
+	f.store.Put("versions", site.Model, site.NewModelWeights(2))
 	eventually(t, func() bool { return len(f.receivedOrders()) == 1 && f.loadingWeights() })
-	f.store.Fail(http.StatusServiceUnavailable) // the agent cannot learn of the restart from the store
+	f.store.FailWithStatus(http.StatusServiceUnavailable) // the agent cannot learn of the restart from the store
 	f.engine.Restart(laterGeneration)
 	eventually(t, func() bool { return len(f.receivedOrders()) == 2 })
 	orders := f.receivedOrders()
@@ -174,11 +174,11 @@
 func TestPartsOfEarlierRunAreDropped(t *testing.T) {
 	f := newRestartFixture(t)
 	eventually(t, func() bool { return f.knownGeneration() == earlierGeneration })
-	f.engine.Keep("1/m", "old", 800)
-	f.engine.Keep("1/m", "older", 400)
+	f.engine.AddCachedPart("1/m", "old", 800)
+	f.engine.AddCachedPart("1/m", "older", 400)
 	eventually(t, func() bool { return f.agent.runnerHolder.tracker.TotalTokens() == 1200 })
 	f.engine.Restart(laterGeneration)
-	f.engine.Keep("1/m", "fresh", 300)
+	f.engine.AddCachedPart("1/m", "fresh", 300)
 	eventually(t, func() bool { return f.agent.runnerHolder.tracker.TotalTokens() == 300 })
 	assert.Equal(t, rillreach.Generation(laterGeneration), f.knownGeneration())
 }
@@ -294,7 +294,7 @@
 
 // A late report of an earlier run must not be published as that of the later run.
 func TestReportOfEarlierRunIsIgnored(t *testing.T) {
-	e := &site.Engine{Model: site.Model, Version: 1, Born: earlierGeneration}
+	e := &site.Engine{Model: site.Model, Version: 1, StartUnixMS: earlierGeneration}
 	runner := httptest.NewServer(e)
 	t.Cleanup(runner.Close)
 	s := &Sidecar{Settings: &deployment.Settings{RunnerAddress: addressOf(runner.URL)}, Runner: platform.NewRunnerClient(addressOf(runner.URL)), Log: testr.New(t)}
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -198,9 +198,9 @@
 		f := newFixture(t, &fakeEngine{version: 2})
 		f.nameWeights(2)
 		f.eventually(t, func() bool { named, _ := f.agent.state.NamedWeights("m"); return named.Version == 2 })
-		calls := f.store.Calls()
+		calls := f.store.CallCount()
 		f.nameWeights(2)
-		f.eventually(t, func() bool { return f.store.Calls() > calls })
+		f.eventually(t, func() bool { return f.store.CallCount() > calls })
 		assert.Empty(t, f.engine.receivedOrders())
 	})
 }
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -72,7 +72,7 @@
 	}
 	if a.Refused {
 		w.Header().Set("Retry-After", strconv.FormatFloat(askedRest.Seconds(), 'f', -1, 64))
-		site.Refuse(w, r)
+		site.WriteNotExecuted(w, r)
 	}
 	return a.Refused
 }
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -107,7 +107,7 @@
 	}
 	site.SetRequestID(req, seen.ID)
 	if seen.Kind.engines() {
-		site.SetPrompt(req, fmt.Sprintf("%08x", len(seen.ID)))
+		site.SetPromptHeaders(req, fmt.Sprintf("%08x", len(seen.ID)))
 	}
 	req.Header.Set("Authorization", "Bearer "+seen.Key)
 	resp, err := c.client.Do(req)
--- a/soak/engine.go
+++ b/soak/engine.go
@@ -66,7 +66,7 @@
 func (e *engine) startAgain(told bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.begin(e.current.ID, e.current.Weights(), told)
+	e.begin(e.current.ID, e.current.LoadedVersion(), told)
 }
 
 // begin begins a new run; e.mu is held.
@@ -74,13 +74,13 @@
 	e.runs++
 	label := e.labelOf(e.runs)
 	e.born = max(e.born+1, time.Now().UnixMilli())
-	one := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, Queue: e.queueing, Refuses: e.refuses}
+	one := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, QueueDelay: e.queueing, RefusesRequests: e.refuses}
 	one.ID = id
 	if told {
-		one.Born = e.born
+		one.StartUnixMS = e.born
 	}
 	one.Handle = func(w http.ResponseWriter, r *http.Request) {
-		begun := run{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), At: time.Now(), Weights: one.Weights(), Fatal: fatalOf(r)}
+		begun := run{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), At: time.Now(), Weights: one.LoadedVersion(), Fatal: fatalOf(r)}
 		if begun.Fatal != "" {
 			e.ledger.endUnder(begun, e.fatal)
 		}
@@ -90,11 +90,11 @@
 		open := e.ledger.begin(begun)
 		streamPieces(w, r, open, e.pause(r))
 	}
-	one.Ordered = func(o site.Order) bool {
+	one.OnOrder = func(o site.Order) bool {
 		e.ledger.order(given{Engine: label, Order: o})
 		return e.loses()
 	}
-	one.CarryOut = func(o site.Order) { e.carryOut(id, o) }
+	one.OnDelayedOrder = func(o site.Order) { e.carryOut(id, o) }
 	one.Start()
 	e.current = one
 	if err := e.proxy.open(one.Address()); err != nil {
@@ -117,7 +117,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.current.ID == id {
-		e.current.Take(o)
+		e.current.AcceptOrder(o)
 	}
 }
 
@@ -193,7 +193,7 @@
 	e.mu.Lock()
 	current := e.current
 	e.mu.Unlock()
-	return current.ID, current.Weights()
+	return current.ID, current.LoadedVersion()
 }
 
 // crash ends the run and every connection of it.
@@ -201,6 +201,6 @@
 	e.mu.Lock()
 	current := e.current
 	e.mu.Unlock()
-	current.End()
+	current.Crash()
 	e.proxy.shut()
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -106,10 +106,10 @@
 	case faultStop:
 		w.later(0, func() { w.restart(&e.process, syscall.SIGTERM) })
 	case faultReload:
-		w.later(0, func() { w.reload(e, e.settings.Text()) })
+		w.later(0, func() { w.reload(e, e.settings.TOML()) })
 	case faultBadReload:
 		w.later(0, func() { w.reload(e, "= =") })
-		w.later(a.For, func() { w.reload(e, e.settings.Text()) })
+		w.later(a.For, func() { w.reload(e, e.settings.TOML()) })
 	}
 }
 
@@ -172,7 +172,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.weights++
-	w.store.Put("versions", site.Model, site.WeightsOf(w.weights))
+	w.store.Put("versions", site.Model, site.NewModelWeights(w.weights))
 	w.named[w.weights] = time.Now()
 }
 
@@ -184,7 +184,7 @@
 	p.files.Lock()
 	defer p.files.Unlock()
 	begun := time.Now()
-	if err := p.write(p.settings.Text()); err != nil {
+	if err := p.write(p.settings.TOML()); err != nil {
 		w.report("settings not written: %v", err)
 	}
 	if err := p.start(); err != nil {
@@ -203,7 +203,7 @@
 func (w *world) reload(e *entry, text string) {
 	e.files.Lock()
 	defer e.files.Unlock()
-	if h := e.past(); text != e.settings.Text() && h.Lives[len(h.Lives)-1].Ready.IsZero() {
+	if h := e.past(); text != e.settings.TOML() && h.Lives[len(h.Lives)-1].Ready.IsZero() {
 		return
 	}
 	if err := e.write(text); err != nil {
--- a/soak/network_faults.go
+++ b/soak/network_faults.go
@@ -38,14 +38,14 @@
 func (w *world) injectStore(a action, e *entry) {
 	switch a.Fault {
 	case faultForget:
-		w.store.Forget()
+		w.store.DropHistory()
 	case faultStoreDown:
 		w.disturbAll(a.For)
 		for _, one := range w.entries {
 			w.cutOff(one, a.For)
 		}
-		w.store.Fail(http.StatusServiceUnavailable)
-		w.later(a.For, func() { w.store.Fail(0) })
+		w.store.FailWithStatus(http.StatusServiceUnavailable)
+		w.later(a.For, func() { w.store.FailWithStatus(0) })
 	case faultStoreMute:
 		w.disturb(e, a.For)
 		w.cutOff(e, a.For)
--- a/soak/process.go
+++ b/soak/process.go
@@ -53,11 +53,11 @@
 	if p.store, err = newProxy(loopback, store); err != nil {
 		return err
 	}
-	p.settings.Store = p.store.address()
+	p.settings.PlatformAddress = p.store.address()
 	if p.metrics, err = freeAddress(); err != nil {
 		return err
 	}
-	return p.write(p.settings.Text())
+	return p.write(p.settings.TOML())
 }
 
 func newEntry(number int, binary, dir string, store netip.AddrPort, peerPort uint16) (*entry, error) {
@@ -69,14 +69,14 @@
 		}
 	}
 	e.settings = site.Settings{
-		Name: "entry-" + strconv.Itoa(number), Host: loopback, PeerPort: peerPort, Callers: e.callers, Readiness: e.ready,
+		Name: "entry-" + strconv.Itoa(number), Host: loopback, PeerPort: peerPort, FrontendAddress: e.callers, ReadinessAddress: e.ready,
 	}
 	return e, e.prepare(store)
 }
 
 func newAgent(number int, binary, dir string, store, engine netip.AddrPort, peerPort uint16) (*agent, error) {
 	a := &agent{process{role: "agent", binary: binary, dir: dir}}
-	a.settings = site.Settings{Name: "agent-" + strconv.Itoa(number), Host: engine.Addr(), PeerPort: peerPort, Runner: engine}
+	a.settings = site.Settings{Name: "agent-" + strconv.Itoa(number), Host: engine.Addr(), PeerPort: peerPort, RunnerAddress: engine}
 	return a, a.prepare(store)
 }
 
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -34,20 +34,20 @@
 	if !w.restoring.TryLock() {
 		return
 	}
-	copied := w.store.Copy()
+	copied := w.store.Snapshot()
 	w.later(a.For, func() {
 		defer w.restoring.Unlock()
 		writeAgain := time.Duration(a.Which%int(applyWithin.Milliseconds())) * time.Millisecond
 		for _, e := range w.entries {
 			w.cutOff(e, awayFor+writeAgain)
 		}
-		w.store.Fail(http.StatusServiceUnavailable)
+		w.store.FailWithStatus(http.StatusServiceUnavailable)
 		time.Sleep(awayFor)
-		lost := w.store.Copy()
+		lost := w.store.Snapshot()
 		w.store.Restore(copied)
-		w.store.Fail(0)
+		w.store.FailWithStatus(0)
 		time.Sleep(writeAgain)
-		w.store.WriteAgain(lost)
+		w.store.ReapplyLost(lost)
 	})
 }
 
--- a/soak/runner.go
+++ b/soak/runner.go
@@ -134,7 +134,7 @@
 func (p *place) crash() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.runner.End()
+	p.runner.Crash()
 	p.proxy.shut()
 }
 
@@ -153,7 +153,7 @@
 	open := p.ledger.begin(one)
 	wanted := wait(r, workTime)
 	if wanted {
-		site.Answer(w, r, expected(one.ID, kindOnce))
+		site.WriteResponse(w, r, expected(one.ID, kindOnce))
 	}
 	open.end(wanted)
 }
@@ -181,7 +181,7 @@
 	if !wait(r, workTime) {
 		return
 	}
-	site.Seal(w, r)
+	site.SetSealHeaders(w, r)
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
--- a/soak/store_faults.go
+++ b/soak/store_faults.go
@@ -25,7 +25,7 @@
 	badEntry("models", []any{7}),
 	"no record",
 	nil,
-	site.Unreadable{},
+	site.InvalidJSON{},
 }
 
 // badEntry is a record that is bad in one field alone.
--- a/soak/world.go
+++ b/soak/world.go
@@ -155,7 +155,7 @@
 }
 
 func (w *world) list(p *place, id, state string) {
-	spec := site.RecordOf(p.proxy.address(), state)
+	spec := site.NewRunnerRecord(p.proxy.address(), state)
 	spec["zone"] = zoneOf(p.number)
 	w.store.Put("servers", id, spec)
 }
@@ -172,15 +172,15 @@
 		}
 	}
 	defer func() { w.versionAt = time.Now() }()
-	w.store.Put("config", "main", site.ConfigOf(
+	w.store.Put("config", "main", site.NewConfig(
 		w.version, keys,
 		site.Route{Name: versionRoute(w.version), Host: host, Kind: "idempotent", Attempts: 1},
 		site.Route{Name: string(kindRepeat), Host: host, Kind: "idempotent", Attempts: 2},
 		site.Route{Name: string(kindOnce), Host: host, Kind: "non_idempotent", Attempts: 2},
 		site.Route{Name: string(kindStream), Host: host, Kind: "streaming", Attempts: 3, Resumable: true, Timeout: streamTimeout},
 		site.Route{Name: string(kindFlow), Host: host, Kind: "streaming", Attempts: 1, Timeout: streamTimeout},
-		site.Route{Name: string(kindPrompt), Host: host, Kind: "streaming", Attempts: 3, Resumable: true, Engines: true, Timeout: streamTimeout},
-		site.Route{Name: string(kindChat), Host: host, Kind: "streaming", Attempts: 2, Resumable: true, Engines: true, Timeout: streamTimeout},
+		site.Route{Name: string(kindPrompt), Host: host, Kind: "streaming", Attempts: 3, Resumable: true, UsesEngines: true, Timeout: streamTimeout},
+		site.Route{Name: string(kindChat), Host: host, Kind: "streaming", Attempts: 2, Resumable: true, UsesEngines: true, Timeout: streamTimeout},
 	))
 }
 
