--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,2 +1,2 @@
-// Package standin holds small stand-ins for the outside systems, for tests and for trying the system out.
+// Package standin contains small stand-ins for external systems, for tests and the demo.
 package standin
