--- a/internal/standin/site/engine.go
+++ b/internal/standin/site/engine.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Order is an order as an engine got it.
+// Order is a request to load a version of the weights, as an engine receives it.
 type Order struct {
 	Version  uint64 `json:"version"`
 	Holder   string `json:"holder"`
@@ -18,106 +18,111 @@
 	Expected uint64 `json:"expected_revision"`
 }
 
-// Engine is a model engine: a runner with weights, reports, orders, and KV cache that holds what Keep says. An order has it refuse
-// what has not begun and end what has, before it loads. Exported fields are set before Start.
+// Engine is a model engine: a runner that also has weights, serves reports, accepts orders and publishes the contents
+// of its KV cache, which AddCachedPart fills. After an order it refuses requests that have not begun and lets running
+// ones complete before it loads the weights. Exported fields must be set before Start.
 type Engine struct {
 	Runner
-	// Model is what the engine serves, Version its weights at the start; LoadTime is how long others take.
+	// Model is the model served, Version the version of its weights, and LoadTime how long it takes to load another
+	// version.
 	Model    string
 	Version  uint64
 	LoadTime time.Duration
-	// StartUnixMS is the Unix millisecond of the engine's start, which all that it says of itself tells; zero tells none.
+	// StartUnixMS is the engine's start time in Unix milliseconds, sent in its record and responses; zero omits it.
 	StartUnixMS int64
-	// OnOrder is told of each order that arrives; where it says so the order gets no answer and is carried out late.
-	OnOrder func(Order) (lose bool)
-	// OnDelayedOrder is given an order without an answer when it is carried out; without it the engine that got it takes it.
+	// OnOrder is called for each order received. If it returns true, the connection is closed without a response and the
+	// order is executed after orderDelay.
+	OnOrder func(Order) (dropResponse bool)
+	// OnDelayedOrder executes an order that got no response. If nil, the engine that received the order accepts it.
 	OnDelayedOrder func(Order)
-	// QueueDelay says how long a request waits before it begins; without it requests begin at once.
+	// QueueDelay returns how long a request waits before it begins. If nil, requests begin at once.
 	QueueDelay func() time.Duration
-	// RefusesRequests says whether requests are refused now that would begin otherwise; without it none are.
+	// RefusesRequests reports whether requests are currently refused. If nil, none are.
 	RefusesRequests func() bool
 
-	mu      sync.Mutex
-	taken   uint64
-	waiting int
+	mu            sync.Mutex
+	orderSequence uint64
+	queued        int
+	// running counts the running requests by request ID.
 	running map[string]int
-	// ordered is the version that is loaded once nothing runs any more, zero without an order; taking it closes emptying.
-	ordered  uint64
-	emptying chan struct{}
-	// starts counts the restarts, and kept are the events of the run.
-	starts int
-	kept   [][]any
+	// orderedVersion is the version to load once no request runs, zero without an order. drainStarted is closed when an
+	// order is accepted.
+	orderedVersion uint64
+	drainStarted   chan struct{}
+	// restarts counts the restarts; cacheEvents are the KV cache events since the last one.
+	restarts    int
+	cacheEvents [][]any
 }
 
-// lateBy is how long an order without an answer takes to be carried out.
-const lateBy = 2 * time.Second
+// orderDelay is the time from the arrival of an order that gets no response to its execution.
+const orderDelay = 2 * time.Second
 
-// Start begins to listen.
+// Start starts the engine's HTTP server.
 func (e *Engine) Start() {
-	e.running, e.emptying = map[string]int{}, make(chan struct{})
+	e.running, e.drainStarted = map[string]int{}, make(chan struct{})
 	e.server = httptest.NewServer(e)
 }
 
-// LoadedVersion are those that the engine has now.
+// LoadedVersion returns the version of the weights that are loaded.
 func (e *Engine) LoadedVersion() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Version
 }
 
-// ServeHTTP takes one request or control call.
+// ServeHTTP handles a request or a control call.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/report":
-		e.report(w)
+		e.serveReport(w)
 	case "/order":
-		e.order(w, r)
+		e.serveOrder(w, r)
 	case "/kv-events":
-		e.events(w, r)
+		e.serveEvents(w, r)
 	default:
-		e.serve(w, r)
+		e.serveRequest(w, r)
 	}
 }
 
-// Restart has the engine crash and start again under its id, with another start, or none where that is zero. A load that was under
-// way is no longer.
-func (e *Engine) Restart(born int64) {
+// Restart simulates a crash and a restart under the same ID, with a new start time, or none if it is zero. It cancels a
+// load in progress.
+func (e *Engine) Restart(startUnixMS int64) {
 	e.mu.Lock()
-	e.StartUnixMS, e.taken, e.ordered, e.kept = born, 0, 0, nil
-	e.running, e.emptying = map[string]int{}, make(chan struct{})
-	e.starts++
+	e.StartUnixMS, e.orderSequence, e.orderedVersion, e.cacheEvents = startUnixMS, 0, 0, nil
+	e.running, e.drainStarted = map[string]int{}, make(chan struct{})
+	e.restarts++
 	e.mu.Unlock()
 	e.server.CloseClientConnections()
 }
 
-// Record is the engine's record in the object store.
+// Record returns the engine's record in the object store.
 func (e *Engine) Record(state string) map[string]any { return e.RecordAt(e.Address(), state) }
 
-// RecordAt is the engine's record in the object store, under the address at which others reach it.
+// RecordAt returns the engine's record in the object store, with the address at which other processes reach it.
 func (e *Engine) RecordAt(address netip.AddrPort, state string) map[string]any {
 	record := NewEngineRecord(address, state, e.LoadedVersion())
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.tellStart(record)
+	e.addStartTime(record)
 	return record
 }
 
-// tellStart adds the start to what the engine says of itself; the lock is held.
-func (e *Engine) tellStart(fields map[string]any) {
+// addStartTime adds the start time, if set, to the fields of a record or response. e.mu must be held.
+func (e *Engine) addStartTime(fields map[string]any) {
 	if e.StartUnixMS != 0 {
 		fields["born"] = e.StartUnixMS
 	}
 }
 
-// say answers with what the engine says of itself; the lock is held.
-func (e *Engine) say(w http.ResponseWriter, status int, fields map[string]any) {
-	e.tellStart(fields)
+// writeFields writes a JSON response with the fields and the start time. e.mu must be held.
+func (e *Engine) writeFields(w http.ResponseWriter, status int, fields map[string]any) {
+	e.addStartTime(fields)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(fields)
 }
 
-func (e *Engine) report(w http.ResponseWriter) {
+func (e *Engine) serveReport(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	runs := []any{}
@@ -126,14 +131,14 @@
 			runs = append(runs, []any{id, 0, 1, 0})
 		}
 	}
-	e.say(w, http.StatusOK, map[string]any{
-		"models": []any{map[string]any{"name": e.Model, "version": e.Version}}, "sequence": e.taken, "busy": e.ordered != 0,
-		"running": len(runs), "queued": e.waiting, "kv_used": 0, "kv_total": 1000, "state": "ready",
+	e.writeFields(w, http.StatusOK, map[string]any{
+		"models": []any{map[string]any{"name": e.Model, "version": e.Version}}, "sequence": e.orderSequence, "busy": e.orderedVersion != 0,
+		"running": len(runs), "queued": e.queued, "kv_used": 0, "kv_total": 1000, "state": "ready",
 		"clock_ms": time.Now().UnixMilli(), "runs": runs,
 	})
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -144,16 +149,16 @@
 		return
 	}
 	if e.OnOrder != nil && e.OnOrder(o) {
-		time.AfterFunc(lateBy, func() { e.carryOut(o) })
+		time.AfterFunc(orderDelay, func() { e.executeDelayedOrder(o) })
 		panic(http.ErrAbortHandler)
 	}
 	status := e.AcceptOrder(o)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.say(w, status, map[string]any{"sequence": e.taken})
+	e.writeFields(w, status, map[string]any{"sequence": e.orderSequence})
 }
 
-func (e *Engine) carryOut(o Order) {
+func (e *Engine) executeDelayedOrder(o Order) {
 	if e.OnDelayedOrder != nil {
 		e.OnDelayedOrder(o)
 		return
@@ -161,45 +166,45 @@
 	e.AcceptOrder(o)
 }
 
-// AcceptOrder takes an order, or says why not.
+// AcceptOrder accepts an order to load a version, and returns the HTTP status of the result.
 func (e *Engine) AcceptOrder(o Order) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.Version >= o.Version:
 		return http.StatusOK
-	case e.ordered != 0 || o.Expected != e.taken:
+	case e.orderedVersion != 0 || o.Expected != e.orderSequence:
 		return http.StatusConflict
 	}
-	e.taken++
-	e.ordered = o.Version
-	close(e.emptying)
+	e.orderSequence++
+	e.orderedVersion = o.Version
+	close(e.drainStarted)
 	if len(e.running) == 0 {
-		e.load()
+		e.startLoading()
 	}
 	return http.StatusAccepted
 }
 
-// load loads the ordered weights; e.mu is held.
-func (e *Engine) load() {
-	start := e.starts
+// startLoading loads the ordered weights after LoadTime, unless the engine restarts first. e.mu must be held.
+func (e *Engine) startLoading() {
+	restarts := e.restarts
 	time.AfterFunc(e.LoadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.starts != start {
+		if e.restarts != restarts {
 			return
 		}
-		e.Version, e.ordered, e.emptying = e.ordered, 0, make(chan struct{})
+		e.Version, e.orderedVersion, e.drainStarted = e.orderedVersion, 0, make(chan struct{})
 	})
 }
 
-// serve takes a request, unless other weights are expected or weights are about to be loaded.
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request) {
+// serveRequest serves a request, unless it expects another version of the weights or the engine refuses it.
+func (e *Engine) serveRequest(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	version := strconv.FormatUint(e.Version, 10)
 	e.mu.Unlock()
 	w.Header().Set("Versions", version)
-	if expected := r.Header.Get("Expect-Version"); expected != "" && expected != version {
+	if expectedVersion := r.Header.Get("Expect-Version"); expectedVersion != "" && expectedVersion != version {
 		w.Header().Set("X-Rillreach-Attempt-Id", RequestID(r))
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -208,63 +213,65 @@
 		e.Runner.ServeHTTP(w, r)
 		return
 	}
-	start, begun := e.begin(r)
-	if !begun {
+	restarts, ok := e.beginRequest(r)
+	if !ok {
 		WriteNotExecuted(w, r)
 		return
 	}
-	defer e.end(RequestID(r), start)
+	defer e.endRequest(RequestID(r), restarts)
 	e.Runner.ServeHTTP(w, r)
 }
 
-// begin reports that a request begins, after its time in the queue, and in which run of the engine.
-func (e *Engine) begin(r *http.Request) (start int, begun bool) {
+// beginRequest waits in the queue and reports whether the request may begin. It also returns the number of restarts,
+// for endRequest.
+func (e *Engine) beginRequest(r *http.Request) (restarts int, ok bool) {
 	if e.RefusesRequests != nil && e.RefusesRequests() {
 		return 0, false
 	}
-	if e.QueueDelay != nil && !e.queue(r, e.QueueDelay()) {
+	if e.QueueDelay != nil && !e.waitInQueue(r, e.QueueDelay()) {
 		return 0, false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ordered != 0 {
+	if e.orderedVersion != 0 {
 		return 0, false
 	}
 	e.running[RequestID(r)]++
-	return e.starts, true
+	return e.restarts, true
 }
 
-// queue has a request wait; it reports whether it may begin then.
-func (e *Engine) queue(r *http.Request, d time.Duration) bool {
+// waitInQueue waits for the duration. It returns false if an order is accepted or the caller disconnects first.
+func (e *Engine) waitInQueue(r *http.Request, d time.Duration) bool {
 	e.mu.Lock()
-	emptying := e.emptying
-	e.waiting++
+	drainStarted := e.drainStarted
+	e.queued++
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.waiting--
+		e.queued--
 	}()
 	select {
 	case <-time.After(d):
 		return true
-	case <-emptying:
+	case <-drainStarted:
 	case <-r.Context().Done():
 	}
 	return false
 }
 
-// end notes the end of a request that had begun in a run of the engine; the last one lets the ordered load begin.
-func (e *Engine) end(id string, start int) {
+// endRequest records the end of a request that began after the given number of restarts. If an order is pending, the
+// end of the last request starts the load.
+func (e *Engine) endRequest(id string, restarts int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.starts != start {
+	if e.restarts != restarts {
 		return
 	}
 	if e.running[id]--; e.running[id] == 0 {
 		delete(e.running, id)
 	}
-	if e.ordered != 0 && len(e.running) == 0 {
-		e.load()
+	if e.orderedVersion != 0 && len(e.running) == 0 {
+		e.startLoading()
 	}
 }
--- a/internal/standin/site/engine_cache.go
+++ b/internal/standin/site/engine_cache.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// AddCachedPart has the engine hold a part from now on.
+// AddCachedPart adds a part to the KV cache.
 func (e *Engine) AddCachedPart(salt, part string, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.kept = append(e.kept, []any{len(e.kept) + 1, "+", salt, part, tokens, e.Model})
+	e.cacheEvents = append(e.cacheEvents, []any{len(e.cacheEvents) + 1, "+", salt, part, tokens, e.Model})
 }
 
-// lookForEvents is how often a question that waits is looked at.
-const lookForEvents = 5 * time.Millisecond
+// eventPollInterval is how often a waiting call checks for new events.
+const eventPollInterval = 5 * time.Millisecond
 
-// events answers once there is something after the position that the caller knows, or the question has waited for as long as it may.
-func (e *Engine) events(w http.ResponseWriter, r *http.Request) {
+// serveEvents responds once there are events after the caller's position, or after the caller's maximum wait.
+func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	wait, err := strconv.Atoi(r.Header.Get("Wait-Ms"))
 	if err != nil {
 		wait = 0
@@ -29,29 +29,30 @@
 		return
 	}
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
-	for !e.sayEvents(w, since, false) {
+	for !e.writeEvents(w, since, false) {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-timeout:
-			e.sayEvents(w, since, true)
+			e.writeEvents(w, since, true)
 			return
-		case <-time.After(lookForEvents):
+		case <-time.After(eventPollInterval):
 		}
 	}
 }
 
-// sayEvents answers with the events after a position, with none where the question is over; it reports whether it answered.
-func (e *Engine) sayEvents(w http.ResponseWriter, since int, over bool) bool {
+// writeEvents writes the events after a position, or an empty response if the wait has timed out. It reports whether it
+// wrote a response.
+func (e *Engine) writeEvents(w http.ResponseWriter, since int, timedOut bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if since == len(e.kept) && !over {
+	if since == len(e.cacheEvents) && !timedOut {
 		return false
 	}
 	events := [][]any{}
-	if !over && since >= 0 && since < len(e.kept) {
-		events = e.kept[since:]
+	if !timedOut && since >= 0 && since < len(e.cacheEvents) {
+		events = e.cacheEvents[since:]
 	}
-	e.say(w, http.StatusOK, map[string]any{"boot_epoch": e.starts + 1, "next_page_token": len(e.kept), "lost": false, "events": events})
+	e.writeFields(w, http.StatusOK, map[string]any{"boot_epoch": e.restarts + 1, "next_page_token": len(e.cacheEvents), "lost": false, "events": events})
 	return true
 }
--- a/internal/standin/site/engine_test.go
+++ b/internal/standin/site/engine_test.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	patience = 5 * time.Second
-	tick     = 5 * time.Millisecond
+	waitTimeout  = 5 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
 
-// send sends a request to an engine, and returns the status of its answer.
+// send sends a request to an engine, and returns the response's status.
 func send(t *testing.T, e *Engine, method, path, body string) int {
 	t.Helper()
 	req := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
@@ -29,8 +29,8 @@
 	return w.Code
 }
 
-// says is one field of what an engine says of itself.
-func says(t *testing.T, e *Engine, path, field string) any {
+// responseField returns a field of the engine's JSON response to a GET request.
+func responseField(t *testing.T, e *Engine, path, field string) any {
 	t.Helper()
 	w := httptest.NewRecorder()
 	e.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, path, http.NoBody))
@@ -39,7 +39,7 @@
 	return fields[field]
 }
 
-func TestEngineEmptiesBeforeItLoads(t *testing.T) {
+func TestEngineDrainsBeforeLoadingWeights(t *testing.T) {
 	running, finish := make(chan struct{}), make(chan struct{})
 	e := &Engine{Model: Model, Version: 1}
 	e.ID = "e"
@@ -57,29 +57,29 @@
 	queue = time.Hour
 	waited := make(chan int, 1)
 	go func() { waited <- send(t, e, http.MethodPost, "/prompt/x", "") }()
-	require.Eventually(t, func() bool { return says(t, e, "/report", "queued") == 1.0 }, patience, tick)
+	require.Eventually(t, func() bool { return responseField(t, e, "/report", "queued") == 1.0 }, waitTimeout, pollInterval)
 
 	assert.Equal(t, http.StatusAccepted, send(t, e, http.MethodPost, "/order", `{"version": 2}`))
-	assert.Equal(t, http.StatusServiceUnavailable, <-waited, "what waits is refused")
-	assert.Equal(t, http.StatusServiceUnavailable, send(t, e, http.MethodPost, "/prompt/x", ""), "what comes is refused")
-	assert.Equal(t, uint64(1), e.LoadedVersion(), "what runs ends on the weights that it began on")
+	assert.Equal(t, http.StatusServiceUnavailable, <-waited, "queued requests are refused")
+	assert.Equal(t, http.StatusServiceUnavailable, send(t, e, http.MethodPost, "/prompt/x", ""), "new requests are refused")
+	assert.Equal(t, uint64(1), e.LoadedVersion(), "a running request completes on the weights that it began on")
 	close(finish)
 	assert.Equal(t, http.StatusOK, <-ended)
-	require.Eventually(t, func() bool { return e.LoadedVersion() == 2 }, patience, tick)
-	assert.Equal(t, false, says(t, e, "/report", "busy"))
+	require.Eventually(t, func() bool { return e.LoadedVersion() == 2 }, waitTimeout, pollInterval)
+	assert.Equal(t, false, responseField(t, e, "/report", "busy"))
 }
 
-func TestEngineTellsItsStart(t *testing.T) {
+func TestEngineReportsStartTime(t *testing.T) {
 	const born = 1_700_000_000_123
 	for _, path := range []string{"/report", "/kv-events"} {
 		e := &Engine{Model: Model, Version: 1, StartUnixMS: born}
-		assert.InDelta(t, float64(born), says(t, e, path, "born"), 0, path)
+		assert.InDelta(t, float64(born), responseField(t, e, path, "born"), 0, path)
 		e.StartUnixMS = 0
-		assert.Nil(t, says(t, e, path, "born"), path)
+		assert.Nil(t, responseField(t, e, path, "born"), path)
 	}
 }
 
-func TestUnreadableObjectSpoilsThePage(t *testing.T) {
+func TestInvalidJSONObjectBreaksListResponse(t *testing.T) {
 	s := NewStore()
 	s.Put("servers", "good", map[string]any{"service": "e"})
 	list := func() []byte {
--- a/internal/standin/site/restore.go
+++ b/internal/standin/site/restore.go
@@ -8,36 +8,37 @@
 	"strconv"
 )
 
-// objectKey names an object.
+// objectKey identifies an object.
 type objectKey struct{ kind, name string }
 
-// Snapshot is what the store held at a moment.
+// Snapshot is the contents of a store at one time.
 type Snapshot struct {
-	objects  map[string]map[string]object
-	events   []event
-	floor    uint64
-	revision uint64
+	objects      map[string]map[string]object
+	events       []event
+	historyStart uint64
+	revision     uint64
 }
 
-// Snapshot takes a copy of all that the store holds.
+// Snapshot returns a snapshot of the store.
 func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Snapshot{objects: cloneObjects(s.objects), events: slices.Clone(s.events), floor: s.floor, revision: s.revision}
+	return Snapshot{objects: cloneObjects(s.objects), events: slices.Clone(s.events), historyStart: s.historyStart, revision: s.revision}
 }
 
-// Restore has the store go on from a copy: what was written since is lost, its revisions are given out again, watches are cut, and the era rises.
-func (s *Store) Restore(c Snapshot) {
+// Restore resets the store to a snapshot and increments the era. Later writes are lost, their revisions are reused and
+// open watches are closed without a response.
+func (s *Store) Restore(snapshot Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.objects, s.events = cloneObjects(c.objects), slices.Clone(c.events)
-	s.floor, s.revision, s.restored = c.floor, c.revision, c.revision
-	clear(s.removed)
+	s.objects, s.events = cloneObjects(snapshot.objects), slices.Clone(snapshot.events)
+	s.historyStart, s.revision, s.restoredRevision = snapshot.historyStart, snapshot.revision, snapshot.revision
+	clear(s.removedAt)
 	s.era++
-	s.wake()
+	s.notifyWatchers()
 }
 
-// HideEra leaves the era out of the store's answers, or tells it again.
+// HideEra sets whether the era is omitted from responses.
 func (s *Store) HideEra(hidden bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,14 +47,14 @@
 
 func cloneObjects(objects map[string]map[string]object) map[string]map[string]object {
 	clone := make(map[string]map[string]object, len(objects))
-	for kind, named := range objects {
-		clone[kind] = maps.Clone(named)
+	for kind, byName := range objects {
+		clone[kind] = maps.Clone(byName)
 	}
 	return clone
 }
 
-// tellEra sets the era on an answer.
-func (s *Store) tellEra(w http.ResponseWriter) {
+// setEraHeader sets the response header with the era, unless the era is hidden.
+func (s *Store) setEraHeader(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.eraHidden {
@@ -67,27 +68,28 @@
 	return s.era
 }
 
-// ReapplyLost has the operator and the runners write again what a restore has lost of what they had written, but for what they have written since.
+// ReapplyLost repeats the writes and removals that a restore lost, as the operator and the runners would. lost is a
+// snapshot from just before the restore. Objects that were written or removed since the restore stay as they are.
 func (s *Store) ReapplyLost(lost Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for kind, named := range lost.objects {
-		for name, o := range named {
-			if !s.writtenSince(kind, name) && !reflect.DeepEqual(s.objects[kind][name].Spec, o.Spec) {
+	for kind, byName := range lost.objects {
+		for name, o := range byName {
+			if !s.changedSinceRestore(kind, name) && !reflect.DeepEqual(s.objects[kind][name].Spec, o.Spec) {
 				s.put(kind, name, o.Spec)
 			}
 		}
 	}
-	for kind, named := range s.objects {
-		for name := range named {
-			if _, there := lost.objects[kind][name]; !there && !s.writtenSince(kind, name) {
+	for kind, byName := range s.objects {
+		for name := range byName {
+			if _, existed := lost.objects[kind][name]; !existed && !s.changedSinceRestore(kind, name) {
 				s.remove(kind, name)
 			}
 		}
 	}
 }
 
-// writtenSince reports that an object has been written or removed since the last restore; the lock is held.
-func (s *Store) writtenSince(kind, name string) bool {
-	return s.objects[kind][name].Metadata.Revision > s.restored || s.removed[objectKey{kind, name}] > s.restored
+// changedSinceRestore reports whether an object was written or removed since the last restore. s.mu must be held.
+func (s *Store) changedSinceRestore(kind, name string) bool {
+	return s.objects[kind][name].Metadata.Revision > s.restoredRevision || s.removedAt[objectKey{kind, name}] > s.restoredRevision
 }
--- a/internal/standin/site/restore_test.go
+++ b/internal/standin/site/restore_test.go
@@ -6,10 +6,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What was written or removed since a restore isn't overwritten by what that has lost, also where the history is dropped between.
-func TestWriteAgainKeepsWhatCameSince(t *testing.T) {
-	for name, between := range map[string]func(*Store){"": func(*Store) {}, ", and the history was dropped": (*Store).DropHistory} {
-		t.Run("written or removed since"+name, func(t *testing.T) {
+// Reapplying lost writes must not overwrite what was written or removed since the restore, even if the event history
+// was dropped in between.
+func TestReapplyLostKeepsWritesSinceRestore(t *testing.T) {
+	for name, between := range map[string]func(*Store){"": func(*Store) {}, ", history dropped": (*Store).DropHistory} {
+		t.Run("written or removed since the restore"+name, func(t *testing.T) {
 			s := NewStore()
 			s.Put("k", "kept", 1)
 			s.Put("k", "gone", 1)
@@ -32,7 +33,7 @@
 			assert.Equal(t, map[string]any{"kept": 3, "lost": 1, "again": 2}, specs)
 		})
 	}
-	t.Run("what was removed before is removed again", func(t *testing.T) {
+	t.Run("lost removal is repeated", func(t *testing.T) {
 		s := NewStore()
 		s.Put("k", "a", 1)
 		older := s.Snapshot()
--- a/internal/standin/site/runner.go
+++ b/internal/standin/site/runner.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// ReceivedRequest is one request that a runner has got.
+// ReceivedRequest is a request that a runner has received.
 type ReceivedRequest struct {
 	Method string
 	Target string
@@ -21,50 +21,51 @@
 	Body   string
 }
 
-// Runner is a runner that answers as published, unless its Handle says otherwise.
+// Runner is a stand-in for a runner that follows the published protocol, unless Handle replaces its response.
 type Runner struct {
-	// ID is the runner's.
+	// ID is the instance ID; requests for another one are refused.
 	ID string
-	// Handle answers a request in place of the usual answer; it is set before the first request.
+	// Handle writes the response instead of the default one. It must be set before the first request.
 	Handle http.HandlerFunc
 
-	server *httptest.Server
-	mu     sync.Mutex
-	runs   []ReceivedRequest
+	server   *httptest.Server
+	mu       sync.Mutex
+	received []ReceivedRequest
 }
 
-// Start begins to listen.
+// Start starts the runner's HTTP server.
 func (r *Runner) Start() {
 	r.server = httptest.NewServer(r)
 }
 
-// Stop ends the runner and every connection.
+// Stop closes all connections and stops the server.
 func (r *Runner) Stop() {
 	r.server.CloseClientConnections()
 	r.server.Close()
 }
 
-// Crash ends the runner as a crash does: nobody listens any more, and all connections are closed. It may be called while a request runs.
+// Crash closes the listener and all connections without waiting for running requests. A running request's handler may
+// call it.
 func (r *Runner) Crash() {
 	_ = r.server.Listener.Close()
 	r.server.CloseClientConnections()
 }
 
-// Address is where the runner listens.
+// Address returns the address on which the runner listens.
 func (r *Runner) Address() netip.AddrPort {
 	return netip.MustParseAddrPort(strings.TrimPrefix(r.server.URL, "http://"))
 }
 
-// ReceivedRequests are the requests so far.
+// ReceivedRequests returns the requests received so far.
 func (r *Runner) ReceivedRequests() []ReceivedRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]ReceivedRequest(nil), r.runs...)
+	return append([]ReceivedRequest(nil), r.received...)
 }
 
-// ServeHTTP takes one request.
+// ServeHTTP handles a request.
 func (r *Runner) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	if named := req.Header.Get("X-Rillreach-Target-Instance"); named != r.ID {
+	if target := req.Header.Get("X-Rillreach-Target-Instance"); target != r.ID {
 		w.Header().Set("X-Rillreach-Attempt-Id", req.Header.Get("X-Rillreach-Attempt-Id"))
 		w.Header().Set("X-Rillreach-Instance-Id", r.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -75,7 +76,7 @@
 		return
 	}
 	r.mu.Lock()
-	r.runs = append(r.runs, ReceivedRequest{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: req.Header.Clone(), Body: string(body)})
+	r.received = append(r.received, ReceivedRequest{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: req.Header.Clone(), Body: string(body)})
 	r.mu.Unlock()
 	if r.Handle != nil {
 		r.Handle(w, req)
@@ -84,36 +85,36 @@
 	WriteResponse(w, req, r.ID+" says hello")
 }
 
-// SetSealHeaders sets what ties an answer to the request and marks it as a runner's own work.
+// SetSealHeaders sets the headers that match the response to the request and mark it as the runner's own.
 func SetSealHeaders(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("X-Rillreach-Attempt-Id", req.Header.Get("X-Rillreach-Attempt-Id"))
 	w.Header().Set("X-Rillreach-Response-Seal", "sealed")
 }
 
-// WriteResponse gives a whole answer.
+// WriteResponse writes a complete response.
 func WriteResponse(w http.ResponseWriter, req *http.Request, body string) {
 	SetSealHeaders(w, req)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = io.WriteString(w, body)
 }
 
-// WriteNotExecuted says that the request has not run.
+// WriteNotExecuted responds that the request was not executed.
 func WriteNotExecuted(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("X-Rillreach-Attempt-Id", req.Header.Get("X-Rillreach-Attempt-Id"))
 	w.Header().Set("X-Rillreach-Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// StreamEvents streams events with the ids after the one that the request names, up to the last, and breaks the connection off
-// inside an event once cutAfter has been sent; zero never does.
-func StreamEvents(w http.ResponseWriter, req *http.Request, last, cutAfter int) {
+// StreamEvents streams the events after the request's Last-Event-Id, up to lastID. After event cutAfter it sends part
+// of an event and closes the connection; zero means that it never does.
+func StreamEvents(w http.ResponseWriter, req *http.Request, lastID, cutAfter int) {
 	SetSealHeaders(w, req)
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, err := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	if err != nil {
 		from = 0
 	}
-	for id := from + 1; id <= last; id++ {
+	for id := from + 1; id <= lastID; id++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", id, id)
 		_ = http.NewResponseController(w).Flush()
 		if id == cutAfter {
@@ -124,13 +125,14 @@
 	}
 }
 
-// StreamEventsAtInterval streams events with the ids up to the last, one at each tick, until the stream is whole or its caller has gone.
-func StreamEventsAtInterval(w http.ResponseWriter, req *http.Request, last int, tick time.Duration) {
+// StreamEventsAtInterval streams the events up to lastID, one per interval, until the stream is complete or the
+// caller disconnects.
+func StreamEventsAtInterval(w http.ResponseWriter, req *http.Request, lastID int, interval time.Duration) {
 	SetSealHeaders(w, req)
 	w.Header().Set("Content-Type", "text/event-stream")
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for id := 1; id <= last; id++ {
+	for id := 1; id <= lastID; id++ {
 		_, _ = io.WriteString(w, EventText(id))
 		_ = http.NewResponseController(w).Flush()
 		select {
@@ -141,8 +143,8 @@
 	}
 }
 
-// EventID is the id of the event with the number.
+// EventID returns the ID of the event with the given number.
 func EventID(number int) string { return strconv.Itoa(number) }
 
-// EventText is one event of a paced stream.
+// EventText returns the text of an event as StreamEvents and StreamEventsAtInterval send it.
 func EventText(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
--- a/internal/standin/site/specs.go
+++ b/internal/standin/site/specs.go
@@ -8,56 +8,56 @@
 	"time"
 )
 
-// Model is the one that engines serve.
+// Model is the name of the model that engines serve.
 const Model = "m"
 
-// runnerVersion is that of the runners' software.
-const runnerVersion = "1.7.3"
+// softwareVersion is the version of the runners' software.
+const softwareVersion = "1.7.3"
 
-// services of the configurations.
+// Names of the services in configurations.
 const (
-	plainService  = "s"
-	engineService = "e"
+	plainServiceName  = "s"
+	engineServiceName = "e"
 )
 
-// Route is a route of a configuration, before plain runners or before engines.
+// Route is a route of a configuration to plain runners or engines.
 type Route struct {
-	// Name is also its path's first part.
+	// Name is also the first segment of the route's path.
 	Name      string
 	Host      string
 	Kind      string
 	Attempts  int
 	Resumable bool
-	// UsesEngines says that engines serve the route.
+	// UsesEngines reports whether engines rather than plain runners serve the route.
 	UsesEngines bool
-	// Timeout is the longest that a request may take; zero means three seconds.
+	// Timeout is the maximum duration of a request; zero means defaultRouteTimeout.
 	Timeout time.Duration
 }
 
 const (
-	routeTimeout = 3 * time.Second
-	// routeTarget is the same for all routes, in milliseconds.
-	routeTarget = 300
+	defaultRouteTimeout = 3 * time.Second
+	// routeTargetLatencyMS is the target latency of all routes.
+	routeTargetLatencyMS = 300
 )
 
-// NewConfig is a configuration with one client account that has the keys.
+// NewConfig returns a configuration with one client account that has the API keys.
 func NewConfig(version int, keys []string, routes ...Route) any {
 	specs := []any{}
 	for _, r := range routes {
-		service := plainService
+		service := plainServiceName
 		if r.UsesEngines {
-			service = engineService
+			service = engineServiceName
 		}
 		specs = append(specs, map[string]any{
-			"name": r.Name, "host": r.Host, "path_prefix": "/" + r.Name + "/", "kind": r.Kind, "timeout_ms": cmp.Or(r.Timeout, routeTimeout).Milliseconds(),
-			"target_latency_ms": routeTarget, "service": service, "max_attempts": r.Attempts, "resumable": r.Resumable,
+			"name": r.Name, "host": r.Host, "path_prefix": "/" + r.Name + "/", "kind": r.Kind, "timeout_ms": cmp.Or(r.Timeout, defaultRouteTimeout).Milliseconds(),
+			"target_latency_ms": routeTargetLatencyMS, "service": service, "max_attempts": r.Attempts, "resumable": r.Resumable,
 		})
 	}
 	return map[string]any{
 		"version": version, "routes": specs,
 		"services": []any{
-			map[string]any{"name": plainService, "max_connections": 300},
-			map[string]any{"name": engineService, "max_connections": 300, "engine": map[string]any{
+			map[string]any{"name": plainServiceName, "max_connections": 300},
+			map[string]any{"name": engineServiceName, "max_connections": 300, "engine": map[string]any{
 				"slots": 64, "kv_capacity_tokens": 40000, "kv_token_bytes": 18432, "link_mbps": 130000, "models": []any{map[string]any{"name": Model}},
 			}},
 		},
@@ -66,41 +66,41 @@
 	}
 }
 
-// NewRunnerRecord is the record of a plain runner.
+// NewRunnerRecord returns the record of a plain runner.
 func NewRunnerRecord(address netip.AddrPort, state string) map[string]any {
 	return map[string]any{
-		"service": plainService, "address": address.String(), "zone": "z", "slots": 64, "state": state,
-		"version": runnerVersion, "cold_remaining_ms": 0, "sequence": 1,
+		"service": plainServiceName, "address": address.String(), "zone": "z", "slots": 64, "state": state,
+		"version": softwareVersion, "cold_remaining_ms": 0, "sequence": 1,
 	}
 }
 
-// NewEngineRecord is the record of an engine with the weights.
+// NewEngineRecord returns the record of an engine with a version of the weights.
 func NewEngineRecord(address netip.AddrPort, state string, weights uint64) map[string]any {
 	return map[string]any{
-		"service": engineService, "address": address.String(), "zone": "z", "slots": 64, "state": state,
-		"version": runnerVersion, "cold_remaining_ms": 0, "sequence": 1,
+		"service": engineServiceName, "address": address.String(), "zone": "z", "slots": 64, "state": state,
+		"version": softwareVersion, "cold_remaining_ms": 0, "sequence": 1,
 		"models": []any{map[string]any{"name": Model, "version": weights}},
 	}
 }
 
-// NewModelWeights names a version of the model's weights.
+// NewModelWeights returns the object that sets the version of the model's weights.
 func NewModelWeights(version uint64) any { return map[string]any{"model": Model, "version": version} }
 
-// Settings are what a settings file says of one process.
+// Settings are the contents of a process's settings file.
 type Settings struct {
 	Name string
 	Host netip.Addr
-	// PeerPort is the first of the ports between processes.
+	// PeerPort is the only port of the range for connections between processes.
 	PeerPort        uint16
 	PlatformAddress netip.AddrPort
-	// FrontendAddress and Readiness are an entry's.
+	// FrontendAddress and ReadinessAddress are the listen addresses of an entry.
 	FrontendAddress  string
 	ReadinessAddress string
-	// RunnerAddress is an agent's.
+	// RunnerAddress is the address of an agent's runner.
 	RunnerAddress netip.AddrPort
 }
 
-// TOML is the settings file.
+// TOML returns the contents of the settings file.
 func (s *Settings) TOML() string {
 	runner := ""
 	if s.RunnerAddress.IsValid() {
@@ -131,15 +131,15 @@
 `, s.Name, s.Host, runner, s.PeerPort, s.PeerPort, s.FrontendAddress, s.ReadinessAddress, s.PlatformAddress)
 }
 
-// SetPromptHeaders gives a request the prompt of an engine's route.
+// SetPromptHeaders sets the headers that describe a prompt in a conversation.
 func SetPromptHeaders(r *http.Request, conversation string) {
 	r.Header.Set("X-Rillreach-Model", Model)
 	r.Header.Set("X-Rillreach-Token-Usage", "1460,80")
 	r.Header.Set("X-Rillreach-Prompt-Prefix", "5c1e07a2:800,"+conversation+":410,e4402b7d:250")
 }
 
-// RequestID names the request, as its caller does.
+// RequestID returns the request ID that the caller has set.
 func RequestID(r *http.Request) string { return r.Header.Get("X-Rillreach-Attempt-Id") }
 
-// SetRequestID names a request.
+// SetRequestID sets the request ID.
 func SetRequestID(r *http.Request, id string) { r.Header.Set("X-Rillreach-Attempt-Id", id) }
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -1,5 +1,6 @@
-// Package site is a stand-in for the users' platform in tests: its object store, and runners that answer as published, with
-// faults on demand. It writes the names of the wire by itself, so that it does not share a mistake with the client.
+// Package site is a stand-in for the users' platform in tests: its object store, and runners that follow the
+// published protocol, with faults on demand. It defines the names in its protocols itself, so that it does not repeat a
+// mistake in the client.
 package site
 
 import (
@@ -13,26 +14,27 @@
 	"time"
 )
 
-// pageSize is how many objects one answer to a list holds; small, so that tests meet more than one page.
+// pageSize is the maximum number of objects in a list response. It is small so that tests cover several pages.
 const pageSize = 3
 
-// Store is the object store; New makes one.
+// Store is the object store. NewStore creates one.
 type Store struct {
-	mu       sync.Mutex
-	objects  map[string]map[string]object
-	events   []event
-	floor    uint64
-	revision uint64
-	// era counts the copies that the store has come back from, and begins at one; eraHidden leaves it out of answers.
+	mu      sync.Mutex
+	objects map[string]map[string]object
+	events  []event
+	// historyStart is the revision after which all events are retained. Watches from an earlier one get status 410.
+	historyStart uint64
+	revision     uint64
+	// era starts at one and increments at each restore. eraHidden omits it from responses.
 	era uint64
-	// restored is the revision of the copy that the store has last come back from.
-	restored uint64
-	// removed are the revisions at which objects were removed since then.
-	removed   map[objectKey]uint64
-	eraHidden bool
-	status    int
-	changed   chan struct{}
-	calls     int
+	// restoredRevision is the revision of the last snapshot restored.
+	restoredRevision uint64
+	// removedAt maps each object removed since the last restore to the revision of its removal.
+	removedAt     map[objectKey]uint64
+	eraHidden     bool
+	failureStatus int
+	changed       chan struct{}
+	callCount     int
 }
 
 type object struct {
@@ -48,14 +50,14 @@
 }
 
 type event struct {
-	kind   string
-	Gone   bool   `json:"gone"`
-	Object object `json:"object"`
+	kind    string
+	Removed bool   `json:"gone"`
+	Object  object `json:"object"`
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{objects: map[string]map[string]object{}, changed: make(chan struct{}), era: 1, removed: map[objectKey]uint64{}}
+	return &Store{objects: map[string]map[string]object{}, changed: make(chan struct{}), era: 1, removedAt: map[objectKey]uint64{}}
 }
 
 // Put writes an object as an operator or a runner does, and returns its revision.
@@ -65,7 +67,7 @@
 	return s.put(kind, name, spec)
 }
 
-// put writes an object; the lock is held.
+// put writes an object. s.mu must be held.
 func (s *Store) put(kind, name string, spec any) uint64 {
 	s.revision++
 	o := object{Metadata: metadata{Name: name, Revision: s.revision}, Spec: spec}
@@ -73,76 +75,76 @@
 		s.objects[kind] = map[string]object{}
 	}
 	s.objects[kind][name] = o
-	s.tell(event{kind: kind, Object: o})
+	s.appendEvent(event{kind: kind, Object: o})
 	return s.revision
 }
 
-// Remove takes an object away.
+// Remove removes an object.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(kind, name)
 }
 
-// remove takes an object away; the lock is held.
+// remove removes an object. s.mu must be held.
 func (s *Store) remove(kind, name string) {
 	s.revision++
 	o := s.objects[kind][name]
 	o.Metadata.Revision = s.revision
-	s.removed[objectKey{kind, name}] = s.revision
+	s.removedAt[objectKey{kind, name}] = s.revision
 	delete(s.objects[kind], name)
-	s.tell(event{kind: kind, Gone: true, Object: o})
+	s.appendEvent(event{kind: kind, Removed: true, Object: o})
 }
 
-// DropHistory drops the history, so that watches from before have to list again.
+// DropHistory drops the event history, so that clients with an older position must list again.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.events, s.floor = nil, s.revision
-	s.wake()
+	s.events, s.historyStart = nil, s.revision
+	s.notifyWatchers()
 }
 
-// FailWithStatus has every call answered with the status; zero ends that.
+// FailWithStatus makes every call fail with the HTTP status; zero makes calls succeed again.
 func (s *Store) FailWithStatus(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status = status
-	s.wake()
+	s.failureStatus = status
+	s.notifyWatchers()
 }
 
-// CallCount counts the calls so far.
+// CallCount returns the number of calls so far.
 func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.callCount
 }
 
-func (s *Store) tell(e event) {
+func (s *Store) appendEvent(e event) {
 	s.events = append(s.events, e)
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles a call.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.calls++
-	status := s.status
+	s.callCount++
+	status := s.failureStatus
 	s.mu.Unlock()
-	s.tellEra(w)
+	s.setEraHeader(w)
 	if status != 0 {
 		w.WriteHeader(status)
 		return
 	}
-	kind, name, one := strings.Cut(strings.TrimPrefix(r.URL.Path, "/objects/"), "/")
+	kind, name, hasName := strings.Cut(strings.TrimPrefix(r.URL.Path, "/objects/"), "/")
 	switch {
 	case r.URL.Query().Has("watch"):
 		s.watch(w, r, kind)
-	case one:
+	case hasName:
 		s.get(w, kind, name)
 	default:
 		s.list(w, r, kind)
@@ -179,17 +181,17 @@
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
-	wait, werr := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	if err != nil || werr != nil {
+	wait, waitErr := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+	if err != nil || waitErr != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	era := s.currentEra()
 	for {
-		events, at, changed, status := s.since(kind, since)
+		events, at, changed, status := s.eventsSince(kind, since)
 		if s.currentEra() != era {
-			panic(http.ErrAbortHandler) // a watch that waits is cut
+			panic(http.ErrAbortHandler) // a restore closes open watches
 		}
 		if status != 0 {
 			w.WriteHeader(status)
@@ -210,13 +212,13 @@
 	}
 }
 
-func (s *Store) since(kind string, since uint64) (events []event, at uint64, changed chan struct{}, status int) {
+func (s *Store) eventsSince(kind string, since uint64) (events []event, at uint64, changed chan struct{}, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.status != 0 {
-		return nil, 0, nil, s.status
+	if s.failureStatus != 0 {
+		return nil, 0, nil, s.failureStatus
 	}
-	if since < s.floor || since > s.revision {
+	if since < s.historyStart || since > s.revision {
 		return nil, 0, nil, http.StatusGone
 	}
 	for _, e := range s.events {
@@ -227,17 +229,17 @@
 	return events, s.revision, s.changed, 0
 }
 
-// InvalidJSON is the spec of an object whose bytes are no JSON.
+// InvalidJSON is the spec of an object that is sent as bytes that are not valid JSON.
 type InvalidJSON struct{}
 
-// unreadableMark stands for such a spec until an answer is written, unreadableBytes are what is written then.
+// invalidJSONPlaceholder is what InvalidJSON encodes to; writeJSON replaces it by invalidJSONBytes.
 var (
-	unreadableMark  = []byte(`"@unreadable"`)
-	unreadableBytes = []byte("{\"service\": \xff\xfe, \x00")
+	invalidJSONPlaceholder = []byte(`"@unreadable"`)
+	invalidJSONBytes       = []byte("{\"service\": \xff\xfe, \x00")
 )
 
-// MarshalJSON gives the mark, since an encoder takes no bytes that are no JSON.
-func (InvalidJSON) MarshalJSON() ([]byte, error) { return unreadableMark, nil }
+// MarshalJSON returns a placeholder, because the encoder rejects bytes that are not valid JSON.
+func (InvalidJSON) MarshalJSON() ([]byte, error) { return invalidJSONPlaceholder, nil }
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
@@ -245,5 +247,5 @@
 	if err != nil {
 		panic(err)
 	}
-	_, _ = w.Write(bytes.ReplaceAll(body, unreadableMark, unreadableBytes))
+	_, _ = w.Write(bytes.ReplaceAll(body, invalidJSONPlaceholder, invalidJSONBytes))
 }
