--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -9,24 +9,24 @@
 	"github.com/rillreach/rillreach/internal/standin"
 )
 
-// run is one prompt being answered.
-type run struct {
-	prompt prompt
-	chat   bool
-	tokens []string
-	blocks []uint64
-	words  []string
-	cached int
+// completion is the processing of one prompt.
+type completion struct {
+	request prompt
+	chat    bool
+	tokens  []string
+	blocks  []uint64
+	words   []string
+	cached  int
 }
 
 type usage struct {
-	PromptTokens     int     `json:"prompt_tokens"`
-	CompletionTokens int     `json:"completion_tokens"`
-	TotalTokens      int     `json:"total_tokens"`
-	Details          details `json:"prompt_tokens_details"`
+	PromptTokens     int                 `json:"prompt_tokens"`
+	CompletionTokens int                 `json:"completion_tokens"`
+	TotalTokens      int                 `json:"total_tokens"`
+	Details          promptTokensDetails `json:"prompt_tokens_details"`
 }
 
-type details struct {
+type promptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
@@ -51,44 +51,44 @@
 	Content string `json:"content"`
 }
 
-func (s *Server) newRun(p prompt, chat bool) *run {
+func (s *Server) newCompletion(p prompt, chat bool) *completion {
 	tokens := p.tokens()
-	return &run{
-		prompt: p,
-		chat:   chat,
-		tokens: tokens,
-		blocks: blocks(p.Salt, tokens),
-		words:  ResponseWords(string(s.Version), strings.Join(tokens, " "), p.MaxTokens),
+	return &completion{
+		request: p,
+		chat:    chat,
+		tokens:  tokens,
+		blocks:  blockHashes(p.Salt, tokens),
+		words:   ResponseWords(string(s.Version), strings.Join(tokens, " "), p.MaxTokens),
 	}
 }
 
-func (r *run) usage() *usage {
+func (c *completion) usage() *usage {
 	return &usage{
-		PromptTokens:     len(r.tokens),
-		CompletionTokens: len(r.words),
-		TotalTokens:      len(r.tokens) + len(r.words),
-		Details:          details{CachedTokens: r.cached},
+		PromptTokens:     len(c.tokens),
+		CompletionTokens: len(c.words),
+		TotalTokens:      len(c.tokens) + len(c.words),
+		Details:          promptTokensDetails{CachedTokens: c.cached},
 	}
 }
 
-func (r *run) object(stream bool) string {
+func (c *completion) object(stream bool) string {
 	switch {
-	case r.chat && stream:
+	case c.chat && stream:
 		return "chat.completion.chunk"
-	case r.chat:
+	case c.chat:
 		return "chat.completion"
 	default:
 		return "text_completion"
 	}
 }
 
-func (r *run) chunk(stream bool, choices ...choice) chunk {
-	return chunk{ID: "cmpl-standin", Object: r.object(stream), Model: r.prompt.Model, Choices: choices}
+func (c *completion) chunk(stream bool, choices ...choice) chunk {
+	return chunk{ID: "cmpl-standin", Object: c.object(stream), Model: c.request.Model, Choices: choices}
 }
 
-func (r *run) choice(stream bool, text string, finish *string) choice {
+func (c *completion) choice(stream bool, text string, finish *string) choice {
 	switch {
-	case !r.chat:
+	case !c.chat:
 		return choice{Text: &text, FinishReason: finish}
 	case stream:
 		return choice{Delta: &content{Content: text}, FinishReason: finish}
@@ -97,40 +97,40 @@
 	}
 }
 
-// stream sends the answer as server-sent events, one word each.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, run *run) {
+// streamResponse sends the response as server-sent events of one word each.
+func (s *Server) streamResponse(w http.ResponseWriter, r *http.Request, c *completion) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
-	for i, word := range run.words {
+	for i, word := range c.words {
 		if i > 0 && !sleep(r.Context(), s.TokenInterval) {
 			s.count(func(st *stats) { st.Cancelled++ })
 			return
 		}
-		writeEvent(w, run.chunk(true, run.choice(true, " "+word, nil)))
+		writeEvent(w, c.chunk(true, c.choice(true, " "+word, nil)))
 		_ = flusher.Flush()
 	}
 	stop := "stop"
-	writeEvent(w, run.chunk(true, run.choice(true, "", &stop)))
-	if run.prompt.StreamOptions.IncludeUsage {
-		last := run.chunk(true)
+	writeEvent(w, c.chunk(true, c.choice(true, "", &stop)))
+	if c.request.StreamOptions.IncludeUsage {
+		last := c.chunk(true)
 		last.Choices = []choice{}
-		last.Usage = run.usage()
+		last.Usage = c.usage()
 		writeEvent(w, last)
 	}
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 	_ = flusher.Flush()
 }
 
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, run *run) {
-	for range run.words {
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, c *completion) {
+	for range c.words {
 		if !sleep(r.Context(), s.TokenInterval) {
 			s.count(func(st *stats) { st.Cancelled++ })
 			return
 		}
 	}
 	stop := "stop"
-	answer := run.chunk(false, run.choice(false, " "+strings.Join(run.words, " "), &stop))
-	answer.Usage = run.usage()
+	answer := c.chunk(false, c.choice(false, " "+strings.Join(c.words, " "), &stop))
+	answer.Usage = c.usage()
 	standin.WriteJSON(w, answer)
 }
 
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,30 +10,30 @@
 	"github.com/rillreach/rillreach/keep"
 )
 
-// cache is a prefix cache of whole blocks with a bound, least recently used out first.
+// cache is a prefix cache of complete blocks, with a capacity in blocks and LRU eviction.
 type cache struct {
-	mu       sync.Mutex
-	capacity int
-	order    *list.List
-	blocks   map[uint64]*list.Element
-	events   []keep.EvictionEvent
-	next     uint64
+	mu           sync.Mutex
+	capacity     int
+	recency      *list.List
+	blocks       map[uint64]*list.Element
+	events       []keep.EvictionEvent
+	nextSequence uint64
 }
 
-type cached struct {
+type cacheEntry struct {
 	block uint64
 	salt  string
 }
 
-// eventMemory is how many events the cache remembers; a reader that is further behind finds a gap.
-const eventMemory = 1024
+// maxEvents is how many eviction events the cache retains; a reader that is further behind sees a gap.
+const maxEvents = 1024
 
 func newCache(capacity int) *cache {
-	return &cache{capacity: capacity, order: list.New(), blocks: map[uint64]*list.Element{}}
+	return &cache{capacity: capacity, recency: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// prefix is how many leading blocks are held.
-func (c *cache) prefix(blocks []uint64) int {
+// cachedPrefix returns how many leading blocks are cached.
+func (c *cache) cachedPrefix(blocks []uint64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, block := range blocks {
@@ -41,12 +41,12 @@
 		if e == nil {
 			return i
 		}
-		c.order.MoveToFront(e)
+		c.recency.MoveToFront(e)
 	}
 	return len(blocks)
 }
 
-// add takes blocks of a salt in.
+// add adds blocks computed with a salt.
 func (c *cache) add(salt string, blocks []uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,25 +54,25 @@
 		if c.blocks[block] != nil {
 			continue
 		}
-		c.blocks[block] = c.order.PushFront(cached{block: block, salt: salt})
-		if c.order.Len() > c.capacity {
+		c.blocks[block] = c.recency.PushFront(cacheEntry{block: block, salt: salt})
+		if c.recency.Len() > c.capacity {
 			c.dropOldest()
 		}
 	}
 }
 
 func (c *cache) dropOldest() {
-	oldest := c.order.Remove(c.order.Back()).(cached)
+	oldest := c.recency.Remove(c.recency.Back()).(cacheEntry)
 	delete(c.blocks, oldest.block)
-	c.events = append(c.events, keep.EvictionEvent{Sequence: c.next, Salt: oldest.salt})
-	c.next++
-	if len(c.events) > eventMemory {
+	c.events = append(c.events, keep.EvictionEvent{Sequence: c.nextSequence, Salt: oldest.salt})
+	c.nextSequence++
+	if len(c.events) > maxEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// since returns the events from a sequence on that are remembered.
-func (c *cache) since(from uint64) ([]keep.EvictionEvent, uint64) {
+// eventsSince returns the retained events starting at a sequence number, and the next sequence number.
+func (c *cache) eventsSince(from uint64) ([]keep.EvictionEvent, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	events := []keep.EvictionEvent{}
@@ -81,30 +81,30 @@
 			events = append(events, e)
 		}
 	}
-	return events, c.next
+	return events, c.nextSequence
 }
 
-// clear forgets everything.
+// clear evicts all blocks.
 func (c *cache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.order.Len() > 0 {
+	for c.recency.Len() > 0 {
 		c.dropOldest()
 	}
 }
 
-// state is an exported part of a cache.
-type state struct {
+// cacheState is an exported part of a cache.
+type cacheState struct {
 	Version string   `json:"version"`
 	Salt    string   `json:"salt"`
 	Blocks  []uint64 `json:"blocks"`
 	Filler  []byte   `json:"filler"`
 }
 
-func decodeState(payload []byte) (state, error) {
-	var s state
+func decodeCacheState(payload []byte) (cacheState, error) {
+	var s cacheState
 	if err := json.Unmarshal(payload, &s); err != nil {
-		return state{}, errors.Wrap(err, "read state")
+		return cacheState{}, errors.Wrap(err, "read state")
 	}
 	return s, nil
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is a stand-in for a model engine: it batches, caches prompt prefixes in limited memory, streams
-// answers that a test can predict, and exports and imports its cache.
+// Package engine is a stand-in for a model engine: it batches requests, caches prompt prefixes in limited memory,
+// streams responses that a test can predict, and exports and imports its cache.
 package engine
 
 import (
@@ -23,34 +23,34 @@
 )
 
 const (
-	maxBody        = 64 << 20
-	bytesPerToken  = 32
-	defaultBlocks  = 4096
-	defaultPrefill = 20000
+	maxBodyBytes       = 64 << 20
+	stateBytesPerToken = 32
+	defaultCacheBlocks = 4096
+	defaultPrefillRate = 20000
 )
 
-// Server is the stand-in; Handler makes its HTTP side.
+// Server is the stand-in. Handler returns its HTTP handler.
 type Server struct {
-	// Model and Version are what it has loaded.
+	// Model and Version identify the loaded weights.
 	Model   rillreach.ModelID
 	Version rillreach.VersionID
-	// PrefillRate is tokens a second; zero means a default.
+	// PrefillRate is the prefill speed in tokens per second; zero means defaultPrefillRate.
 	PrefillRate float64
-	// TokenInterval is the time between two tokens of an answer.
+	// TokenInterval is the time between two output tokens.
 	TokenInterval time.Duration
-	// CacheBlocks bounds the prefix cache; zero means a default.
+	// CacheBlocks is the capacity of the prefix cache; zero means defaultCacheBlocks.
 	CacheBlocks int
 
 	incarnation string
 
-	once    sync.Once
-	cache   *cache
-	prefill sync.Mutex
-	running atomic.Int64
-	stats   stats
+	initOnce  sync.Once
+	cache     *cache
+	prefillMu sync.Mutex
+	running   atomic.Int64
+	stats     stats
 }
 
-// stats are the stand-in's counts since its start.
+// stats are counters since the start.
 type stats struct {
 	mu           sync.Mutex
 	Requests     int `json:"requests"`
@@ -61,34 +61,34 @@
 	Exports      int `json:"exports"`
 }
 
-// Handler returns the engine's HTTP side.
+// Handler returns the engine's HTTP handler.
 func (s *Server) Handler() http.Handler {
-	s.once.Do(s.start)
+	s.initOnce.Do(s.initialize)
 	router := httprouter.New()
 	router.POST("/v1/chat/completions", s.complete)
 	router.POST("/v1/completions", s.complete)
-	router.GET(backend.PathLoad, s.load)
-	router.POST(backend.PathExport, s.export)
-	router.POST(backend.PathImport, s.take)
-	router.GET(backend.PathEvents, s.events)
+	router.GET(backend.PathLoad, s.getLoad)
+	router.POST(backend.PathExport, s.exportState)
+	router.POST(backend.PathImport, s.importState)
+	router.GET(backend.PathEvents, s.getEvents)
 	router.POST("/cache/clear", s.clear)
 	router.GET("/stats", s.getStats)
 	return router
 }
 
-func (s *Server) start() {
+func (s *Server) initialize() {
 	if s.PrefillRate == 0 {
-		s.PrefillRate = defaultPrefill
+		s.PrefillRate = defaultPrefillRate
 	}
 	if s.CacheBlocks == 0 {
-		s.CacheBlocks = defaultBlocks
+		s.CacheBlocks = defaultCacheBlocks
 	}
 	s.cache = newCache(s.CacheBlocks)
 	s.incarnation = uuid.NewString()
 }
 
 func (s *Server) complete(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
@@ -99,90 +99,91 @@
 	}
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	run := s.newRun(p, strings.HasSuffix(r.URL.Path, "/chat/completions"))
-	if !s.compute(r.Context(), run) {
+	c := s.newCompletion(p, strings.HasSuffix(r.URL.Path, "/chat/completions"))
+	if !s.compute(r.Context(), c) {
 		s.count(func(st *stats) { st.Cancelled++ })
 		return
 	}
 	if p.Stream {
-		s.stream(w, r, run)
+		s.streamResponse(w, r, c)
 		return
 	}
-	s.whole(w, r, run)
+	s.writeResponse(w, r, c)
 }
 
-// compute takes the time that the uncached part of the prompt needs; one prompt is computed at a time.
-func (s *Server) compute(ctx context.Context, run *run) bool {
-	s.prefill.Lock()
-	defer s.prefill.Unlock()
-	held := s.cache.prefix(run.blocks)
-	run.cached = held * blockTokens
-	left := float64(len(run.tokens) - run.cached)
-	if !sleep(ctx, time.Duration(left/s.PrefillRate*float64(time.Second))) {
+// compute simulates the prefill of the uncached part of the prompt, one prompt at a time. It returns false if the
+// request is cancelled.
+func (s *Server) compute(ctx context.Context, c *completion) bool {
+	s.prefillMu.Lock()
+	defer s.prefillMu.Unlock()
+	cachedBlocks := s.cache.cachedPrefix(c.blocks)
+	c.cached = cachedBlocks * tokensPerBlock
+	uncachedTokens := float64(len(c.tokens) - c.cached)
+	if !sleep(ctx, time.Duration(uncachedTokens/s.PrefillRate*float64(time.Second))) {
 		return false
 	}
-	s.cache.add(run.prompt.Salt, run.blocks)
+	s.cache.add(c.request.Salt, c.blocks)
 	s.count(func(st *stats) {
 		st.Requests++
-		st.PromptTokens += len(run.tokens)
-		st.CachedTokens += run.cached
+		st.PromptTokens += len(c.tokens)
+		st.CachedTokens += c.cached
 	})
 	return true
 }
 
-func (s *Server) load(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+func (s *Server) getLoad(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	standin.WriteJSON(w, rillreach.EngineLoad{Running: int(s.running.Load()), PrefillRate: s.PrefillRate})
 }
 
-func (s *Server) export(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var ref rillreach.KVStateRef
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&ref); err != nil {
+func (s *Server) exportState(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	var stateRef rillreach.KVStateRef
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&stateRef); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p, err := parsePrompt(ref.Prompt)
+	p, err := parsePrompt(stateRef.Prompt)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	all := blocks(ref.Salt, p.tokens())
-	held := all[:s.cache.prefix(all)]
-	skip := min(ref.SkipTokens/blockTokens, len(held))
+	hashes := blockHashes(stateRef.Salt, p.tokens())
+	cachedBlocks := hashes[:s.cache.cachedPrefix(hashes)]
+	skippedBlocks := min(stateRef.SkipTokens/tokensPerBlock, len(cachedBlocks))
 	s.count(func(st *stats) { st.Exports++ })
-	w.Header().Set(backend.HeaderTokens, strconv.Itoa(len(held)*blockTokens))
-	standin.WriteJSON(w, state{
+	w.Header().Set(backend.HeaderTokens, strconv.Itoa(len(cachedBlocks)*tokensPerBlock))
+	standin.WriteJSON(w, cacheState{
 		Version: string(s.Version),
-		Salt:    ref.Salt,
-		Blocks:  held[skip:],
-		Filler:  make([]byte, (len(held)-skip)*blockTokens*bytesPerToken),
+		Salt:    stateRef.Salt,
+		Blocks:  cachedBlocks[skippedBlocks:],
+		Filler:  make([]byte, (len(cachedBlocks)-skippedBlocks)*tokensPerBlock*stateBytesPerToken),
 	})
 }
 
-func (s *Server) take(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	payload, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+func (s *Server) importState(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	payload, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
-	taken, err := decodeState(payload)
+	imported, err := decodeCacheState(payload)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if taken.Version != string(s.Version) {
+	if imported.Version != string(s.Version) {
 		http.Error(w, "state is of another weight version", http.StatusConflict)
 		return
 	}
-	s.cache.add(taken.Salt, taken.Blocks)
+	s.cache.add(imported.Salt, imported.Blocks)
 	s.count(func(st *stats) { st.Imports++ })
 }
 
-func (s *Server) events(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (s *Server) getEvents(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	events, next := s.cache.since(from)
+	events, next := s.cache.eventsSince(from)
 	standin.WriteJSON(w, keep.EventPage{Incarnation: s.incarnation, Events: events, Next: next})
 }
 
@@ -194,10 +195,10 @@
 	standin.WriteJSON(w, &s.stats)
 }
 
-func (s *Server) count(add func(*stats)) {
+func (s *Server) count(update func(*stats)) {
 	s.stats.mu.Lock()
 	defer s.stats.mu.Unlock()
-	add(&s.stats)
+	update(&s.stats)
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/internal/standin/engine/prompt.go
+++ b/internal/standin/engine/prompt.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	blockTokens   = 16
-	defaultAnswer = 8
-	maxAnswer     = 4096
+	tokensPerBlock      = 16
+	defaultAnswerTokens = 8
+	maxAnswerTokens     = 4096
 )
 
-// prompt is the part of a request that the stand-in looks at.
+// prompt contains the fields of a request that the stand-in uses.
 type prompt struct {
 	Model         string    `json:"model"`
 	Messages      []message `json:"messages"`
@@ -40,13 +40,13 @@
 		return prompt{}, errors.Wrap(err, "read prompt")
 	}
 	if p.MaxTokens <= 0 {
-		p.MaxTokens = defaultAnswer
+		p.MaxTokens = defaultAnswerTokens
 	}
-	p.MaxTokens = min(p.MaxTokens, maxAnswer)
+	p.MaxTokens = min(p.MaxTokens, maxAnswerTokens)
 	return p, nil
 }
 
-// tokens are the words of the prompt, each message led by its role.
+// tokens returns the words of the prompt, with each message preceded by its role.
 func (p prompt) tokens() []string {
 	if p.Prompt != "" {
 		return strings.Fields(p.Prompt)
@@ -59,18 +59,19 @@
 	return tokens
 }
 
-// blocks are the chained hashes of the prompt's whole blocks.
-func blocks(salt string, tokens []string) []uint64 {
-	chain := hash.String(salt)
-	hashes := make([]uint64, 0, len(tokens)/blockTokens)
-	for i := 0; i+blockTokens <= len(tokens); i += blockTokens {
-		chain = hash.Mix(chain, hash.String(strings.Join(tokens[i:i+blockTokens], " ")))
-		hashes = append(hashes, chain)
+// blockHashes returns the chained hashes of the prompt's complete blocks.
+func blockHashes(salt string, tokens []string) []uint64 {
+	chainHash := hash.String(salt)
+	hashes := make([]uint64, 0, len(tokens)/tokensPerBlock)
+	for i := 0; i+tokensPerBlock <= len(tokens); i += tokensPerBlock {
+		chainHash = hash.Mix(chainHash, hash.String(strings.Join(tokens[i:i+tokensPerBlock], " ")))
+		hashes = append(hashes, chainHash)
 	}
 	return hashes
 }
 
-// ResponseWords is the answer of a weight version to a prompt's text, so that a test can tell whether it is whole.
+// ResponseWords returns the response of a weight version to a prompt, so that a test can check that a response is
+// complete.
 func ResponseWords(version, text string, count int) []string {
 	sum := hash.Mix(hash.String(version), hash.String(strings.Join(strings.Fields(text), " ")))
 	words := make([]string, count)
