--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a stand-in for the platform's object API, with outages, delays and lost answers on demand.
+// Package platform is a stand-in for the platform's object API, with outages, delays and lost responses on demand.
 package platform
 
 import (
@@ -18,67 +18,67 @@
 	client "github.com/rillreach/rillreach/objectstore"
 )
 
-// Faults are what the platform is made to do wrong.
+// Faults are the faults that the platform simulates.
 type Faults struct {
-	// Down has every call fail without effect.
+	// Down makes every call fail without effect.
 	Down bool `json:"down"`
-	// Delay holds every call back.
+	// Delay is added to every call.
 	Delay time.Duration `json:"delay"`
-	// LoseResponses has every write take effect and then fail.
+	// LoseResponses makes every write take effect but return an error.
 	LoseResponses bool `json:"loseAnswers"`
 }
 
-// Counts are the calls since the start.
+// Counts are the numbers of calls since the start.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 }
 
-// Server is the stand-in; New makes one.
+// Server is the stand-in. New creates one.
 type Server struct {
-	mu      sync.Mutex
-	objects map[rillreach.ObjectKind]map[string]rillreach.Object
-	version uint64
-	stamped time.Time
-	changed chan struct{}
-	faults  Faults
-	counts  Counts
-	router  *httprouter.Router
+	mu       sync.Mutex
+	objects  map[rillreach.ObjectKind]map[string]rillreach.Object
+	version  uint64
+	lastTime time.Time
+	changed  chan struct{}
+	faults   Faults
+	counts   Counts
+	router   *httprouter.Router
 }
 
 // New returns an empty platform.
 func New() *Server {
 	s := &Server{objects: map[rillreach.ObjectKind]map[string]rillreach.Object{}, changed: make(chan struct{}), version: 1}
 	s.router = httprouter.New()
-	s.router.GET(client.PathObjects+":kind", s.faulty(s.list))
-	s.router.GET(client.PathObjects+":kind/*name", s.faulty(s.get))
-	s.router.PUT(client.PathObjects+":kind/*name", s.faulty(s.put))
-	s.router.DELETE(client.PathObjects+":kind/*name", s.faulty(s.put))
+	s.router.GET(client.PathObjects+":kind", s.withFaults(s.list))
+	s.router.GET(client.PathObjects+":kind/*name", s.withFaults(s.get))
+	s.router.PUT(client.PathObjects+":kind/*name", s.withFaults(s.put))
+	s.router.DELETE(client.PathObjects+":kind/*name", s.withFaults(s.put))
 	s.router.PUT("/faults", s.setFaults)
 	s.router.GET("/counts", s.getCounts)
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles a call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// SetFaults changes what goes wrong.
+// SetFaults replaces the simulated faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatchers()
 }
 
-// Counts returns the calls since the start.
+// Counts returns the numbers of calls since the start.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-func (s *Server) faulty(next httprouter.Handle) httprouter.Handle {
+func (s *Server) withFaults(next httprouter.Handle) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		s.mu.Lock()
 		faults := s.faults
@@ -120,7 +120,8 @@
 	standin.WriteJSON(w, page)
 }
 
-// watch waits until there is a change of the kind; a platform that goes down ends it without an answer.
+// watch waits until an object of the kind changes or the wait is over. It returns false if the platform goes down or
+// the caller disconnects.
 func (s *Server) watch(ctx context.Context, kind rillreach.ObjectKind, after uint64, wait time.Duration) (rillreach.ObjectPage, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -144,12 +145,12 @@
 	}
 }
 
-func (s *Server) page(kind rillreach.ObjectKind, after uint64, removed bool) rillreach.ObjectPage {
+func (s *Server) page(kind rillreach.ObjectKind, after uint64, includeDeleted bool) rillreach.ObjectPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	page := rillreach.ObjectPage{Version: s.version, Time: s.stamp(), Objects: []rillreach.Object{}}
+	page := rillreach.ObjectPage{Version: s.version, Time: s.now(), Objects: []rillreach.Object{}}
 	for _, o := range s.objects[kind] {
-		if o.Version > after && (removed || !o.Deleted) {
+		if o.Version > after && (includeDeleted || !o.Deleted) {
 			page.Objects = append(page.Objects, o)
 		}
 	}
@@ -159,7 +160,7 @@
 func (s *Server) get(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	s.mu.Lock()
 	s.counts.Reads++
-	o, ok := s.objects[rillreach.ObjectKind(p.ByName("kind"))][nameOf(p)]
+	o, ok := s.objects[rillreach.ObjectKind(p.ByName("kind"))][objectName(p)]
 	s.mu.Unlock()
 	if !ok || o.Deleted {
 		http.Error(w, "no such object", http.StatusNotFound)
@@ -175,7 +176,7 @@
 		http.Error(w, "value is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	o, status := s.write(rillreach.ObjectKind(p.ByName("kind")), nameOf(p), r, value)
+	o, status := s.write(rillreach.ObjectKind(p.ByName("kind")), objectName(p), r, value)
 	if status != http.StatusOK {
 		http.Error(w, http.StatusText(status), status)
 		return
@@ -190,47 +191,47 @@
 	s.counts.Writes++
 	old, exists := s.objects[kind][name]
 	exists = exists && !old.Deleted
-	if !conditionHolds(r.Header, old.Version, exists) {
+	if !preconditionHolds(r.Header, old.Version, exists) {
 		return rillreach.Object{}, http.StatusPreconditionFailed
 	}
 	if r.Method == http.MethodDelete {
 		value = old.Value
 	}
-	o := s.store(kind, name, value, r.Method == http.MethodDelete)
+	o := s.storeObject(kind, name, value, r.Method == http.MethodDelete)
 	if s.faults.LoseResponses {
 		return rillreach.Object{}, http.StatusInternalServerError
 	}
 	return o, http.StatusOK
 }
 
-func (s *Server) store(kind rillreach.ObjectKind, name string, value []byte, deleted bool) rillreach.Object {
+func (s *Server) storeObject(kind rillreach.ObjectKind, name string, value []byte, deleted bool) rillreach.Object {
 	s.version++
-	o := rillreach.Object{Kind: kind, Name: name, Version: s.version, Changed: s.stamp(), Deleted: deleted, Value: value}
+	o := rillreach.Object{Kind: kind, Name: name, Version: s.version, Changed: s.now(), Deleted: deleted, Value: value}
 	if s.objects[kind] == nil {
 		s.objects[kind] = map[string]rillreach.Object{}
 	}
 	s.objects[kind][name] = o
-	s.wake()
+	s.notifyWatchers()
 	return o
 }
 
-// stamp is the platform's time, which never goes back.
-func (s *Server) stamp() time.Time {
-	if now := time.Now().UTC(); now.After(s.stamped) {
-		s.stamped = now
+// now returns the platform's time, which never goes backwards. s.mu must be held.
+func (s *Server) now() time.Time {
+	if now := time.Now().UTC(); now.After(s.lastTime) {
+		s.lastTime = now
 	}
-	return s.stamped
+	return s.lastTime
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Server) count(add func(*Counts)) {
+func (s *Server) count(update func(*Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	add(&s.counts)
+	update(&s.counts)
 }
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -246,13 +247,13 @@
 	standin.WriteJSON(w, s.Counts())
 }
 
-func conditionHolds(header http.Header, version uint64, exists bool) bool {
+func preconditionHolds(header http.Header, version uint64, exists bool) bool {
 	if header.Get("If-None-Match") == "*" {
 		return !exists
 	}
 	return exists && header.Get("If-Match") == client.ETag(version)
 }
 
-func nameOf(p httprouter.Params) string {
+func objectName(p httprouter.Params) string {
 	return strings.TrimPrefix(p.ByName("name"), "/")
 }
