--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,5 +1,5 @@
-// Package store is a stand-in for a store instance: it keeps blocks in limited memory and on a limited disk, both of
-// which are memory here, over a link of limited rate, and spoils what it returns on demand.
+// Package store is a stand-in for a store instance. It stores blocks in limited memory and on a limited disk, both of
+// which are memory here, simulates a link with limited bandwidth, and corrupts responses on demand.
 package store
 
 import (
@@ -16,36 +16,37 @@
 	"github.com/rillreach/rillreach/internal/standin"
 )
 
-const maxBlock = 256 << 20
+const maxBlockBytes = 256 << 20
 
-// Faults are what the store is made to do wrong.
+// Faults are the faults that the store simulates.
 type Faults struct {
-	// BytesPerSecond is the link's rate in bytes a second; zero means no limit.
+	// BytesPerSecond is the bandwidth of the link; zero means no limit.
 	BytesPerSecond float64 `json:"rate"`
-	// Truncate returns half of each block, Spoil changes a byte of each, Swap returns another block.
+	// Truncate returns half of each block, Corrupt changes a byte of each, and ReturnOtherBlock returns the most
+	// recently used block instead of the requested one.
 	Truncate         bool `json:"cutShort"`
 	Corrupt          bool `json:"spoil"`
 	ReturnOtherBlock bool `json:"swap"`
-	// Full refuses every write.
+	// Full makes every write fail for lack of space.
 	Full bool `json:"full"`
 }
 
-// Server is the stand-in; New makes one.
+// Server is the stand-in. New creates one.
 type Server struct {
-	memory int64
-	disk   int64
+	memoryBytes int64
+	diskBytes   int64
 
-	mu     sync.Mutex
-	faults Faults
-	link   sync.Mutex
-	order  *list.List
-	blocks map[string]*list.Element
-	held   int64
-	counts Counts
-	router *httprouter.Router
+	mu        sync.Mutex
+	faults    Faults
+	linkMu    sync.Mutex
+	recency   *list.List
+	blocks    map[string]*list.Element
+	usedBytes int64
+	counts    Counts
+	router    *httprouter.Router
 }
 
-// Counts are the calls and bytes since the start.
+// Counts are the numbers of calls and bytes since the start, and of blocks currently stored.
 type Counts struct {
 	Reads      int64 `json:"reads"`
 	Writes     int64 `json:"writes"`
@@ -59,9 +60,9 @@
 	data []byte
 }
 
-// New returns an empty store with room in memory and on disk, in bytes.
+// New returns an empty store with the given memory and disk capacity in bytes.
 func New(memory, disk int64) *Server {
-	s := &Server{memory: memory, disk: disk, order: list.New(), blocks: map[string]*list.Element{}}
+	s := &Server{memoryBytes: memory, diskBytes: disk, recency: list.New(), blocks: map[string]*list.Element{}}
 	s.router = httprouter.New()
 	s.router.GET(blockstore.PathBlocks+":name", s.read)
 	s.router.PUT(blockstore.PathBlocks+":name", s.write)
@@ -71,10 +72,10 @@
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles a call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// SetFaults changes what goes wrong.
+// SetFaults replaces the simulated faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +95,8 @@
 		return
 	}
 	faults := s.currentFaults()
-	s.carry(faults, len(data))
-	_, _ = w.Write(spoiled(faults, data))
+	s.transfer(faults, len(data))
+	_, _ = w.Write(applyFaults(faults, data))
 }
 
 func (s *Server) find(name string) ([]byte, bool) {
@@ -106,53 +107,53 @@
 		return nil, false
 	}
 	if s.faults.ReturnOtherBlock {
-		e = s.order.Front()
+		e = s.recency.Front()
 	}
-	s.order.MoveToFront(e)
+	s.recency.MoveToFront(e)
 	data := e.Value.(block).data
 	s.counts.Reads++
 	s.counts.ReadBytes += int64(len(data))
 	return data, true
 }
 
-func spoiled(f Faults, data []byte) []byte {
+func applyFaults(f Faults, data []byte) []byte {
 	switch {
 	case f.Truncate:
 		return data[:len(data)/2]
 	case f.Corrupt:
-		changed := append([]byte(nil), data...)
-		changed[len(changed)/2] ^= 1
-		return changed
+		corrupted := append([]byte(nil), data...)
+		corrupted[len(corrupted)/2] ^= 1
+		return corrupted
 	default:
 		return data
 	}
 }
 
-// carry takes the time that bytes need on the link, one transfer after another.
-func (s *Server) carry(f Faults, bytes int) {
+// transfer simulates the transfer time of bytes on the link, one transfer at a time.
+func (s *Server) transfer(f Faults, bytes int) {
 	if f.BytesPerSecond <= 0 {
 		return
 	}
-	s.link.Lock()
-	defer s.link.Unlock()
+	s.linkMu.Lock()
+	defer s.linkMu.Unlock()
 	time.Sleep(time.Duration(float64(bytes) / f.BytesPerSecond * float64(time.Second)))
 }
 
 func (s *Server) write(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxBlock))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBlockBytes))
 	if err != nil {
 		return
 	}
 	faults := s.currentFaults()
-	s.carry(faults, len(data))
-	if faults.Full || int64(len(data)) > s.memory+s.disk {
+	s.transfer(faults, len(data))
+	if faults.Full || int64(len(data)) > s.memoryBytes+s.diskBytes {
 		http.Error(w, "no room", http.StatusInsufficientStorage)
 		return
 	}
-	s.keep(p.ByName("name"), data)
+	s.put(p.ByName("name"), data)
 }
 
-func (s *Server) keep(name string, data []byte) {
+func (s *Server) put(name string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Writes++
@@ -160,29 +161,29 @@
 	if e := s.blocks[name]; e != nil {
 		s.remove(e)
 	}
-	s.blocks[name] = s.order.PushFront(block{name: name, data: data})
-	s.held += int64(len(data))
-	for s.held > s.memory+s.disk {
-		s.remove(s.order.Back())
+	s.blocks[name] = s.recency.PushFront(block{name: name, data: data})
+	s.usedBytes += int64(len(data))
+	for s.usedBytes > s.memoryBytes+s.diskBytes {
+		s.remove(s.recency.Back())
 	}
 }
 
 func (s *Server) remove(e *list.Element) {
 	b := e.Value.(block)
-	s.held -= int64(len(b.data))
+	s.usedBytes -= int64(len(b.data))
 	delete(s.blocks, b.name)
-	s.order.Remove(e)
+	s.recency.Remove(e)
 }
 
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var ask blockstore.LookupRequest
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
+	var request blockstore.LookupRequest
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	answer := blockstore.LookupResponse{Held: []blockstore.HeldBlock{}}
 	s.mu.Lock()
-	for _, name := range ask.Keys {
+	for _, name := range request.Keys {
 		if e := s.blocks[name]; e != nil {
 			answer.Held = append(answer.Held, blockstore.HeldBlock{Key: name, Bytes: int64(len(e.Value.(block).data))})
 		}
@@ -200,7 +201,7 @@
 	s.SetFaults(f)
 }
 
-// Counts returns the calls and bytes since the start.
+// Counts returns the numbers of calls and bytes since the start, and of blocks currently stored.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
