--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,4 +1,4 @@
-// Package service is a stand-in for a plain service: it runs whatever it is sent, and counts it.
+// Package service is a stand-in for a plain service: it executes every call and counts the calls by body.
 package service
 
 import (
@@ -11,56 +11,56 @@
 	"github.com/rillreach/rillreach/internal/standin"
 )
 
-const maxBody = 1 << 20
+const maxBodyBytes = 1 << 20
 
-// Server is the stand-in; its zero value is ready.
+// Server is the stand-in. Its zero value is ready to use.
 type Server struct {
-	// Delay is how long a call runs.
+	// Delay is how long each call takes.
 	Delay time.Duration
 
-	mu   sync.Mutex
-	runs map[string]int
+	mu        sync.Mutex
+	runCounts map[string]int
 }
 
-// ServeHTTP runs a call; GET /runs returns how often each body was run.
+// ServeHTTP executes a call. GET /runs returns how often each body was executed.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet && r.URL.Path == "/runs" {
 		standin.WriteJSON(w, s.RunCounts())
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	count := s.run(string(body))
+	count := s.recordRun(string(body))
 	time.Sleep(s.Delay)
 	w.Header().Set("Content-Type", "text/plain")
 	_, _ = fmt.Fprint(w, ResponseText(r.URL.Path, string(body), count))
 }
 
-// ResponseText is what the service answers to a call that it runs for the count-th time.
+// ResponseText returns the response to a call when its body is executed for the count-th time.
 func ResponseText(path, body string, count int) string {
 	return fmt.Sprintf("%s ran %q time %d", path, body, count)
 }
 
-// RunCounts returns how often each body was run.
+// RunCounts returns how often each body was executed.
 func (s *Server) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	runs := make(map[string]int, len(s.runs))
-	for body, count := range s.runs {
+	runs := make(map[string]int, len(s.runCounts))
+	for body, count := range s.runCounts {
 		runs[body] = count
 	}
 	return runs
 }
 
-func (s *Server) run(body string) int {
+func (s *Server) recordRun(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.runs == nil {
-		s.runs = map[string]int{}
+	if s.runCounts == nil {
+		s.runCounts = map[string]int{}
 	}
-	s.runs[body]++
-	return s.runs[body]
+	s.runCounts[body]++
+	return s.runCounts[body]
 }
