--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,3 +1,3 @@
-// Package demo runs the whole system in one process over loopback, with stand-ins for the outside systems, for a
-// newcomer to try and for measurements.
+// Package demo runs the whole system in one process over loopback, with stand-ins for external systems. It is for
+// trying out the system and for measurements.
 package demo
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -29,46 +29,47 @@
 	"github.com/rillreach/rillreach/objectstore"
 )
 
-// The names that the demonstration's rows use.
+// Names used in the rows of the demo.
 const (
 	Model   = rillreach.ModelID("demo-model")
 	Version = rillreach.VersionID("v1")
 	Service = rillreach.ServiceID("receipts")
 
-	secret      = "the demonstration's own secret"
-	readyWithin = 15 * time.Second
-	storeRoom   = 256 << 20
-	pollEvery   = 10 * time.Millisecond
+	secret             = "the demonstration's own secret"
+	readyTimeout       = 15 * time.Second
+	storeCapacityBytes = 256 << 20
+	pollInterval       = 10 * time.Millisecond
 )
 
-// Fleet is a small fleet in one process; exported fields are set before Start.
+// Fleet is a small fleet in one process. The settings, from Entries to Log, must be set before Start.
 type Fleet struct {
-	// Entries is how many there are, Runners and Stores how many on each side.
+	// Entries is the number of entries, Runners and Stores the numbers on each side.
 	Entries int
 	Runners int
 	Stores  int
-	// TokenInterval is the engines' time between two tokens, PrefillRate how many tokens of a prompt they compute a second.
+	// TokenInterval is the time between two output tokens of an engine, PrefillRate its prefill speed in tokens per
+	// second.
 	TokenInterval time.Duration
 	PrefillRate   float64
-	// Slots is how many requests run at each engine at once; zero means the agents' default.
+	// Slots is the maximum number of concurrent requests per engine; zero means the agents' default.
 	Slots int
-	// TLS makes the configuration of each process for its role; nil means plain TCP between peers.
+	// TLS returns the TLS configuration for a role; nil means plain TCP between peers.
 	TLS func(role rillreach.Role) (*tls.Config, error)
-	// Log takes the processes' logs.
+	// Log is the logger of all processes.
 	Log logr.Logger
 
-	// URLs are the entries' addresses, EngineURLs those of the engines, once started.
+	// URLs are the entries' base URLs and EngineURLs the engines', set by Start.
 	URLs       []string
 	EngineURLs []string
-	// Services count the calls that were run.
+	// Services are the stand-ins for plain services, which count the calls they execute.
 	Services []*service.Server
-	// StoresBySide and EnginesOn are the stand-ins of each side.
+	// StoresBySide and EnginesBySide are the stand-ins on each side.
 	StoresBySide  map[rillreach.Side][]*store.Server
 	EnginesBySide map[rillreach.Side][]*engine.Server
-	// Platform is the platform's stand-in, Editor writes its rows.
+	// Platform is the stand-in for the platform; Editor writes the rows in it.
 	Platform *standinplatform.Server
 	Editor   *edit.Editor
-	// Nodes are the common parts of all processes.
+	// Nodes are the nodes of all agents and entries.
 	Nodes []*node.Node
 
 	store rillreach.ObjectStore
@@ -76,7 +77,7 @@
 	stop  context.CancelFunc
 }
 
-// Start starts the fleet; Stop has to follow, also after an error.
+// Start starts the fleet. Stop must be called afterwards, even after an error.
 func (f *Fleet) Start(ctx context.Context) error {
 	ctx, f.stop = context.WithCancel(ctx)
 	f.group = pool.New().WithContext(ctx).WithCancelOnError().WithFirstError()
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// Stop ends the fleet without waiting for what still runs.
+// Stop cancels all processes without draining running requests, and waits until they have ended.
 func (f *Fleet) Stop() {
 	if f.stop != nil {
 		f.stop()
@@ -109,31 +110,31 @@
 	}
 }
 
-// WaitReady waits until every entry answers requests of a key: it knows the rows, an agent of the service, and one of the model. Entries learn of
-// agents some time after they have the rows.
+// WaitReady waits until every entry serves requests with an API key: it must have the rows, an agent of the service and
+// one of the model. Entries learn about agents some time after they get the rows.
 func (f *Fleet) WaitReady(ctx context.Context, key string) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, url := range f.URLs {
-		for !answered(ctx, url, key) {
+		for !entryReady(ctx, url, key) {
 			if ctx.Err() != nil {
-				return errors.Newf("entry at %s does not answer", url)
+				return errors.Newf("entry at %s is not ready", url)
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
-func answered(ctx context.Context, url, key string) bool {
+func entryReady(ctx context.Context, url, key string) bool {
 	prompt := `{"model":"` + string(Model) + `","max_tokens":1,"messages":[{"role":"user","content":"ready"}]}`
-	return asks(ctx, http.MethodGet, url+"/v1/models", key, "") &&
-		asks(ctx, http.MethodPost, url+"/v1/tickets/"+string(Service), key, "") &&
-		asks(ctx, http.MethodPost, url+"/v1/chat/completions", key, prompt)
+	return succeeds(ctx, http.MethodGet, url+"/v1/models", key, "") &&
+		succeeds(ctx, http.MethodPost, url+"/v1/tickets/"+string(Service), key, "") &&
+		succeeds(ctx, http.MethodPost, url+"/v1/chat/completions", key, prompt)
 }
 
-// asks reports that a request is answered with success.
-func asks(ctx context.Context, method, url, key, body string) bool {
+// succeeds reports whether a request gets a response with a success status.
+func succeeds(ctx context.Context, method, url, key, body string) bool {
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return false
@@ -171,7 +172,7 @@
 }
 
 func (f *Fleet) startStore(side rillreach.Side, i int) error {
-	s := store.New(storeRoom, storeRoom)
+	s := store.New(storeCapacityBytes, storeCapacityBytes)
 	listener, err := f.serve(s)
 	if err != nil {
 		return err
--- a/demo/run.go
+++ b/demo/run.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	account       = rillreach.AccountID("demo")
-	conversations = 24
-	callers       = 8
-	shiftSteps    = 5
-	roundTime     = 1500 * time.Millisecond
-	onceEvery     = 100 * time.Millisecond
-	certLifetime  = 24 * time.Hour
-	engineTime    = 2 * time.Millisecond
-	prefill       = 40_000
+	account               = rillreach.AccountID("demo")
+	conversationCount     = 24
+	callerCount           = 8
+	weightSteps           = 5
+	roundDuration         = 1500 * time.Millisecond
+	nonIdempotentInterval = 100 * time.Millisecond
+	certLifetime          = 24 * time.Hour
+	tokenInterval         = 2 * time.Millisecond
+	prefillRate           = 40_000
 )
 
-// Summary is what the demonstration has shown.
+// Summary is the result of the demo.
 type Summary struct {
 	Requests        int     `json:"requests"`
 	Complete        int     `json:"whole"`
@@ -41,30 +41,30 @@
 	TTFTP50         float64 `json:"ttft_p50_ms"`
 	TTFTP95         float64 `json:"ttft_p95_ms"`
 	RecomputedShare float64 `json:"recomputed_share"`
-	// NonIdempotentCalls is how many calls that must not run twice were answered.
+	// NonIdempotentCalls is how many calls that must not run twice succeeded.
 	NonIdempotentCalls int `json:"once_calls"`
-	// OldStoreBytes and BytesNew are what went over the links to each side's stores.
+	// OldStoreBytes and NewStoreBytes are the bytes read from and written to each side's stores.
 	OldStoreBytes int64 `json:"store_bytes_old"`
 	NewStoreBytes int64 `json:"store_bytes_new"`
-	// BeforeShift and After are the first and last round's times to first token and share recomputed.
+	// BeforeShift and AfterShift are the results of the first and the last round.
 	BeforeShift Round `json:"before_shift"`
 	AfterShift  Round `json:"after_shift"`
 }
 
-// Round is the traffic under one setting of the weights.
+// Round is the result of the traffic with one setting of the weights.
 type Round struct {
 	TTFTP50         float64 `json:"ttft_p50_ms"`
 	TTFTP95         float64 `json:"ttft_p95_ms"`
 	RecomputedShare float64 `json:"recomputed_share"`
 }
 
-// Failed reports whether anything was lost or doubled.
+// Failed reports whether any request was lost or executed twice.
 func (s Summary) Failed() bool { return s.Lost > 0 || s.Duplicated > 0 }
 
-// Run runs the demonstration and writes its progress; keep, which may be nil, is called at its end, while the fleet is
-// still up, with an entry's address and a key.
-func Run(ctx context.Context, progress io.Writer, keep func(ctx context.Context, url, key string)) (Summary, error) {
-	f := &Fleet{Entries: 2, Runners: 2, Stores: 1, TokenInterval: engineTime, PrefillRate: prefill, TLS: fleetTLS(), Log: logr.Discard()}
+// Run runs the demo and writes its progress. At the end, while the fleet still runs, it calls atEnd, unless nil, with
+// an entry's URL and an API key.
+func Run(ctx context.Context, progress io.Writer, atEnd func(ctx context.Context, url, key string)) (Summary, error) {
+	f := &Fleet{Entries: 2, Runners: 2, Stores: 1, TokenInterval: tokenInterval, PrefillRate: prefillRate, TLS: fleetTLS(), Log: logr.Discard()}
 	defer f.Stop()
 	if err := f.Start(ctx); err != nil {
 		return Summary{}, err
@@ -73,24 +73,24 @@
 	if err != nil {
 		return Summary{}, err
 	}
-	d := &demonstration{fleet: f, progress: progress, key: key, credential: credential, once: map[string]bool{}}
-	if err := d.write(ctx, 0); err != nil {
+	d := &demonstration{fleet: f, progress: progress, key: key, credential: credential, sentBodies: map[string]bool{}}
+	if err := d.writeWeights(ctx, 0); err != nil {
 		return Summary{}, err
 	}
 	if err := f.WaitReady(ctx, key); err != nil {
 		return Summary{}, err
 	}
-	for i := range conversations {
+	for i := range conversationCount {
 		d.conversations = append(d.conversations, newConversation(i))
 	}
 	summary, err := d.run(ctx)
-	if err == nil && keep != nil {
-		keep(ctx, f.URLs[0], key)
+	if err == nil && atEnd != nil {
+		atEnd(ctx, f.URLs[0], key)
 	}
 	return summary, err
 }
 
-// fleetTLS makes certificates in memory for the demonstration's fleet.
+// fleetTLS returns TLS configurations with certificates generated in memory.
 func fleetTLS() func(rillreach.Role) (*tls.Config, error) {
 	authority, err := certs.NewAuthority(certLifetime)
 	return func(role rillreach.Role) (*tls.Config, error) {
@@ -112,45 +112,46 @@
 	key           string
 	credential    rillreach.Credential
 	conversations []*conversation
-	versions      [2]uint64
-	all           *traffic
+	rowVersions   [2]uint64
+	total         *traffic
 	mu            sync.Mutex
-	once          map[string]bool
-	onceLost      int
+	// sentBodies maps the body of each call that must not run twice to whether the call succeeded.
+	sentBodies map[string]bool
+	lostCalls  int
 }
 
-// write sets the weight of the new side in the rows of the model and of the service.
-func (d *demonstration) write(ctx context.Context, toNew int) error {
+// writeWeights sets the weight of the new side in the rows of the model and the service.
+func (d *demonstration) writeWeights(ctx context.Context, newWeight int) error {
 	for i, model := range []rillreach.ModelID{Model, rillreach.ModelID(Service)} {
 		version, err := d.fleet.Editor.Write(ctx, rillreach.Row{
 			Format: rillreach.RowFormat, Account: account, Model: model, Version: Version,
-			Weights:   rillreach.Weights{Old: rillreach.TotalWeight - toNew, New: toNew},
+			Weights:   rillreach.Weights{Old: rillreach.TotalWeight - newWeight, New: newWeight},
 			Objective: rillreach.ObjectiveFirstToken, Credentials: []rillreach.Credential{d.credential},
-		}, d.versions[i])
+		}, d.rowVersions[i])
 		if err != nil {
 			return err
 		}
-		d.versions[i] = version
+		d.rowVersions[i] = version
 	}
 	return nil
 }
 
 func (d *demonstration) run(ctx context.Context) (Summary, error) {
-	d.all = newTraffic(d.key)
+	d.total = newTraffic(d.key)
 	var before, after *traffic
-	for step := range shiftSteps + 1 {
-		weight := step * rillreach.TotalWeight / shiftSteps
+	for step := range weightSteps + 1 {
+		weight := step * rillreach.TotalWeight / weightSteps
 		if step > 0 {
-			if err := d.write(ctx, weight); err != nil {
+			if err := d.writeWeights(ctx, weight); err != nil {
 				return Summary{}, err
 			}
 		}
-		round, err := d.round(ctx)
+		round, err := d.runRound(ctx)
 		if err != nil {
 			return Summary{}, err
 		}
 		_, _ = fmt.Fprintf(d.progress, "old %3d  new %3d  requests %4d  whole %4d  lost %d  p50 %.1f ms  p95 %.1f ms  computed %.0f%%\n",
-			rillreach.TotalWeight-weight, weight, round.requests, round.whole, round.lost, round.quantile(50), round.quantile(95), 100*round.share())
+			rillreach.TotalWeight-weight, weight, round.requests, round.complete, round.lost, round.quantile(50), round.quantile(95), 100*round.computedShare())
 		if step == 0 {
 			before = round
 		}
@@ -159,39 +160,39 @@
 	return d.summary(before, after), nil
 }
 
-// round sends prompts, and calls that must not run twice, for a while.
-func (d *demonstration) round(ctx context.Context) (*traffic, error) {
+// runRound sends prompts, and calls that must not run twice, for roundDuration.
+func (d *demonstration) runRound(ctx context.Context) (*traffic, error) {
 	t := newTraffic(d.key)
 	group := pool.New().WithContext(ctx).WithCancelOnError()
-	end := time.Now().Add(roundTime)
-	for caller := range callers {
-		group.Go(func(ctx context.Context) error { return d.call(ctx, t, caller, end) })
+	end := time.Now().Add(roundDuration)
+	for caller := range callerCount {
+		group.Go(func(ctx context.Context) error { return d.runCaller(ctx, t, caller, end) })
 	}
-	group.Go(func(ctx context.Context) error { return d.callOnce(ctx, end) })
+	group.Go(func(ctx context.Context) error { return d.callNonIdempotent(ctx, end) })
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	d.all.add(t)
+	d.total.add(t)
 	return t, nil
 }
 
-// call has one caller's conversations return one after another.
-func (d *demonstration) call(ctx context.Context, t *traffic, caller int, end time.Time) error {
-	for i := caller; time.Now().Before(end); i += callers {
-		c := d.conversations[i%conversations]
+// runCaller continues one caller's conversations in turn until the end time.
+func (d *demonstration) runCaller(ctx context.Context, t *traffic, caller int, end time.Time) error {
+	for i := caller; time.Now().Before(end); i += callerCount {
+		c := d.conversations[i%conversationCount]
 		if err := t.send(ctx, d.fleet.URLs[rand.IntN(len(d.fleet.URLs))], c); err != nil {
 			return err
 		}
-		c.say(turnWords)
+		c.addUserMessage(nextMessageWords)
 		if len(c.messages) > 40 {
-			*c = *newConversation(c.number + conversations)
+			*c = *newConversation(c.number + conversationCount)
 		}
 	}
 	return nil
 }
 
-// callOnce sends calls that must not run twice, each to both entries at once under one ticket.
-func (d *demonstration) callOnce(ctx context.Context, end time.Time) error {
+// callNonIdempotent sends calls that must not run twice, each to all entries at once with the same ticket.
+func (d *demonstration) callNonIdempotent(ctx context.Context, end time.Time) error {
 	for time.Now().Before(end) {
 		body := uuid.NewString()
 		group := pool.New().WithContext(ctx)
@@ -200,16 +201,16 @@
 			return err
 		}
 		for _, url := range d.fleet.URLs {
-			group.Go(func(ctx context.Context) error { return d.issue(ctx, url, ticket, body) })
+			group.Go(func(ctx context.Context) error { return d.sendCall(ctx, url, ticket, body) })
 		}
 		err = group.Wait()
 		d.mu.Lock()
-		d.once[body] = err == nil
+		d.sentBodies[body] = err == nil
 		if err != nil {
-			d.onceLost++
+			d.lostCalls++
 		}
 		d.mu.Unlock()
-		time.Sleep(onceEvery)
+		time.Sleep(nonIdempotentInterval)
 	}
 	return nil
 }
@@ -222,12 +223,12 @@
 	_, rest, _ := strings.Cut(answer, `"ticket":"`)
 	ticket, _, ok := strings.Cut(rest, `"`)
 	if !ok {
-		return "", errors.Newf("no ticket in %s", answer)
+		return "", errors.Newf("response contains no ticket: %s", answer)
 	}
 	return ticket, nil
 }
 
-func (d *demonstration) issue(ctx context.Context, url, ticket, body string) error {
+func (d *demonstration) sendCall(ctx context.Context, url, ticket, body string) error {
 	_, err := d.post(ctx, url+"/services/"+string(Service)+"/issue", ticket, body)
 	return err
 }
@@ -235,7 +236,7 @@
 func (d *demonstration) post(ctx context.Context, url, ticket, body string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
-		return "", errors.Wrap(err, "make request")
+		return "", errors.Wrap(err, "create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+d.key)
 	if ticket != "" {
@@ -248,7 +249,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "", errors.Wrap(err, "read answer")
+		return "", errors.Wrap(err, "read response")
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return "", errors.Newf("status %d: %s", resp.StatusCode, data)
@@ -258,40 +259,40 @@
 
 func (d *demonstration) summary(before, after *traffic) Summary {
 	s := Summary{
-		Requests: d.all.requests + len(d.once), Complete: d.all.whole + len(d.once) - d.onceLost, Lost: d.all.lost + d.onceLost,
-		TTFTP50: d.all.quantile(50), TTFTP95: d.all.quantile(95), RecomputedShare: d.all.share(),
-		NonIdempotentCalls: len(d.once) - d.onceLost, BeforeShift: roundOf(before), AfterShift: roundOf(after),
+		Requests: d.total.requests + len(d.sentBodies), Complete: d.total.complete + len(d.sentBodies) - d.lostCalls, Lost: d.total.lost + d.lostCalls,
+		TTFTP50: d.total.quantile(50), TTFTP95: d.total.quantile(95), RecomputedShare: d.total.computedShare(),
+		NonIdempotentCalls: len(d.sentBodies) - d.lostCalls, BeforeShift: newRound(before), AfterShift: newRound(after),
 	}
-	for _, served := range d.fleet.Services {
-		for body, count := range served.RunCounts() {
-			if _, ours := d.once[body]; ours && count > 1 {
+	for _, svc := range d.fleet.Services {
+		for body, count := range svc.RunCounts() {
+			if _, sent := d.sentBodies[body]; sent && count > 1 {
 				s.Duplicated++
 			}
 		}
 	}
-	s.OldStoreBytes, s.NewStoreBytes = d.bytesOn(rillreach.SideOld), d.bytesOn(rillreach.SideNew)
+	s.OldStoreBytes, s.NewStoreBytes = d.transferredBytes(rillreach.SideOld), d.transferredBytes(rillreach.SideNew)
 	return s
 }
 
-func (d *demonstration) bytesOn(side rillreach.Side) int64 {
-	var bytes int64
-	for _, st := range d.fleet.StoresBySide[side] {
-		counts := st.Counts()
-		bytes += counts.ReadBytes + counts.WriteBytes
+func (d *demonstration) transferredBytes(side rillreach.Side) int64 {
+	var total int64
+	for _, store := range d.fleet.StoresBySide[side] {
+		counts := store.Counts()
+		total += counts.ReadBytes + counts.WriteBytes
 	}
-	return bytes
+	return total
 }
 
-func roundOf(t *traffic) Round {
-	return Round{TTFTP50: t.quantile(50), TTFTP95: t.quantile(95), RecomputedShare: t.share()}
+func newRound(t *traffic) Round {
+	return Round{TTFTP50: t.quantile(50), TTFTP95: t.quantile(95), RecomputedShare: t.computedShare()}
 }
 
-// add takes another traffic's counts in.
+// add adds the results of other traffic.
 func (t *traffic) add(other *traffic) {
-	t.first.Merge(other.first)
+	t.firstToken.Merge(other.firstToken)
 	t.requests += other.requests
-	t.whole += other.whole
+	t.complete += other.complete
 	t.lost += other.lost
-	t.prompt += other.prompt
-	t.cached += other.cached
+	t.promptTokens += other.promptTokens
+	t.cachedTokens += other.cachedTokens
 }
--- a/demo/traffic.go
+++ b/demo/traffic.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	longestFirst = int64(time.Minute / time.Microsecond)
-	digits       = 3
-	historyWords = 600
-	turnWords    = 40
-	answerTokens = 12
-	doneEvent    = "data: [DONE]"
+	maxFirstTokenMicros = int64(time.Minute / time.Microsecond)
+	significantDigits   = 3
+	firstMessageWords   = 600
+	nextMessageWords    = 40
+	maxAnswerTokens     = 12
+	doneEvent           = "data: [DONE]"
 )
 
-// traffic is what the demonstration's callers have seen.
+// traffic sends prompts and counts the results.
 type traffic struct {
 	client *http.Client
 	key    string
 
-	mu       sync.Mutex
-	first    *hdrhistogram.Histogram
-	requests int
-	whole    int
-	lost     int
-	prompt   int
-	cached   int
+	mu           sync.Mutex
+	firstToken   *hdrhistogram.Histogram
+	requests     int
+	complete     int
+	lost         int
+	promptTokens int
+	cachedTokens int
 }
 
 func newTraffic(key string) *traffic {
-	return &traffic{client: &http.Client{}, key: key, first: hdrhistogram.New(1, longestFirst, digits)}
+	return &traffic{client: &http.Client{}, key: key, firstToken: hdrhistogram.New(1, maxFirstTokenMicros, significantDigits)}
 }
 
-// message is one of a conversation.
+// message is a message of a conversation.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// conversation is a caller's, whose prompts return.
+// conversation is a conversation of a caller; each prompt contains all earlier messages.
 type conversation struct {
 	number   int
 	messages []message
@@ -55,12 +55,12 @@
 
 func newConversation(number int) *conversation {
 	c := &conversation{number: number}
-	c.say(historyWords)
+	c.addUserMessage(firstMessageWords)
 	return c
 }
 
-// say adds a message of the user's.
-func (c *conversation) say(words int) {
+// addUserMessage adds a user message with the given number of words.
+func (c *conversation) addUserMessage(words int) {
 	var text strings.Builder
 	for i := range words {
 		_, _ = fmt.Fprintf(&text, "c%dm%dw%d ", c.number, len(c.messages), i)
@@ -80,10 +80,10 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// send sends the conversation's next prompt and takes its answer into the conversation.
+// send sends the conversation's next prompt and adds the response to the conversation.
 func (t *traffic) send(ctx context.Context, url string, c *conversation) error {
 	body, err := json.Marshal(promptBody{
-		Model: string(Model), Stream: true, MaxTokens: answerTokens, StreamOptions: streamOptions{IncludeUsage: true}, Messages: c.messages,
+		Model: string(Model), Stream: true, MaxTokens: maxAnswerTokens, StreamOptions: streamOptions{IncludeUsage: true}, Messages: c.messages,
 	})
 	if err != nil {
 		return errors.Wrap(err, "encode prompt")
@@ -97,18 +97,18 @@
 		t.lost++
 		return nil
 	}
-	t.whole++
-	_ = t.first.RecordValue(first.Sub(start).Microseconds())
-	t.count(answer)
-	c.messages = append(c.messages, message{Role: "assistant", Content: textOf(answer)})
+	t.complete++
+	_ = t.firstToken.RecordValue(first.Sub(start).Microseconds())
+	t.addUsage(answer)
+	c.messages = append(c.messages, message{Role: "assistant", Content: answerText(answer)})
 	return nil
 }
 
-// stream sends one prompt, and returns the answer's events and when the first of them came.
+// stream sends a prompt, and returns the streamed response and the time of its first byte.
 func (t *traffic) stream(ctx context.Context, url, body string) (string, time.Time, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return "", time.Time{}, errors.Wrap(err, "make request")
+		return "", time.Time{}, errors.Wrap(err, "create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+t.key)
 	resp, err := t.client.Do(req)
@@ -119,13 +119,13 @@
 	if resp.StatusCode != http.StatusOK {
 		return "", time.Time{}, errors.Newf("entry answered with status %d", resp.StatusCode)
 	}
-	head := make([]byte, 1)
-	if _, err := io.ReadFull(resp.Body, head); err != nil {
-		return "", time.Time{}, errors.Wrap(err, "read answer")
+	firstByte := make([]byte, 1)
+	if _, err := io.ReadFull(resp.Body, firstByte); err != nil {
+		return "", time.Time{}, errors.Wrap(err, "read response")
 	}
 	first := time.Now()
 	rest, err := io.ReadAll(resp.Body)
-	return string(head) + string(rest), first, errors.Wrap(err, "read answer")
+	return string(firstByte) + string(rest), first, errors.Wrap(err, "read response")
 }
 
 type event struct {
@@ -142,7 +142,7 @@
 	} `json:"usage"`
 }
 
-func events(answer string) []event {
+func parseEvents(answer string) []event {
 	var list []event
 	for _, line := range strings.Split(answer, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
@@ -154,19 +154,19 @@
 	return list
 }
 
-// count adds what the answer's usage says was reused.
-func (t *traffic) count(answer string) {
-	for _, e := range events(answer) {
+// addUsage adds the prompt tokens and cached tokens of the response's usage.
+func (t *traffic) addUsage(answer string) {
+	for _, e := range parseEvents(answer) {
 		if e.Usage != nil {
-			t.prompt += e.Usage.PromptTokens
-			t.cached += e.Usage.Details.Cached
+			t.promptTokens += e.Usage.PromptTokens
+			t.cachedTokens += e.Usage.Details.Cached
 		}
 	}
 }
 
-func textOf(answer string) string {
+func answerText(answer string) string {
 	var text strings.Builder
-	for _, e := range events(answer) {
+	for _, e := range parseEvents(answer) {
 		if len(e.Choices) > 0 {
 			text.WriteString(e.Choices[0].Delta.Content)
 		}
@@ -174,14 +174,14 @@
 	return text.String()
 }
 
-// share is the part of the prompts' tokens that was computed.
-func (t *traffic) share() float64 {
-	if t.prompt == 0 {
+// computedShare is the share of prompt tokens that were computed rather than read from a cache.
+func (t *traffic) computedShare() float64 {
+	if t.promptTokens == 0 {
 		return 0
 	}
-	return 1 - float64(t.cached)/float64(t.prompt)
+	return 1 - float64(t.cachedTokens)/float64(t.promptTokens)
 }
 
 func (t *traffic) quantile(q float64) float64 {
-	return float64(t.first.ValueAtQuantile(q)) / 1000
+	return float64(t.firstToken.ValueAtQuantile(q)) / 1000
 }
