--- a/gateway/restored_store_test.go
+++ b/gateway/restored_store_test.go
@@ -110,7 +110,7 @@
 		w, older := startBeforeRestore(t, 20)
 		w.store.Restore(older)
 		time.Sleep(revertCheckTime)
-		w.store.HideEra(true)
+		w.store.SetEraHidden(true)
 		assertChanges(t, w)
 	})
 }
--- a/internal/standin/site/engine.go
+++ b/internal/standin/site/engine.go
@@ -12,10 +12,10 @@
 
 // Order is a request to load a version of the weights, as an engine receives it.
 type Order struct {
-	Version  uint64 `json:"version"`
-	Holder   string `json:"holder"`
-	Fence    uint64 `json:"fencing_token"`
-	Expected uint64 `json:"expected_revision"`
+	Version          uint64 `json:"version"`
+	Holder           string `json:"holder"`
+	FencingToken     uint64 `json:"fencing_token"`
+	ExpectedRevision uint64 `json:"expected_revision"`
 }
 
 // Engine is a model engine: a runner that also has weights, serves reports, accepts orders and publishes the contents
@@ -166,14 +166,14 @@
 	e.AcceptOrder(o)
 }
 
-// AcceptOrder accepts an order to load a version, and returns the HTTP status of the result.
+// AcceptOrder accepts or rejects an order, and returns the HTTP status of the response.
 func (e *Engine) AcceptOrder(o Order) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.Version >= o.Version:
 		return http.StatusOK
-	case e.orderedVersion != 0 || o.Expected != e.orderSequence:
+	case e.orderedVersion != 0 || o.ExpectedRevision != e.orderSequence:
 		return http.StatusConflict
 	}
 	e.orderSequence++
--- a/internal/standin/site/restore.go
+++ b/internal/standin/site/restore.go
@@ -38,8 +38,8 @@
 	s.notifyWatchers()
 }
 
-// HideEra sets whether the era is omitted from responses.
-func (s *Store) HideEra(hidden bool) {
+// SetEraHidden sets whether the era is omitted from responses.
+func (s *Store) SetEraHidden(hidden bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.eraHidden = hidden
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -143,8 +143,8 @@
 		if ok && before.Holder != g.Order.Holder {
 			add("engine %s got orders of %s and of %s", g.Engine, before.Holder, g.Order.Holder)
 		}
-		if ok && g.Order.Fence < before.Fence {
-			add("engine %s got fence %d after %d", g.Engine, g.Order.Fence, before.Fence)
+		if ok && g.Order.FencingToken < before.FencingToken {
+			add("engine %s got fence %d after %d", g.Engine, g.Order.FencingToken, before.FencingToken)
 		}
 		last[g.Engine] = g.Order
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -163,13 +163,13 @@
 		"a leaving runner": {func(r *record) { r.Left["r-1"] = at(7 * time.Second) }, "after its leaving"},
 		"a key taken away": {func(r *record) { r.Removed[keptKey] = at(7 * time.Second) }, "taken away"},
 		"two holders": {func(r *record) {
-			r.Orders = append(r.Orders, given{"e", site.Order{Holder: "a", Fence: 1}}, given{"e", site.Order{Holder: "b", Fence: 2}})
+			r.Orders = append(r.Orders, given{"e", site.Order{Holder: "a", FencingToken: 1}}, given{"e", site.Order{Holder: "b", FencingToken: 2}})
 		}, "orders of a and of b"},
 		"a fence that falls": {func(r *record) {
-			r.Orders = append(r.Orders, given{"e", site.Order{Holder: "a", Fence: 2}}, given{"e", site.Order{Holder: "a", Fence: 1}})
+			r.Orders = append(r.Orders, given{"e", site.Order{Holder: "a", FencingToken: 2}}, given{"e", site.Order{Holder: "a", FencingToken: 1}})
 		}, "fence 1 after 2"},
 		"an order given again": {func(r *record) {
-			r.Orders = append(r.Orders, given{"e", site.Order{Holder: "a", Fence: 2}}, given{"e", site.Order{Holder: "a", Fence: 2}})
+			r.Orders = append(r.Orders, given{"e", site.Order{Holder: "a", FencingToken: 2}}, given{"e", site.Order{Holder: "a", FencingToken: 2}})
 		}, ""},
 		"replaced weights": {func(r *record) { r.Runs[0].Weights = 1 }, "began on weights 1"},
 		"replaced weights after a start": {func(r *record) {
