--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -47,15 +47,15 @@
 		return err
 	}
 	if summary.Failed() {
-		return errors.Newf("%d requests were lost and %d run twice", summary.Lost, summary.Doubled)
+		return errors.Newf("%d requests were lost and %d run twice", summary.Lost, summary.Duplicated)
 	}
 	return nil
 }
 
 // waitForInterrupt prints an example request and waits until ctx is done.
 func waitForInterrupt(ctx context.Context, w io.Writer, url, key string) {
-	_, _ = fmt.Fprintf(w, "\nThe system stays up. Try:\n\n  curl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' \\\n"+
-		"    -d '{\"model\":%q,\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"does the quote stand\"}]}'\n\nInterrupt to end.\n",
+	_, _ = fmt.Fprintf(w, "\nThe system stays up. Try:\n\n curl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' \\\n"+
+		" -d '{\"model\":%q,\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"does the quote stand\"}]}'\n\nInterrupt to end.\n",
 		url, key, demo.Model)
 	<-ctx.Done()
 }
@@ -64,24 +64,24 @@
 	w := c.Root().Writer
 	if c.String("output") == outputJSON {
 		enc := json.NewEncoder(w)
-		enc.SetIndent("", "  ")
+		enc.SetIndent("", " ")
 		return errors.Wrap(enc.Encode(s), "write summary")
 	}
 	const format = `
-requests           %d
-  answered whole   %d
-  lost             %d
-  run twice        %d
-calls run once     %d
-first token        p50 %.1f ms, p95 %.1f ms
+requests %d
+  answered whole %d
+  lost %d
+  run twice %d
+calls run once %d
+first token p50 %.1f ms, p95 %.1f ms
   before the shift p50 %.1f ms, p95 %.1f ms, %.0f%% of prompts computed
-  after the shift  p50 %.1f ms, p95 %.1f ms, %.0f%% of prompts computed
-prompts computed   %.1f%% of their tokens, the rest was reused
-links to stores    old side %.1f MB, new side %.1f MB
+  after the shift p50 %.1f ms, p95 %.1f ms, %.0f%% of prompts computed
+prompts computed %.1f%% of their tokens, the rest was reused
+links to stores old side %.1f MB, new side %.1f MB
 `
 	const mega = 1e6
-	_, err := fmt.Fprintf(w, format, s.Requests, s.Whole, s.Lost, s.Doubled, s.OnceCalls, s.TTFTP50, s.TTFTP95, s.Before.TTFTP50,
-		s.Before.TTFTP95, 100*s.Before.Recomputed, s.After.TTFTP50, s.After.TTFTP95, 100*s.After.Recomputed, 100*s.Recomputed,
-		float64(s.BytesOld)/mega, float64(s.BytesNew)/mega)
+	_, err := fmt.Fprintf(w, format, s.Requests, s.Complete, s.Lost, s.Duplicated, s.NonIdempotentCalls, s.TTFTP50, s.TTFTP95, s.BeforeShift.TTFTP50,
+		s.BeforeShift.TTFTP95, 100*s.BeforeShift.RecomputedShare, s.AfterShift.TTFTP50, s.AfterShift.TTFTP95, 100*s.AfterShift.RecomputedShare, 100*s.RecomputedShare,
+		float64(s.OldStoreBytes)/mega, float64(s.NewStoreBytes)/mega)
 	return errors.Wrap(err, "write summary")
 }
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -198,9 +198,9 @@
 		f := newFixture(t, &fakeEngine{version: 2})
 		f.setDesiredWeights(2)
 		f.eventually(t, func() bool { desired, _ := f.agent.state.DesiredWeights("m"); return desired.Version == 2 })
-		calls := f.store.Calls()
+		calls := f.store.CallCount()
 		f.setDesiredWeights(2)
-		f.eventually(t, func() bool { return f.store.Calls() > calls })
+		f.eventually(t, func() bool { return f.store.CallCount() > calls })
 		assert.Empty(t, f.engine.receivedOrders())
 	})
 }
