--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -33,21 +33,21 @@
 	require.NoError(t, err)
 	var bounds map[string]float64
 	require.NoError(t, yaml.Unmarshal(data, &bounds))
-	kigali, oja := results(policy.Kigali()), results(policy.Oja())
+	kigali, oja := runExperiment(policy.Kigali()), runExperiment(policy.Oja())
 	measured := map[string]float64{
-		"allocations_per_route":              routeAllocations(),
-		"bytes_per_resident_prompt":          bytesPer(2000, residentPrompts),
-		"bytes_per_row":                      bytesPer(2000, rows),
-		"bytes_per_instance":                 bytesPer(2000, instances),
-		"bytes_per_lease_renewal":            leaseBytes(t),
-		"pushes_per_node_and_change":         pushes(),
-		"watchers":                           watchers(),
-		"retries_per_failure_storm":          retries(),
-		"kigali_calm_p95_share_of_best":      kigali.shareOfBest("calm", true),
-		"kigali_calm_recomputed":             kigali.own("calm").Recomputed,
-		"oja_calm_recomputed":                oja.own("calm").Recomputed,
-		"oja_store_dead_recomputed":          oja.own("store dead").Recomputed,
-		"kigali_slow_link_p95_share_of_best": kigali.shareOfBest("links at a tenth", false),
+		"allocations_per_route":              routeAllocs(),
+		"bytes_per_resident_prompt":          bytesPerItem(2000, buildCacheEstimate),
+		"bytes_per_row":                      bytesPerItem(2000, buildRows),
+		"bytes_per_instance":                 bytesPerItem(2000, buildMembers),
+		"bytes_per_lease_renewal":            leaseRenewalBytes(t),
+		"pushes_per_node_and_change":         pushesPerNode(),
+		"watchers":                           watcherCount(),
+		"retries_per_failure_storm":          retryCount(),
+		"kigali_calm_p95_share_of_best":      kigali.p95RatioToBest("calm", true),
+		"kigali_calm_recomputed":             kigali.find("calm").RecomputedShare,
+		"oja_calm_recomputed":                oja.find("calm").RecomputedShare,
+		"oja_store_dead_recomputed":          oja.find("store dead").RecomputedShare,
+		"kigali_slow_link_p95_share_of_best": kigali.p95RatioToBest("links at a tenth", false),
 		"freshness_all_pushes_lost_seconds":  freshnessWithoutPushes(),
 	}
 	for name, bound := range bounds {
@@ -60,41 +60,41 @@
 	assert.Len(t, measured, len(bounds))
 }
 
-// experiment is the results of the small workload of a deployment.
-type experiment []policy.Result
+// experimentResults is the results of the small workload of a deployment.
+type experimentResults []policy.Result
 
-func results(d policy.Deployment) experiment {
+func runExperiment(d policy.Deployment) experimentResults {
 	e := policy.Experiment{
 		Deployment: d.Small(), Seed: 1,
-		Scenarios: []policy.Scenario{policy.Calm(), policy.StoreDead(), policy.SlowLink()},
-		Policies:  append(policy.Baselines(), policy.Own{}),
+		Scenarios: []policy.Scenario{policy.Calm(), policy.StoreFailure(), policy.SlowLinks()},
+		Policies:  append(policy.Baselines(), policy.Rillreach{}),
 	}
 	return e.Run()
 }
 
-func (e experiment) own(scenario string) policy.Result {
+func (e experimentResults) find(scenario string) policy.Result {
 	for _, r := range e {
-		if r.Scenario == scenario && r.Policy == (policy.Own{}).Name() {
+		if r.Scenario == scenario && r.Policy == (policy.Rillreach{}).Name() {
 			return r
 		}
 	}
 	return policy.Result{}
 }
 
-// shareOfBest is the own p95 as a share of the best baseline's, among those that keep state or those that do not.
-func (e experiment) shareOfBest(scenario string, keeping bool) float64 {
+// p95RatioToBest is the own p95 as a share of the best baseline's, among those that keep state or those that do not.
+func (e experimentResults) p95RatioToBest(scenario string, usesStores bool) float64 {
 	best := math.Inf(1)
 	for _, b := range policy.Baselines() {
 		for _, r := range e {
-			if r.Scenario == scenario && r.Policy == b.Name() && policy.Keeps(b) == keeping {
+			if r.Scenario == scenario && r.Policy == b.Name() && policy.UsesStores(b) == usesStores {
 				best = min(best, r.P95.Seconds())
 			}
 		}
 	}
-	return e.own(scenario).P95.Seconds() / best
+	return e.find(scenario).P95.Seconds() / best
 }
 
-func routeAllocations() float64 {
+func routeAllocs() float64 {
 	places := make([]uint64, 113)
 	for i := range places {
 		places[i] = uint64(i) * 0x9e3779b97f4a7c15
@@ -106,15 +106,15 @@
 	})
 }
 
-func bytesPer(count int, build func(int) any) float64 {
-	before := inUse()
+func bytesPerItem(count int, build func(int) any) float64 {
+	before := heapInUse()
 	state := build(count)
-	after := inUse()
+	after := heapInUse()
 	runtime.KeepAlive(state)
 	return float64(after-before) / float64(count)
 }
 
-func inUse() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -122,18 +122,18 @@
 	return int64(m.HeapAlloc)
 }
 
-func residentPrompts(count int) any {
-	r := &keep.CacheEstimate{}
+func buildCacheEstimate(count int) any {
+	estimate := &keep.CacheEstimate{}
 	for i := range count {
-		r.Add(rillreach.BlockKey{byte(i), byte(i >> 8)}, "salt", 100)
+		estimate.Add(rillreach.BlockKey{byte(i), byte(i >> 8)}, "salt", 100)
 	}
-	return r
+	return estimate
 }
 
-func rows(count int) any {
-	held := &table.Table{}
-	copied := replicate.NewReplica()
-	copied.AddKind(rillreach.KindRow, func(o rillreach.Object) { held.Apply(o) }, nil)
+func buildRows(count int) any {
+	rowTable := &table.Table{}
+	replica := replicate.NewReplica()
+	replica.AddKind(rillreach.KindRow, func(o rillreach.Object) { rowTable.Apply(o) }, nil)
 	delta := replicate.Delta{Snapshot: true, To: replicate.Watermark{Kind: rillreach.KindRow, Version: uint64(count + 1)}}
 	for i := range count {
 		row := rillreach.Row{
@@ -144,11 +144,11 @@
 		value, _ := json.Marshal(row)
 		delta.Objects = append(delta.Objects, rillreach.Object{Kind: rillreach.KindRow, Name: row.Name(), Version: uint64(i + 1), Value: value})
 	}
-	copied.Merge(delta)
-	return []any{held, copied}
+	replica.Merge(delta)
+	return []any{rowTable, replica}
 }
 
-func instances(count int) any {
+func buildMembers(count int) any {
 	members := membership.New()
 	for i := range count {
 		members.Upsert(rillreach.Instance{
@@ -159,25 +159,25 @@
 	return members
 }
 
-func leaseBytes(t *testing.T) float64 {
+func leaseRenewalBytes(t *testing.T) float64 {
 	t.Helper()
 	const count = 20
-	var ask fleet.LeaseRequest
-	var leases fleet.LeaseResponse
+	var request fleet.LeaseRequest
+	var response fleet.LeaseResponse
 	for i := range count {
 		amounts := limit.Amounts{2.5, 1000, 3}
-		ask.Rows = append(ask.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i), Demand: amounts})
-		leases.Granted = append(leases.Granted, amounts)
+		request.Rows = append(request.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i), Demand: amounts})
+		response.Granted = append(response.Granted, amounts)
 	}
-	asked, err := peer.Encode(ask)
+	encodedRequest, err := peer.Encode(request)
 	require.NoError(t, err)
-	granted, err := peer.Encode(leases)
+	encodedResponse, err := peer.Encode(response)
 	require.NoError(t, err)
-	return float64(len(asked)+len(granted)) / count
+	return float64(len(encodedRequest)+len(encodedResponse)) / count
 }
 
-// nodes are a fleet of processes in 17 zones.
-func nodes(count int) []replicate.Node {
+// makeNodes are a fleet of processes in 17 zones.
+func makeNodes(count int) []replicate.Node {
 	list := make([]replicate.Node, count)
 	for i := range list {
 		list[i] = replicate.Node{
@@ -187,19 +187,19 @@
 	return list
 }
 
-const planned = 1020
+const plannedNodes = 1020
 
-func pushes() float64 {
+func pushesPerNode() float64 {
 	total := 0
-	for _, plan := range replicate.MakePlans(nodes(planned), 1) {
+	for _, plan := range replicate.MakePlans(makeNodes(plannedNodes), 1) {
 		total += len(plan.Children)
 	}
-	return float64(total) / planned
+	return float64(total) / plannedNodes
 }
 
-func watchers() float64 {
+func watcherCount() float64 {
 	count := 0
-	for _, plan := range replicate.MakePlans(nodes(planned), 1) {
+	for _, plan := range replicate.MakePlans(makeNodes(plannedNodes), 1) {
 		if plan.IsWatcher {
 			count++
 		}
@@ -207,16 +207,16 @@
 	return float64(count)
 }
 
-// retries are those of 1,000 requests that all fail, after 200 that did not.
-func retries() float64 {
-	b := &retry.Budget{}
+// retryCount are those of 1,000 requests that all fail, after 200 that did not.
+func retryCount() float64 {
+	budget := &retry.Budget{}
 	for range 200 {
-		b.RecordSuccess()
+		budget.RecordSuccess()
 	}
 	count := 0
 	failure := retry.Failure{Refusal: rillreach.NotRun(rillreach.ReasonOverload, ""), Attempt: 1}
 	for range 1000 {
-		if b.Decide(time.Time{}, failure) == retry.VerdictRetry {
+		if budget.Decide(time.Time{}, failure) == retry.VerdictRetry {
 			count++
 		}
 	}
@@ -224,8 +224,8 @@
 }
 
 func freshnessWithoutPushes() float64 {
-	r := freshness.Run(freshness.Setting{
-		Entries: 140, Agents: 700, Zones: 17, Lost: 1, Carried: true, RequestsPerSecond: 1200, DigestEvery: 2 * time.Second, Seed: 1,
+	result := freshness.Run(freshness.Config{
+		Entries: 140, Agents: 700, Zones: 17, PushLossRate: 1, WatermarksOnRequests: true, RequestsPerSecond: 1200, DigestInterval: 2 * time.Second, Seed: 1,
 	})
-	return r.All.Seconds()
+	return result.All.Seconds()
 }
--- a/bench/capacity/connections_test.go
+++ b/bench/capacity/connections_test.go
@@ -38,23 +38,23 @@
 		b.Run(fmt.Sprintf("connections=%d", count), func(b *testing.B) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			dialling, accepting := newPool(ctx, "dials"), newPool(ctx, "accepts")
+			client, server := newPool(ctx, "dials"), newPool(ctx, "accepts")
 			addresses := make([]netip.AddrPort, count)
 			for i := range addresses {
-				server := httptest.NewServer(http.Handler(accepting))
-				b.Cleanup(server.Close)
-				addresses[i] = netip.MustParseAddrPort(server.Listener.Addr().String())
+				listener := httptest.NewServer(http.Handler(server))
+				b.Cleanup(listener.Close)
+				addresses[i] = netip.MustParseAddrPort(listener.Listener.Addr().String())
 			}
-			before := heap() + stacks()
+			before := heapInUse() + stackInUse()
 			for b.Loop() {
 				for _, address := range addresses {
-					conn, err := dialling.Get(ctx, address)
+					conn, err := client.Get(ctx, address)
 					require.NoError(b, err)
 					_, err = peer.Invoke[fleet.SyncRequest, fleet.SyncResponse](ctx, conn, peer.MethodSync, fleet.SyncRequest{})
 					require.NoError(b, err)
 				}
 			}
-			b.ReportMetric(float64(heap()+stacks()-before)/float64(count)/2, "bytes/end")
+			b.ReportMetric(float64(heapInUse()+stackInUse()-before)/float64(count)/2, "bytes/end")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(count), "us/ask")
 		})
 	}
@@ -66,18 +66,18 @@
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
 			var size int
 			for b.Loop() {
-				var ask fleet.LeaseRequest
-				var leases fleet.LeaseResponse
+				var request fleet.LeaseRequest
+				var response fleet.LeaseResponse
 				for i := range rows {
 					demand := limit.Amounts{1.25, 312.5, 2}
-					ask.Rows = append(ask.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i%37), Demand: demand})
-					leases.Granted = append(leases.Granted, demand)
+					request.Rows = append(request.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i%37), Demand: demand})
+					response.Granted = append(response.Granted, demand)
 				}
-				asked, err := peer.Encode(ask)
+				encodedRequest, err := peer.Encode(request)
 				require.NoError(b, err)
-				granted, err := peer.Encode(leases)
+				encodedResponse, err := peer.Encode(response)
 				require.NoError(b, err)
-				size = len(asked) + len(granted)
+				size = len(encodedRequest) + len(encodedResponse)
 			}
 			b.ReportMetric(float64(size)/float64(rows), "bytes/row")
 		})
--- a/bench/capacity/state_test.go
+++ b/bench/capacity/state_test.go
@@ -19,24 +19,24 @@
 	"github.com/rillreach/rillreach/table"
 )
 
-// heap is the memory in use after a collection.
-func heap() int64 {
+// heapInUse is the memory in use after a collection.
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// perItem builds a state of some items and reports the memory and the time for each.
-func perItem(b *testing.B, sizes []int, build func(count int) any) {
+// benchmarkPerItem builds a state of some items and reports the memory and the time for each.
+func benchmarkPerItem(b *testing.B, sizes []int, build func(count int) any) {
 	b.Helper()
 	for _, count := range sizes {
 		b.Run(fmt.Sprintf("items=%d", count), func(b *testing.B) {
 			var bytes int64
 			for b.Loop() {
-				before := heap()
+				before := heapInUse()
 				state := build(count)
-				bytes = heap() - before
+				bytes = heapInUse() - before
 				runtime.KeepAlive(state)
 			}
 			b.ReportMetric(float64(bytes)/float64(count), "bytes/item")
@@ -84,77 +84,77 @@
 
 // BenchmarkRows is the copy of the rows and the table made of it.
 func BenchmarkRows(b *testing.B) {
-	perItem(b, []int{1000, 4000, 16000}, func(count int) any {
-		t, c := &table.Table{}, replicate.NewReplica()
-		c.AddKind(rillreach.KindRow, func(o rillreach.Object) { t.Apply(o) }, nil)
+	benchmarkPerItem(b, []int{1000, 4000, 16000}, func(count int) any {
+		t, replica := &table.Table{}, replicate.NewReplica()
+		replica.AddKind(rillreach.KindRow, func(o rillreach.Object) { t.Apply(o) }, nil)
 		objects := make([]rillreach.Object, count)
 		for i := range objects {
 			objects[i] = rowObject(i)
 		}
-		c.Merge(snapshotOf(rillreach.KindRow, objects))
-		return []any{t, c}
+		replica.Merge(snapshotOf(rillreach.KindRow, objects))
+		return []any{t, replica}
 	})
 }
 
 // BenchmarkInstances is the copy of the list of instances and the members made of it.
 func BenchmarkInstances(b *testing.B) {
-	perItem(b, []int{500, 1500, 5030}, func(count int) any {
-		m, c := membership.New(), replicate.NewReplica()
-		c.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = m.Apply(o) }, nil)
+	benchmarkPerItem(b, []int{500, 1500, 5030}, func(count int) any {
+		m, replica := membership.New(), replicate.NewReplica()
+		replica.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = m.Apply(o) }, nil)
 		objects := make([]rillreach.Object, count)
 		for i := range objects {
 			objects[i] = instanceObject(i)
 		}
-		c.Merge(snapshotOf(rillreach.KindInstance, objects))
-		return []any{m, c}
+		replica.Merge(snapshotOf(rillreach.KindInstance, objects))
+		return []any{m, replica}
 	})
 }
 
 // BenchmarkShares is an entry's shares of rows in use.
 func BenchmarkShares(b *testing.B) {
-	perItem(b, []int{100, 1000, 10000}, func(count int) any {
-		shares := make([]*limit.Limiter, count)
-		for i := range shares {
-			shares[i] = &limit.Limiter{}
-			shares[i].Admit(time.Now(), 1)
+	benchmarkPerItem(b, []int{100, 1000, 10000}, func(count int) any {
+		limiters := make([]*limit.Limiter, count)
+		for i := range limiters {
+			limiters[i] = &limit.Limiter{}
+			limiters[i].Admit(time.Now(), 1)
 		}
-		return shares
+		return limiters
 	})
 }
 
 // BenchmarkOutcomes is an agent's memory of requests that ran once, with answers of 200 bytes.
 func BenchmarkOutcomes(b *testing.B) {
-	perItem(b, []int{1000, 4000, 16000}, func(count int) any {
-		l, now := &once.Ledger{}, time.Now()
+	benchmarkPerItem(b, []int{1000, 4000, 16000}, func(count int) any {
+		ledger, now := &once.Ledger{}, time.Now()
 		for i := range count {
 			name := fmt.Sprintf("key/account/service/018f3c2e-7b5a-7cc1-8a1e-%012d", i)
-			l.Claim(now, once.Claim{Name: name, Expires: now.Add(time.Hour)})
-			l.Settle(name, once.Outcome{Status: 200, Body: make([]byte, 200)})
+			ledger.Claim(now, once.Claim{Name: name, Expires: now.Add(time.Hour)})
+			ledger.Settle(name, once.Outcome{Status: 200, Body: make([]byte, 200)})
 		}
-		return l
+		return ledger
 	})
 }
 
 // BenchmarkResident is what an agent believes its engine's memory to hold.
 func BenchmarkResident(b *testing.B) {
-	perItem(b, []int{500, 1000, 4000}, func(count int) any {
-		r := &keep.CacheEstimate{}
+	benchmarkPerItem(b, []int{500, 1000, 4000}, func(count int) any {
+		estimate := &keep.CacheEstimate{}
 		for i := range count {
-			r.Add(rillreach.BlockKey{byte(i), byte(i >> 8)}, "salt", 100)
+			estimate.Add(rillreach.BlockKey{byte(i), byte(i >> 8)}, "salt", 100)
 		}
-		return r
+		return estimate
 	})
 }
 
-func TestRowObjectsAreRows(t *testing.T) {
+func TestObjectsDecode(t *testing.T) {
 	_, err := rillreach.DecodeRow(rowObject(3).Value)
 	require.NoError(t, err)
 	_, err = rillreach.DecodeInstance(instanceObject(3).Value)
 	require.NoError(t, err)
 }
 
-// stacks is the memory in use for goroutines' stacks.
-func stacks() int64 {
+// stackInUse is the memory in use for goroutines' stackInUse.
+func stackInUse() int64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.StackInuse)
--- a/bench/days_test.go
+++ b/bench/days_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// daysFolder holds the days of our own.
-const daysFolder = "../deploy/days"
+// daysDir holds the days of our own.
+const daysDir = "../deploy/days"
 
 // dayFile is a file with a day of our own, which stands at its top level or in a list of days.
 type dayFile struct {
@@ -35,12 +35,12 @@
 	Wall    float64        `toml:"wall"`
 	Light   bool           `toml:"light"`
 	Closing map[string]any `toml:"closing"`
-	Plan    []trouble      `toml:"plan"`
-	Faults  []trouble      `toml:"faults"`
+	Plan    []dayEvent     `toml:"plan"`
+	Faults  []dayEvent     `toml:"faults"`
 }
 
-// trouble is one entry of a day, with all the fields that a day may have.
-type trouble struct {
+// dayEvent is one entry of a day, with all the fields that a day may have.
+type dayEvent struct {
 	At      float64 `toml:"at"`
 	Kind    string  `toml:"kind"`
 	ForS    float64 `toml:"for_s"`
@@ -60,14 +60,14 @@
 // TestDaysFitEverySite reads the days as a hunt does: only files that lie directly in the folder, none of which may name what
 // other sites don't have.
 func TestDaysFitEverySite(t *testing.T) {
-	entries, err := os.ReadDir(daysFolder)
+	entries, err := os.ReadDir(daysDir)
 	require.NoError(t, err)
 	require.NotEmpty(t, entries)
 	for _, entry := range entries {
 		t.Run(entry.Name(), func(t *testing.T) {
 			require.True(t, entry.Type().IsRegular(), "a hunt plays no subfolder")
 			require.Equal(t, ".toml", filepath.Ext(entry.Name()))
-			data, err := os.ReadFile(filepath.Join(daysFolder, entry.Name()))
+			data, err := os.ReadFile(filepath.Join(daysDir, entry.Name()))
 			require.NoError(t, err)
 			assertPurpose(t, data)
 			days, err := decodeDays(data)
@@ -79,21 +79,21 @@
 	}
 }
 
-// TestNamesOfOneSiteAreFound spoils a day that fits, a field at a time.
-func TestNamesOfOneSiteAreFound(t *testing.T) {
+// TestSiteSpecificNamesAreFound spoils a day that fits, a field at a time.
+func TestSiteSpecificNamesAreFound(t *testing.T) {
 	for _, field := range []string{"zone", "to_zone", "region", "service", "class"} {
 		t.Run(field, func(t *testing.T) {
 			days, err := decodeDays([]byte(`faults = [{ at = 1.0, kind = "burst", ` + field + ` = "kigali" }]`))
 			require.NoError(t, err)
 			require.Len(t, days, 1)
-			assert.Len(t, foreignNames(days[0]), 1)
+			assert.Len(t, siteSpecificNames(days[0]), 1)
 		})
 	}
 	t.Run("placeholder of another field", func(t *testing.T) {
 		days, err := decodeDays([]byte(`[[day]]` + "\n" + `plan = [{ at = 1.0, kind = "release", service = "@z0" }]`))
 		require.NoError(t, err)
 		require.Len(t, days, 1)
-		assert.Equal(t, []string{"@z0"}, foreignNames(days[0]))
+		assert.Equal(t, []string{"@z0"}, siteSpecificNames(days[0]))
 	})
 	t.Run("traffic", func(t *testing.T) {
 		_, err := decodeDays([]byte(`traffic = [{ zone = "@z0", per_s = 1.0 }]`))
@@ -103,7 +103,7 @@
 		days, err := decodeDays([]byte(`faults = [{ kind = "burst", zone = "@z0", to_zone = "@z1", service = "@s0", class = "@c0" }]`))
 		require.NoError(t, err)
 		require.Len(t, days, 1)
-		assert.Empty(t, foreignNames(days[0]))
+		assert.Empty(t, siteSpecificNames(days[0]))
 	})
 }
 
@@ -133,14 +133,14 @@
 	t.Helper()
 	assert.NotEmpty(t, d.Name)
 	assert.NotEmpty(t, d.Slot)
-	assert.Empty(t, foreignNames(d))
+	assert.Empty(t, siteSpecificNames(d))
 	for _, entry := range slices.Concat(d.Plan, d.Faults) {
 		assert.NotEmpty(t, entry.Kind)
 	}
 }
 
-// foreignNames lists the zones, regions, services and kinds of request that are named other than by their place in a site file.
-func foreignNames(d day) []string {
+// siteSpecificNames lists the zones, regions, services and kinds of request that are named other than by their place in a site file.
+func siteSpecificNames(d day) []string {
 	var foreign []string
 	check := func(name, prefix string) {
 		if name != "" && !isPlaceholder(name, prefix) {
--- a/bench/freshness/freshness.go
+++ b/bench/freshness/freshness.go
@@ -10,36 +10,36 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// Setting is what is measured.
-type Setting struct {
+// Config is what is measured.
+type Config struct {
 	Entries int
 	Agents  int
 	Zones   int
-	// Lost is the share of pushes that get lost.
-	Lost float64
-	// Carried says that requests carry marks, RequestsPerSecond how many there are in the whole fleet.
-	Carried           bool
-	RequestsPerSecond float64
-	// DigestEvery is how often a process compares marks with a partner.
-	DigestEvery time.Duration
-	Seed        uint64
+	// PushLossRate is the share of pushes that get lost.
+	PushLossRate float64
+	// WatermarksOnRequests says that requests carry marks, RequestsPerSecond how many there are in the whole fleet.
+	WatermarksOnRequests bool
+	RequestsPerSecond    float64
+	// DigestInterval is how often a process compares marks with a partner.
+	DigestInterval time.Duration
+	Seed           uint64
 }
 
 // Result is when the change was held.
 type Result struct {
-	// Most is when 99 in 100 processes held it, All when every one did.
-	Most time.Duration
-	All  time.Duration
-	// Pushed is how many held it by pushes alone.
-	Pushed int
+	// P99 is when 99 in 100 processes held it, All when every one did.
+	P99 time.Duration
+	All time.Duration
+	// PushedCount is how many held it by pushes alone.
+	PushedCount int
 }
 
 type event struct {
 	at   time.Duration
 	from int
 	to   int
-	// request says that a request brings the two together, and not a comparison of marks.
-	request bool
+	// isRequest says that a isRequest brings the two together, and not a comparison of marks.
+	isRequest bool
 }
 
 type events []event
@@ -56,44 +56,44 @@
 	return e
 }
 
-type model struct {
-	Setting
-	random *rand.Rand
-	plans  []replicate.Plan
-	index  map[rillreach.InstanceID]int
-	holds  []bool
-	count  int
-	result Result
-	queue  events
+type simulation struct {
+	Config
+	random      *rand.Rand
+	plans       []replicate.Plan
+	index       map[rillreach.InstanceID]int
+	holds       []bool
+	holderCount int
+	result      Result
+	queue       events
 }
 
 const (
-	hop     = 2 * time.Millisecond
-	longest = 10 * time.Minute
-	most    = 0.99
+	networkDelay = 2 * time.Millisecond
+	maxDuration  = 10 * time.Minute
+	p99Share     = 0.99
 )
 
 // Run measures one change that the watchers have just heard of.
-func Run(s Setting) Result {
-	m := &model{Setting: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed)), index: map[rillreach.InstanceID]int{}}
-	m.build()
+func Run(s Config) Result {
+	m := &simulation{Config: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed)), index: map[rillreach.InstanceID]int{}}
+	m.createNodes()
 	for i, plan := range m.plans {
 		if plan.IsWatcher {
-			m.push(i, 0)
+			m.deliver(i, 0)
 		}
 	}
-	m.result.Pushed = m.count
+	m.result.PushedCount = m.holderCount
 	for i := range m.plans {
-		m.schedule(i, time.Duration(m.random.Float64()*float64(s.DigestEvery)))
+		m.scheduleDigest(i, time.Duration(m.random.Float64()*float64(s.DigestInterval)))
 	}
-	if s.Carried {
-		m.request(0)
+	if s.WatermarksOnRequests {
+		m.scheduleRequest(0)
 	}
 	m.run()
 	return m.result
 }
 
-func (m *model) build() {
+func (m *simulation) createNodes() {
 	var nodes []replicate.Node
 	for i := range m.Entries + m.Agents {
 		node := replicate.Node{
@@ -107,62 +107,62 @@
 	m.plans = replicate.MakePlans(nodes, m.Seed)
 }
 
-// push has a process hold the change and hand it on down its tree, where some of the pushes get lost.
-func (m *model) push(i int, at time.Duration) {
+// deliver has a process hold the change and hand it on down its tree, where some of the pushes get lost.
+func (m *simulation) deliver(i int, at time.Duration) {
 	if m.holds[i] {
 		return
 	}
-	m.hold(i, at)
+	m.recordDelivery(i, at)
 	for _, child := range m.plans[i].Children {
-		if m.random.Float64() >= m.Lost {
-			m.push(m.index[child], at+hop)
+		if m.random.Float64() >= m.PushLossRate {
+			m.deliver(m.index[child], at+networkDelay)
 		}
 	}
 }
 
-func (m *model) hold(i int, at time.Duration) {
+func (m *simulation) recordDelivery(i int, at time.Duration) {
 	m.holds[i] = true
-	m.count++
-	if m.result.Most == 0 && float64(m.count) >= most*float64(len(m.holds)) {
-		m.result.Most = at
+	m.holderCount++
+	if m.result.P99 == 0 && float64(m.holderCount) >= p99Share*float64(len(m.holds)) {
+		m.result.P99 = at
 	}
 	m.result.All = at
 }
 
-// schedule has a process compare marks with one of its partners at a time.
-func (m *model) schedule(i int, at time.Duration) {
+// scheduleDigest has a process compare marks with one of its partners at a time.
+func (m *simulation) scheduleDigest(i int, at time.Duration) {
 	partners := m.plans[i].Partners
 	heap.Push(&m.queue, event{at: at, from: i, to: m.index[partners[m.random.IntN(len(partners))]]})
 }
 
-// request has an entry send an agent a request some time after another.
-func (m *model) request(after time.Duration) {
+// scheduleRequest has an entry send an agent a scheduleRequest some time after another.
+func (m *simulation) scheduleRequest(after time.Duration) {
 	gap := time.Duration(m.random.ExpFloat64() / m.RequestsPerSecond * float64(time.Second))
-	heap.Push(&m.queue, event{at: after + gap, from: m.random.IntN(m.Entries), to: m.Entries + m.random.IntN(m.Agents), request: true})
+	heap.Push(&m.queue, event{at: after + gap, from: m.random.IntN(m.Entries), to: m.Entries + m.random.IntN(m.Agents), isRequest: true})
 }
 
-func (m *model) run() {
-	for m.count < len(m.holds) && len(m.queue) > 0 {
+func (m *simulation) run() {
+	for m.holderCount < len(m.holds) && len(m.queue) > 0 {
 		e := heap.Pop(&m.queue).(event)
-		if e.at > longest {
-			m.result.All = longest
+		if e.at > maxDuration {
+			m.result.All = maxDuration
 			return
 		}
-		m.meet(e)
-		if e.request {
-			m.request(e.at)
+		m.compareWatermarks(e)
+		if e.isRequest {
+			m.scheduleRequest(e.at)
 			continue
 		}
-		m.schedule(e.from, e.at+m.DigestEvery/2+time.Duration(m.random.Float64()*float64(m.DigestEvery)))
+		m.scheduleDigest(e.from, e.at+m.DigestInterval/2+time.Duration(m.random.Float64()*float64(m.DigestInterval)))
 	}
 }
 
-// meet has two processes find out that one of them is behind; what it then learns it hands on.
-func (m *model) meet(e event) {
+// compareWatermarks has two processes find out that one of them is behind; what it then learns it hands on.
+func (m *simulation) compareWatermarks(e event) {
 	switch {
 	case m.holds[e.from] && !m.holds[e.to]:
-		m.push(e.to, e.at+hop)
+		m.deliver(e.to, e.at+networkDelay)
 	case m.holds[e.to] && !m.holds[e.from]:
-		m.push(e.from, e.at+hop)
+		m.deliver(e.from, e.at+networkDelay)
 	}
 }
--- a/bench/freshness/freshness_test.go
+++ b/bench/freshness/freshness_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func setting(agents int) Setting {
-	return Setting{
-		Entries: agents / 5, Agents: agents, Zones: 17, Lost: 0.3, RequestsPerSecond: float64(agents) * 7200 / 4200,
-		DigestEvery: 2 * time.Second, Seed: 1,
+func testConfig(agents int) Config {
+	return Config{
+		Entries: agents / 5, Agents: agents, Zones: 17, PushLossRate: 0.3, RequestsPerSecond: float64(agents) * 7200 / 4200,
+		DigestInterval: 2 * time.Second, Seed: 1,
 	}
 }
 
 func TestChangeReachesAll(t *testing.T) {
 	for _, carried := range []bool{false, true} {
 		t.Run(fmt.Sprintf("carried=%v", carried), func(t *testing.T) {
-			s := setting(420)
-			s.Carried = carried
+			s := testConfig(420)
+			s.WatermarksOnRequests = carried
 			r := Run(s)
 			assert.LessOrEqual(t, r.All, 20*time.Second)
-			assert.Positive(t, r.Pushed)
+			assert.Positive(t, r.PushedCount)
 		})
 	}
 }
@@ -31,23 +31,23 @@
 // pushes lost.
 func BenchmarkFreshness(b *testing.B) {
 	for _, agents := range []int{140, 420, 1400} {
-		for _, lost := range []float64{0.1, 0.5, 1} {
-			for _, carried := range []bool{false, true} {
-				b.Run(fmt.Sprintf("agents=%d/lost=%v/carried=%v", agents, lost, carried), func(b *testing.B) {
-					var all, most time.Duration
+		for _, lossRate := range []float64{0.1, 0.5, 1} {
+			for _, onRequests := range []bool{false, true} {
+				b.Run(fmt.Sprintf("agents=%d/lost=%v/carried=%v", agents, lossRate, onRequests), func(b *testing.B) {
+					var all, p99 time.Duration
 					const seeds = 3
 					for b.Loop() {
-						all, most = 0, 0
+						all, p99 = 0, 0
 						for seed := range uint64(seeds) {
-							s := setting(agents)
-							s.Lost, s.Carried, s.Seed = lost, carried, seed+1
+							s := testConfig(agents)
+							s.PushLossRate, s.WatermarksOnRequests, s.Seed = lossRate, onRequests, seed+1
 							r := Run(s)
 							all += r.All / seeds
-							most += r.Most / seeds
+							p99 += r.P99 / seeds
 						}
 					}
 					b.ReportMetric(all.Seconds(), "s-all")
-					b.ReportMetric(most.Seconds(), "s-99%")
+					b.ReportMetric(p99.Seconds(), "s-99%")
 				})
 			}
 		}
--- a/bench/path/path_test.go
+++ b/bench/path/path_test.go
@@ -43,8 +43,8 @@
 	return resp, err
 }
 
-// first opens a stream, and returns how long its first event took; the rest is read to its end.
-func (c *caller) first(tb testing.TB, url, body string) (time.Duration, int) {
+// timeFirstEvent opens a stream, and returns how long its timeFirstEvent event took; the rest is read to its end.
+func (c *caller) timeFirstEvent(tb testing.TB, url, body string) (time.Duration, int) {
 	tb.Helper()
 	start := time.Now()
 	resp, err := c.open(url, body)
@@ -71,7 +71,7 @@
 	}
 }
 
-func body(i, tokens int) string {
+func requestBody(i, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"prompt %d"}]}`, demo.Model, tokens, i)
 }
 
@@ -95,11 +95,11 @@
 // BenchmarkFirstToken compares the time to first token through entry and agent with that of calling the engine, in
 // turn, with 200 streams open.
 func BenchmarkFirstToken(b *testing.B) {
-	const streams, tokens = 200, 20
+	const streams, outputTokens = 200, 20
 	f, c := startFleet(b, 20*time.Millisecond)
-	direct, through := hdrhistogram.New(1, 1e8, 3), hdrhistogram.New(1, 1e8, 3)
+	direct, routed := hdrhistogram.New(1, 1e8, 3), hdrhistogram.New(1, 1e8, 3)
 	var mu sync.Mutex
-	run := func(url string, into *hdrhistogram.Histogram, count int) {
+	run := func(url string, histogram *hdrhistogram.Histogram, count int) {
 		var wg sync.WaitGroup
 		for worker := range streams {
 			wg.Add(1)
@@ -107,9 +107,9 @@
 				defer wg.Done()
 				time.Sleep(time.Duration(worker) * 2 * time.Millisecond)
 				for i := range count {
-					took, _ := c.first(b, url, body(worker*1000+i, tokens))
+					took, _ := c.timeFirstEvent(b, url, requestBody(worker*1000+i, outputTokens))
 					mu.Lock()
-					_ = into.RecordValue(took.Microseconds())
+					_ = histogram.RecordValue(took.Microseconds())
 					mu.Unlock()
 				}
 			}()
@@ -120,19 +120,19 @@
 	run(f.URLs[0], hdrhistogram.New(1, 1e8, 3), 1)
 	for b.Loop() {
 		run(f.EngineURLs[0], direct, 5)
-		run(f.URLs[0], through, 5)
+		run(f.URLs[0], routed, 5)
 	}
-	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	b.ReportMetric(ms(direct, 50), "ms-direct-p50")
-	b.ReportMetric(ms(through, 50), "ms-through-p50")
-	b.ReportMetric(ms(direct, 99), "ms-direct-p99")
-	b.ReportMetric(ms(through, 99), "ms-through-p99")
+	quantileMillis := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	b.ReportMetric(quantileMillis(direct, 50), "ms-direct-p50")
+	b.ReportMetric(quantileMillis(routed, 50), "ms-through-p50")
+	b.ReportMetric(quantileMillis(direct, 99), "ms-direct-p99")
+	b.ReportMetric(quantileMillis(routed, 99), "ms-through-p99")
 }
 
 // BenchmarkFrames streams as fast as it goes, and reports the events a second through entry and agent. Engine, agent,
 // entry and callers share the processors.
 func BenchmarkFrames(b *testing.B) {
-	const streams, tokens = 64, 2000
+	const streams, outputTokens = 64, 2000
 	f, c := startFleet(b, 0)
 	events := 0
 	var mu sync.Mutex
@@ -143,7 +143,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				_, count := c.first(b, f.URLs[0], body(i, tokens))
+				_, count := c.timeFirstEvent(b, f.URLs[0], requestBody(i, outputTokens))
 				mu.Lock()
 				events += count
 				mu.Unlock()
@@ -160,16 +160,16 @@
 	for _, streams := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			f, c := startFleet(b, time.Hour)
-			before := inUse()
+			before := memoryInUse()
 			var responses []*http.Response
 			for b.Loop() {
 				for i := range streams {
-					resp, err := c.open(f.URLs[0], body(i, 2))
+					resp, err := c.open(f.URLs[0], requestBody(i, 2))
 					require.NoError(b, err)
 					responses = append(responses, resp)
 				}
 			}
-			b.ReportMetric(float64(inUse()-before)/float64(len(responses)), "bytes/stream-all-parts")
+			b.ReportMetric(float64(memoryInUse()-before)/float64(len(responses)), "bytes/stream-all-parts")
 			for _, r := range responses {
 				_ = r.Body.Close()
 			}
@@ -177,7 +177,7 @@
 	}
 }
 
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/bench/policy/kept.go
+++ b/bench/policy/kept.go
@@ -8,128 +8,128 @@
 	"github.com/rillreach/rillreach/route"
 )
 
-// reading is a way to read kept state, from one store or from several at once.
-type reading struct {
-	parts []readPart
-	wait  time.Duration
-	cross *link
+// transfer is a way to read kept state, from one store or from several at once.
+type transfer struct {
+	parts         []transferPart
+	duration      time.Duration
+	crossSideLink *link
 }
 
-type readPart struct {
+type transferPart struct {
 	link *link
 	rate float64
 }
 
 // start begins the reading, and returns when it is done.
-func (r reading) start(now time.Duration, bytes float64) time.Duration {
+func (r transfer) start(now time.Duration, bytes float64) time.Duration {
 	done := now
 	for _, part := range r.parts {
-		done = max(done, part.link.carry(now, bytes/float64(len(r.parts)), part.rate))
+		done = max(done, part.link.sendUrgent(now, bytes/float64(len(r.parts)), part.rate))
 	}
-	if r.cross != nil {
-		done = max(done, r.cross.carry(now, bytes, r.cross.rate))
+	if r.crossSideLink != nil {
+		done = max(done, r.crossSideLink.sendUrgent(now, bytes, r.crossSideLink.rate))
 	}
 	return done
 }
 
 // estimate sets how long reading some bytes would take.
-func (r *reading) estimate(now time.Duration, bytes float64) {
+func (r *transfer) estimate(now time.Duration, bytes float64) {
 	for _, part := range r.parts {
-		r.wait = max(r.wait, part.link.wait(now)+seconds(bytes/float64(len(r.parts))/part.rate))
+		r.duration = max(r.duration, part.link.urgentDelay(now)+seconds(bytes/float64(len(r.parts))/part.rate))
 	}
-	if r.cross != nil {
-		r.wait = max(r.wait, r.cross.wait(now)+seconds(bytes/r.cross.rate))
+	if r.crossSideLink != nil {
+		r.duration = max(r.duration, r.crossSideLink.urgentDelay(now)+seconds(bytes/r.crossSideLink.rate))
 	}
 }
 
-// keptOf finds a conversation's state in the stores of a side, or else of the other.
-func (s *simulation) keptOf(side rillreach.Side, p prompt, cached int) (int, float64, reading) {
-	kept, read := s.heldOn(side, p)
-	if kept <= cached {
-		if far, farRead := s.heldOn(otherSide(side), p); far > cached {
-			kept, read = far, farRead
-			read.cross = &s.cross
+// findStored finds a conversation's state in the stores of a side, or else of the other.
+func (s *simulation) findStored(side rillreach.Side, p prompt, cached int) (int, float64, transfer) {
+	stored, source := s.storedOnSide(side, p)
+	if stored <= cached {
+		if otherStored, otherSource := s.storedOnSide(otherSide(side), p); otherStored > cached {
+			stored, source = otherStored, otherSource
+			source.crossSideLink = &s.crossSideLink
 		}
 	}
-	kept = min(kept, p.prior)
-	bytes := float64(max(kept-cached, 0)) * bytesPerToken
+	stored = min(stored, p.priorTokens)
+	bytes := float64(max(stored-cached, 0)) * bytesPerToken
 	if bytes > 0 {
-		read.estimate(s.now, bytes)
+		source.estimate(s.now, bytes)
 	}
-	return kept, bytes, read
+	return stored, bytes, source
 }
 
-// heldOn is how much of a conversation's state the stores of a side hold. Stripes alternate from the start, so that
+// storedOnSide is how much of a conversation's state the stores of a side hold. Stripes alternate from the start, so that
 // one that is missing leaves nothing to go on from.
-func (s *simulation) heldOn(side rillreach.Side, p prompt) (int, reading) {
-	var read reading
-	kept := 0
-	for _, st := range s.storesOf(side, p) {
-		tokens, rate := st.holds(p.conversation)
+func (s *simulation) storedOnSide(side rillreach.Side, p prompt) (int, transfer) {
+	var source transfer
+	stored := 0
+	for _, st := range s.storesFor(side, p) {
+		tokens, rate := st.lookup(p.conversation)
 		if tokens == 0 {
-			return 0, reading{}
+			return 0, transfer{}
 		}
-		kept += tokens
-		read.parts = append(read.parts, readPart{link: &st.link, rate: rate})
+		stored += tokens
+		source.parts = append(source.parts, transferPart{link: &st.link, rate: rate})
 	}
-	return kept, read
+	return stored, source
 }
 
 // export writes the part of a prompt's state that its store does not have yet.
 func (s *simulation) export(r *runner, p prompt) {
-	stores := s.storesOf(r.side, p)
-	held, _ := s.heldOn(r.side, p)
-	fresh := p.tokens - held
-	if len(stores) == 0 || fresh <= 0 {
+	stores := s.storesFor(r.side, p)
+	stored, _ := s.storedOnSide(r.side, p)
+	newTokens := p.tokens - stored
+	if len(stores) == 0 || newTokens <= 0 {
 		return
 	}
-	question := keep.ExportInput{
-		Tokens: fresh, Bytes: int64(fresh) * bytesPerToken, ReturnProbability: s.gapsOf(p.account).ReturnProbability(0, 48*time.Hour),
+	input := keep.ExportInput{
+		Tokens: newTokens, Bytes: int64(newTokens) * bytesPerToken, ReturnProbability: s.returnsOf(p.account).ReturnProbability(0, 48*time.Hour),
 		PrefillRate: prefillRate, LinkRate: stores[0].link.rate * float64(len(stores)),
 	}
-	if !s.policy.exporting(question) {
+	if !s.policy.shouldExport(input) {
 		return
 	}
 	for _, st := range stores {
-		bytes := float64(question.Bytes) / float64(len(stores))
-		if s.policy.patient() {
-			st.link.carryLater(s.now, bytes)
+		bytes := float64(input.Bytes) / float64(len(stores))
+		if s.policy.prioritizesReads() {
+			st.link.sendBackground(s.now, bytes)
 		} else {
-			st.link.carry(s.now, bytes, st.link.rate)
+			st.link.sendUrgent(s.now, bytes, st.link.rate)
 		}
 		st.put(p.conversation, p.tokens/len(stores))
 	}
 }
 
-func (s *simulation) storeOf(side rillreach.Side, p prompt) *store {
+func (s *simulation) firstStore(side rillreach.Side, p prompt) *store {
 	stores := s.stores[side]
-	ranked := route.Rank(p.hash, len(stores), 2, func(i int) uint64 { return placeOf(5000 + i) })
+	ranked := route.Rank(p.hash, len(stores), 2, func(i int) uint64 { return nodeHash(5000 + i) })
 	for rank := range ranked.Len() {
-		if st := stores[ranked.At(rank)]; !st.dead {
+		if st := stores[ranked.At(rank)]; !st.failed {
 			return st
 		}
 	}
 	return stores[0]
 }
 
-// storesOf are the stores of a side over which a conversation's state is spread.
-func (s *simulation) storesOf(side rillreach.Side, p prompt) []*store {
+// storesFor are the stores of a side over which a conversation's state is spread.
+func (s *simulation) storesFor(side rillreach.Side, p prompt) []*store {
 	all := s.stores[side]
-	ranked := route.Rank(p.hash, len(all), len(all), func(i int) uint64 { return placeOf(5000 + i) })
+	ranked := route.Rank(p.hash, len(all), len(all), func(i int) uint64 { return nodeHash(5000 + i) })
 	var stores []*store
 	for rank := range ranked.Len() {
-		if st := all[ranked.At(rank)]; !st.dead && len(stores) < s.policy.stripes() {
+		if st := all[ranked.At(rank)]; !st.failed && len(stores) < s.policy.stripeCount() {
 			stores = append(stores, st)
 		}
 	}
 	return stores
 }
 
-func (s *simulation) gapsOf(account rillreach.AccountID) *keep.ReturnHistogram {
-	g := s.gaps[account]
+func (s *simulation) returnsOf(account rillreach.AccountID) *keep.ReturnHistogram {
+	g := s.returns[account]
 	if g == nil {
 		g = &keep.ReturnHistogram{}
-		s.gaps[account] = g
+		s.returns[account] = g
 	}
 	return g
 }
--- a/bench/policy/plot.go
+++ b/bench/policy/plot.go
@@ -11,8 +11,8 @@
 	plotWidth  = 28 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
 	barWidth   = 18
-	// longestBar cuts bars off, so that a policy that fails altogether does not flatten the others.
-	longestBar = 15.0
+	// maxBarSeconds cuts bars off, so that a policy that fails altogether does not flatten the others.
+	maxBarSeconds = 15.0
 )
 
 // WritePlot draws each policy's 95th percentile of the time to first token under one scenario, in seconds, to a file
@@ -26,7 +26,7 @@
 	var names []string
 	for _, r := range results {
 		if r.Scenario == scenario {
-			heights = append(heights, min(r.P95.Seconds(), longestBar))
+			heights = append(heights, min(r.P95.Seconds(), maxBarSeconds))
 			names = append(names, r.Policy)
 		}
 	}
--- a/bench/policy/policy.go
+++ b/bench/policy/policy.go
@@ -8,72 +8,74 @@
 	"github.com/rillreach/rillreach/route"
 )
 
-// view is what an entry knows when it places a prompt.
-type view struct {
-	// order are the usable runners of the side.
-	order []*runner
+// entryView is what an entry knows when it places a prompt.
+type entryView struct {
+	// runners are the usable runners of the side.
+	runners []*runner
 	// hints are what the entry last heard of each runner's wait.
-	hints map[*runner]hint
-	// turn counts the entry's prompts.
-	turn int
+	hints map[*runner]runnerHint
+	// promptCount counts the entry's prompts.
+	promptCount int
 }
 
 // Policy places prompts and decides on their state.
 type Policy interface {
 	// Name names the policy in tables.
 	Name() string
-	// place chooses a runner.
-	place(s *simulation, v view, p prompt) *runner
-	// importing decides whether to read kept state.
-	importing(q keep.ImportInput) bool
-	// exporting decides whether to write state.
-	exporting(q keep.ExportInput) bool
-	// patient says that writing waits for reading.
-	patient() bool
-	// stripes is over how many stores a conversation's state is spread.
-	stripes() int
+	// chooseRunner chooses a runner.
+	chooseRunner(s *simulation, v entryView, p prompt) *runner
+	// shouldImport decides whether to read kept state.
+	shouldImport(q keep.ImportInput) bool
+	// shouldExport decides whether to write state.
+	shouldExport(q keep.ExportInput) bool
+	// prioritizesReads says that writing waits for reading.
+	prioritizesReads() bool
+	// stripeCount is over how many stores a conversation's state is spread.
+	stripeCount() int
 }
 
-// Naive is what a baseline does with state: nothing, or it keeps all and reads all, and lets reading and writing share
+// NaiveStorage is what a baseline does with state: nothing, or it keeps all and reads all, and lets reading and writing share
 // a link as they come.
-type Naive struct {
-	// Keep says that the baseline uses the stores.
-	Keep bool
+type NaiveStorage struct {
+	// UseStores says that the baseline uses the stores.
+	UseStores bool
 }
 
-func (n Naive) importing(q keep.ImportInput) bool { return n.Keep && q.Stored > q.Cached }
-func (n Naive) exporting(keep.ExportInput) bool   { return n.Keep }
-func (n Naive) patient() bool                     { return false }
-func (n Naive) stripes() int                      { return 1 }
+func (n NaiveStorage) shouldImport(q keep.ImportInput) bool {
+	return n.UseStores && q.Stored > q.Cached
+}
+func (n NaiveStorage) shouldExport(keep.ExportInput) bool { return n.UseStores }
+func (n NaiveStorage) prioritizesReads() bool             { return false }
+func (n NaiveStorage) stripeCount() int                   { return 1 }
 
-func (n Naive) named(name string) string {
-	if n.Keep {
+func (n NaiveStorage) policyName(name string) string {
+	if n.UseStores {
 		return name + " + stores"
 	}
 	return name
 }
 
 // RoundRobin takes one runner after another.
-type RoundRobin struct{ Naive }
+type RoundRobin struct{ NaiveStorage }
 
 // Name names the policy.
-func (b RoundRobin) Name() string { return b.named("round robin") }
+func (b RoundRobin) Name() string { return b.policyName("round robin") }
 
-func (RoundRobin) place(_ *simulation, v view, _ prompt) *runner {
-	return v.order[v.turn%len(v.order)]
+func (RoundRobin) chooseRunner(_ *simulation, v entryView, _ prompt) *runner {
+	return v.runners[v.promptCount%len(v.runners)]
 }
 
 // LeastLoaded takes the runner that is said to have the shortest wait.
-type LeastLoaded struct{ Naive }
+type LeastLoaded struct{ NaiveStorage }
 
 // Name names the policy.
-func (b LeastLoaded) Name() string { return b.named("least loaded") }
+func (b LeastLoaded) Name() string { return b.policyName("least loaded") }
 
-func (LeastLoaded) place(s *simulation, v view, _ prompt) *runner {
-	best := v.order[v.turn%len(v.order)]
-	for i := range v.order {
-		r := v.order[(v.turn+i)%len(v.order)]
-		if v.wait(s, r) < v.wait(s, best) {
+func (LeastLoaded) chooseRunner(s *simulation, v entryView, _ prompt) *runner {
+	best := v.runners[v.promptCount%len(v.runners)]
+	for i := range v.runners {
+		r := v.runners[(v.promptCount+i)%len(v.runners)]
+		if v.estimateWait(s, r) < v.estimateWait(s, best) {
 			best = r
 		}
 	}
@@ -81,50 +83,50 @@
 }
 
 // ConsistentHash takes the conversation's runner by hash.
-type ConsistentHash struct{ Naive }
+type ConsistentHash struct{ NaiveStorage }
 
 // Name names the policy.
-func (b ConsistentHash) Name() string { return b.named("consistent hashing") }
+func (b ConsistentHash) Name() string { return b.policyName("consistent hashing") }
 
-func (ConsistentHash) place(_ *simulation, v view, p prompt) *runner {
-	ranked := route.Rank(p.hash, len(v.order), 1, func(i int) uint64 { return v.order[i].place })
-	return v.order[ranked.At(0)]
+func (ConsistentHash) chooseRunner(_ *simulation, v entryView, p prompt) *runner {
+	ranked := route.Rank(p.hash, len(v.runners), 1, func(i int) uint64 { return v.runners[i].hash })
+	return v.runners[ranked.At(0)]
 }
 
 // LongestPrefix takes the runner whose memory holds most of the prompt, which it is told without a lag.
-type LongestPrefix struct{ Naive }
+type LongestPrefix struct{ NaiveStorage }
 
 // Name names the policy.
-func (b LongestPrefix) Name() string { return b.named("longest prefix") }
+func (b LongestPrefix) Name() string { return b.policyName("longest prefix") }
 
-func (LongestPrefix) place(s *simulation, v view, p prompt) *runner {
-	best, most := v.order[v.turn%len(v.order)], 0
-	for _, r := range v.order {
-		if held := r.cache.tokens(p.conversation); held > most {
-			best, most = r, held
+func (LongestPrefix) chooseRunner(s *simulation, v entryView, p prompt) *runner {
+	best, mostCached := v.runners[v.promptCount%len(v.runners)], 0
+	for _, r := range v.runners {
+		if cached := r.cache.tokens(p.conversation); cached > mostCached {
+			best, mostCached = r, cached
 		}
 	}
-	if most > 0 {
+	if mostCached > 0 {
 		return best
 	}
-	return LeastLoaded{}.place(s, v, p)
+	return LeastLoaded{}.chooseRunner(s, v, p)
 }
 
-// Own is this project's policy: the real packages.
-type Own struct {
+// Rillreach is this project's policy: the real packages.
+type Rillreach struct {
 	// Stripes is over how many stores a conversation's state is spread; zero means two, as the agents do.
 	Stripes int
 }
 
 // Name names the policy.
-func (o Own) Name() string {
+func (o Rillreach) Name() string {
 	if o.Stripes > 0 {
 		return fmt.Sprintf("rillreach, %d stripe", o.Stripes)
 	}
 	return "rillreach"
 }
 
-func (o Own) stripes() int {
+func (o Rillreach) stripeCount() int {
 	if o.Stripes == 0 {
 		return defaultStripes
 	}
@@ -136,44 +138,44 @@
 	defaultStripes = 2
 )
 
-func (Own) place(s *simulation, v view, p prompt) *runner {
-	ranked := route.Rank(p.hash, len(v.order), candidateCount, func(i int) uint64 { return v.order[i].place })
+func (Rillreach) chooseRunner(s *simulation, v entryView, p prompt) *runner {
+	ranked := route.Rank(p.hash, len(v.runners), candidateCount, func(i int) uint64 { return v.runners[i].hash })
 	candidates := make([]route.Candidate, ranked.Len())
 	for rank := range candidates {
-		r := v.order[ranked.At(rank)]
+		r := v.runners[ranked.At(rank)]
 		candidates[rank] = route.Candidate{
-			QueueWait:    v.wait(s, r),
+			QueueWait:    v.estimateWait(s, r),
 			PrefillRate:  prefillRate,
 			Home:         rank == 0,
-			Continuation: p.prior > 0,
+			Continuation: p.priorTokens > 0,
 			HitRate:      v.hints[r].hitRate,
-			StoredTokens: p.prior,
-			ImportTime:   seconds(float64(p.prior) * bytesPerToken / linkRate),
+			StoredTokens: p.priorTokens,
+			ImportTime:   seconds(float64(p.priorTokens) * bytesPerToken / linkRate),
 		}
 	}
 	choice := route.Choose(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, candidates)
-	return v.order[ranked.At(choice.Index)]
+	return v.runners[ranked.At(choice.Index)]
 }
 
-func (Own) importing(q keep.ImportInput) bool { return q.Decide() == keep.VerdictImport }
-func (Own) exporting(q keep.ExportInput) bool { return q.Decide() == keep.VerdictExport }
-func (Own) patient() bool                     { return true }
+func (Rillreach) shouldImport(q keep.ImportInput) bool { return q.Decide() == keep.VerdictImport }
+func (Rillreach) shouldExport(q keep.ExportInput) bool { return q.Decide() == keep.VerdictExport }
+func (Rillreach) prioritizesReads() bool               { return true }
 
-// Perfect knows every runner's queue and memory, every store and every link as they are, and takes what starts this
+// PerfectKnowledge knows every runner's queue and memory, every store and every link as they are, and takes what starts this
 // prompt best. It is greedy, and so a yardstick and not the optimum over all prompts.
-type Perfect struct{ Own }
+type PerfectKnowledge struct{ Rillreach }
 
 // Name names the policy.
-func (Perfect) Name() string { return "perfect knowledge" }
-
-func (Perfect) place(s *simulation, v view, p prompt) *runner {
-	best, bestChoice := v.order[0], route.Choice{}
-	for i, r := range v.order {
-		st := s.storeOf(r.side, p)
-		kept, rate := st.holds(p.conversation)
-		c := route.Candidate{QueueWait: r.wait(s.now), PrefillRate: prefillRate, CachedTokens: min(r.cache.tokens(p.conversation), p.tokens), StoredTokens: kept}
-		if kept > 0 {
-			c.ImportTime = st.link.wait(s.now) + seconds(float64(kept-c.CachedTokens)*bytesPerToken/rate)
+func (PerfectKnowledge) Name() string { return "perfect knowledge" }
+
+func (PerfectKnowledge) chooseRunner(s *simulation, v entryView, p prompt) *runner {
+	best, bestChoice := v.runners[0], route.Choice{}
+	for i, r := range v.runners {
+		st := s.firstStore(r.side, p)
+		stored, rate := st.lookup(p.conversation)
+		c := route.Candidate{QueueWait: r.queueWait(s.now), PrefillRate: prefillRate, CachedTokens: min(r.cache.tokens(p.conversation), p.tokens), StoredTokens: stored}
+		if stored > 0 {
+			c.ImportTime = st.link.urgentDelay(s.now) + seconds(float64(stored-c.CachedTokens)*bytesPerToken/rate)
 		}
 		choice := route.Estimate(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, &c)
 		if i == 0 || route.Better(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, choice, bestChoice) {
@@ -183,16 +185,16 @@
 	return best
 }
 
-func placeOf(i int) uint64 { return hash.Mix(uint64(i), 0xface) }
+func nodeHash(i int) uint64 { return hash.Mix(uint64(i), 0xface) }
 
 // Baselines are the policies to compare with.
 func Baselines() []Policy {
 	var list []Policy
-	for _, keeping := range []Naive{{}, {Keep: true}} {
-		list = append(list, RoundRobin{keeping}, LeastLoaded{keeping}, ConsistentHash{keeping}, LongestPrefix{keeping})
+	for _, storage := range []NaiveStorage{{}, {UseStores: true}} {
+		list = append(list, RoundRobin{storage}, LeastLoaded{storage}, ConsistentHash{storage}, LongestPrefix{storage})
 	}
 	return list
 }
 
-// Keeps reports whether a baseline uses the stores.
-func Keeps(p Policy) bool { return p.exporting(keep.ExportInput{}) }
+// UsesStores reports whether a baseline uses the stores.
+func UsesStores(p Policy) bool { return p.shouldExport(keep.ExportInput{}) }
--- a/bench/policy/policy_test.go
+++ b/bench/policy/policy_test.go
@@ -10,9 +10,9 @@
 func TestRunsAreRepeatable(t *testing.T) {
 	d := Kigali().Small()
 	arrivals := Generate(d, 1)
-	for _, p := range append(Baselines(), Own{}, Perfect{}) {
+	for _, p := range append(Baselines(), Rillreach{}, PerfectKnowledge{}) {
 		t.Run(p.Name(), func(t *testing.T) {
-			for _, s := range []Scenario{StoreDead(), Shift(true)} {
+			for _, s := range []Scenario{StoreFailure(), Shift(true)} {
 				first, second := Run(d, p, arrivals, s), Run(d, p, Generate(d, 1), s)
 				first.times, second.times = nil, nil
 				assert.Equal(t, first, second)
@@ -27,10 +27,10 @@
 	require.NotEmpty(t, arrivals)
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
-			r := Run(d, Own{}, arrivals, s)
+			r := Run(d, Rillreach{}, arrivals, s)
 			assert.Equal(t, len(arrivals), r.Answered+r.Refused)
 			assert.LessOrEqual(t, r.Refused, len(arrivals)/100)
-			assert.LessOrEqual(t, r.LinkBusy, 1.0)
+			assert.LessOrEqual(t, r.LinkUtilization, 1.0)
 		})
 	}
 }
--- a/bench/policy/report.go
+++ b/bench/policy/report.go
@@ -40,16 +40,16 @@
 	_, _ = fmt.Fprintln(tab, "deployment\tscenario\tpolicy\tanswered\trefused\tp50 s\tp95 s\tp99 s\trecomputed %\tbusiest link %\tbetween sides %\tTB carried\t")
 	for _, r := range results {
 		_, _ = fmt.Fprintf(tab, "%s\t%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%.1f\t\n", deployment, r.Scenario, r.Policy, r.Answered,
-			r.Refused, r.P50.Seconds(), r.P95.Seconds(), r.P99.Seconds(), 100*r.Recomputed, 100*r.LinkBusy, 100*r.CrossBusy, r.LinkBytes/1e12)
+			r.Refused, r.P50.Seconds(), r.P95.Seconds(), r.P99.Seconds(), 100*r.RecomputedShare, 100*r.LinkUtilization, 100*r.CrossSideUtilization, r.LinkBytes/1e12)
 	}
 	return errors.Wrap(tab.Flush(), "write table")
 }
 
 // Small makes a deployment a tenth as large, for tests.
 func (d Deployment) Small() Deployment {
-	const part = 10
-	d.Runners = max(d.Runners/part, 2)
-	d.Conversations /= part
+	const reduction = 10
+	d.Runners = max(d.Runners/reduction, 2)
+	d.Conversations /= reduction
 	d.Span = min(d.Span, 24*time.Hour)
 	return d
 }
--- a/bench/policy/result.go
+++ b/bench/policy/result.go
@@ -16,54 +16,54 @@
 	Refused  int
 	// P50, P95 and P99 are of the time to first token of prompts that return.
 	P50, P95, P99 time.Duration
-	// Recomputed is the share of the tokens of returning prompts that had been computed before and were computed again.
-	Recomputed float64
-	// LinkBusy is the largest share of the run's time that a store's link was busy, CrossBusy that of the link between
+	// RecomputedShare is the share of the tokens of returning prompts that had been computed before and were computed again.
+	RecomputedShare float64
+	// LinkUtilization is the largest share of the run's time that a store's link was busy, CrossBusy that of the link between
 	// the sides.
-	LinkBusy  float64
-	CrossBusy float64
+	LinkUtilization      float64
+	CrossSideUtilization float64
 	// LinkBytes is what the stores' links have carried.
 	LinkBytes float64
 
-	times    *hdrhistogram.Histogram
-	prior    int
-	computed int
+	times            *hdrhistogram.Histogram
+	priorTokens      int
+	recomputedTokens int
 }
 
 const (
-	longestTime = int64(time.Hour / time.Microsecond)
-	digits      = 3
+	maxRecordedMicros = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
 func (r *Result) record(p prompt, first time.Duration, reused int) {
 	r.Answered++
-	if p.prior == 0 {
+	if p.priorTokens == 0 {
 		return
 	}
 	if r.times == nil {
-		r.times = hdrhistogram.New(1, longestTime, digits)
+		r.times = hdrhistogram.New(1, maxRecordedMicros, significantDigits)
 	}
-	_ = r.times.RecordValue(min(first.Microseconds(), longestTime))
-	r.prior += p.prior
-	r.computed += max(p.prior-reused, 0)
+	_ = r.times.RecordValue(min(first.Microseconds(), maxRecordedMicros))
+	r.priorTokens += p.priorTokens
+	r.recomputedTokens += max(p.priorTokens-reused, 0)
 }
 
-func (s *simulation) finish() Result {
+func (s *simulation) summarize() Result {
 	r := &s.result
 	r.Policy, r.Scenario = s.policy.Name(), s.scenario.Name
 	if r.times != nil {
 		quantile := func(q float64) time.Duration { return time.Duration(r.times.ValueAtQuantile(q)) * time.Microsecond }
 		r.P50, r.P95, r.P99 = quantile(50), quantile(95), quantile(99)
-		r.Recomputed = float64(r.computed) / float64(r.prior)
+		r.RecomputedShare = float64(r.recomputedTokens) / float64(r.priorTokens)
 	}
 	for _, side := range []rillreach.Side{rillreach.SideOld, rillreach.SideNew} {
 		for _, st := range s.stores[side] {
 			st.link.advance(s.now)
-			r.LinkBusy = max(r.LinkBusy, st.link.busy.Seconds()/s.now.Seconds())
-			r.LinkBytes += st.link.carried
+			r.LinkUtilization = max(r.LinkUtilization, st.link.busyTime.Seconds()/s.now.Seconds())
+			r.LinkBytes += st.link.sentBytes
 		}
 	}
-	s.cross.advance(s.now)
-	r.CrossBusy = s.cross.busy.Seconds() / s.now.Seconds()
+	s.crossSideLink.advance(s.now)
+	r.CrossSideUtilization = s.crossSideLink.busyTime.Seconds() / s.now.Seconds()
 	return *r
 }
--- a/bench/policy/scenario.go
+++ b/bench/policy/scenario.go
@@ -20,17 +20,17 @@
 	return Scenario{Name: "calm", schedule: func(*simulation) {}}
 }
 
-// StoreDead loses one of the stores, and all it held, halfway.
-func StoreDead() Scenario {
+// StoreFailure loses one of the stores, and all it held, halfway.
+func StoreFailure() Scenario {
 	return Scenario{Name: "store dead", schedule: func(s *simulation) {
-		s.after(s.deployment.Span/2, func() { s.loseStore(s.stores[rillreach.SideOld]) })
+		s.schedule(s.deployment.Span/2, func() { s.failStore(s.stores[rillreach.SideOld]) })
 	}}
 }
 
-// loseStore loses the first of a side's stores, and with it all state that was spread over it and others.
-func (s *simulation) loseStore(stores []*store) {
-	stores[0].dead = true
-	if s.policy.stripes() == 1 {
+// failStore loses the first of a side's stores, and with it all state that was spread over it and others.
+func (s *simulation) failStore(stores []*store) {
+	stores[0].failed = true
+	if s.policy.stripeCount() == 1 {
 		return
 	}
 	for _, st := range stores[1:] {
@@ -38,10 +38,10 @@
 	}
 }
 
-// SlowLink has the links to the stores carry a tenth from halfway on.
-func SlowLink() Scenario {
+// SlowLinks has the links to the stores carry a tenth from halfway on.
+func SlowLinks() Scenario {
 	return Scenario{Name: "links at a tenth", schedule: func(s *simulation) {
-		s.after(s.deployment.Span/2, func() {
+		s.schedule(s.deployment.Span/2, func() {
 			for _, st := range s.stores[rillreach.SideOld] {
 				st.link.advance(s.now)
 				st.link.rate /= 10
@@ -50,12 +50,12 @@
 	}}
 }
 
-// HallGone loses a third of the runners halfway.
-func HallGone() Scenario {
+// RunnerFailures loses a third of the runners halfway.
+func RunnerFailures() Scenario {
 	return Scenario{Name: "a hall gone", schedule: func(s *simulation) {
-		s.after(s.deployment.Span/2, func() {
+		s.schedule(s.deployment.Span/2, func() {
 			for i, r := range s.runners[rillreach.SideOld] {
-				r.gone = r.gone || i%3 == 0
+				r.failed = r.failed || i%3 == 0
 			}
 		})
 	}}
@@ -64,27 +64,27 @@
 const shiftSteps = 10
 
 // Shift moves all weight from the old side to the new in ten steps, with or without copying state ahead.
-func Shift(ahead bool) Scenario {
+func Shift(copyAhead bool) Scenario {
 	name := "shift"
-	if ahead {
+	if copyAhead {
 		name = "shift, copied ahead"
 	}
 	return Scenario{Name: name, schedule: func(s *simulation) {
 		for step := 1; step <= shiftSteps; step++ {
 			at := s.deployment.Span * time.Duration(step) / (shiftSteps + 2)
-			s.after(at, func() { s.shift(step*rillreach.TotalWeight/shiftSteps, ahead) })
+			s.schedule(at, func() { s.shift(step*rillreach.TotalWeight/shiftSteps, copyAhead) })
 		}
 	}}
 }
 
-func (s *simulation) shift(toNew int, ahead bool) {
+func (s *simulation) shift(newWeight int, copyAhead bool) {
 	before := s.weights
-	s.weights = rillreach.Weights{Old: rillreach.TotalWeight - toNew, New: toNew}
-	if !ahead {
+	s.weights = rillreach.Weights{Old: rillreach.TotalWeight - newWeight, New: newWeight}
+	if !copyAhead {
 		return
 	}
 	var moved []prompt
-	for _, p := range s.seen {
+	for _, p := range s.lastPrompts {
 		if route.Side(before, p.hash) != route.Side(s.weights, p.hash) {
 			moved = append(moved, p)
 		}
@@ -100,26 +100,26 @@
 // copyAhead copies a conversation's state to the other side, behind everything that callers wait for; it counts as
 // there once the link between the sides has carried it.
 func (s *simulation) copyAhead(p prompt) {
-	kept, _ := s.heldOn(rillreach.SideOld, p)
-	if kept == 0 {
+	stored, _ := s.storedOnSide(rillreach.SideOld, p)
+	if stored == 0 {
 		return
 	}
-	bytes := float64(kept) * bytesPerToken
-	s.cross.carryLater(s.now, bytes)
-	done := s.now + seconds((s.cross.urgent+s.cross.later)/s.cross.rate)
-	s.after(done, func() {
-		if held, _ := s.heldOn(rillreach.SideNew, p); held >= kept {
+	bytes := float64(stored) * bytesPerToken
+	s.crossSideLink.sendBackground(s.now, bytes)
+	done := s.now + seconds((s.crossSideLink.urgentBytes+s.crossSideLink.backgroundBytes)/s.crossSideLink.rate)
+	s.schedule(done, func() {
+		if existing, _ := s.storedOnSide(rillreach.SideNew, p); existing >= stored {
 			return
 		}
-		targets := s.storesOf(rillreach.SideNew, p)
+		targets := s.storesFor(rillreach.SideNew, p)
 		for _, target := range targets {
-			target.link.carryLater(s.now, bytes/float64(len(targets)))
-			target.put(p.conversation, kept/len(targets))
+			target.link.sendBackground(s.now, bytes/float64(len(targets)))
+			target.put(p.conversation, stored/len(targets))
 		}
 	})
 }
 
 // Scenarios are all of them.
 func Scenarios() []Scenario {
-	return []Scenario{Calm(), StoreDead(), SlowLink(), HallGone(), Shift(false), Shift(true)}
+	return []Scenario{Calm(), StoreFailure(), SlowLinks(), RunnerFailures(), Shift(false), Shift(true)}
 }
--- a/cmd/bench.go
+++ b/cmd/bench.go
@@ -54,7 +54,7 @@
 			Deployment: d,
 			Seed:       uint64(c.Uint("seed")),
 			Scenarios:  scenarios,
-			Policies:   append(policy.Baselines(), policy.Own{Stripes: 1}, policy.Own{}, policy.Perfect{}),
+			Policies:   append(policy.Baselines(), policy.Rillreach{Stripes: 1}, policy.Rillreach{}, policy.PerfectKnowledge{}),
 		}
 		results := experiment.Run()
 		if err := policy.WriteTable(c.Root().Writer, d.Name, results); err != nil {
