--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -28,6 +28,7 @@
 	"github.com/rillreach/rillreach/table"
 )
 
+// TestBounds measures every figure in bounds.yaml and fails if one exceeds its bound.
 func TestBounds(t *testing.T) {
 	data, err := os.ReadFile("bounds.yaml")
 	require.NoError(t, err)
@@ -60,7 +61,7 @@
 	assert.Len(t, measured, len(bounds))
 }
 
-// experimentResults is the results of the small workload of a deployment.
+// experimentResults are the results on the small workload of a deployment.
 type experimentResults []policy.Result
 
 func runExperiment(d policy.Deployment) experimentResults {
@@ -72,6 +73,7 @@
 	return e.Run()
 }
 
+// find returns the result of the production policy under a scenario.
 func (e experimentResults) find(scenario string) policy.Result {
 	for _, r := range e {
 		if r.Scenario == scenario && r.Policy == (policy.Rillreach{}).Name() {
@@ -81,7 +83,7 @@
 	return policy.Result{}
 }
 
-// p95RatioToBest is the own p95 as a share of the best baseline's, among those that keep state or those that do not.
+// p95RatioToBest returns the p95 of the production policy relative to the best baseline with or without stores.
 func (e experimentResults) p95RatioToBest(scenario string, usesStores bool) float64 {
 	best := math.Inf(1)
 	for _, b := range policy.Baselines() {
@@ -106,6 +108,7 @@
 	})
 }
 
+// bytesPerItem returns the heap memory per item of the state that build creates.
 func bytesPerItem(count int, build func(int) any) float64 {
 	before := heapInUse()
 	state := build(count)
@@ -114,6 +117,7 @@
 	return float64(after-before) / float64(count)
 }
 
+// heapInUse returns the size of the live heap after garbage collection.
 func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -159,6 +163,7 @@
 	return members
 }
 
+// leaseRenewalBytes returns the encoded size of a lease request and its response, per row.
 func leaseRenewalBytes(t *testing.T) float64 {
 	t.Helper()
 	const count = 20
@@ -176,7 +181,7 @@
 	return float64(len(encodedRequest)+len(encodedResponse)) / count
 }
 
-// makeNodes are a fleet of processes in 17 zones.
+// makeNodes returns nodes in 17 zones, a sixth of them entries.
 func makeNodes(count int) []replicate.Node {
 	list := make([]replicate.Node, count)
 	for i := range list {
@@ -207,7 +212,7 @@
 	return float64(count)
 }
 
-// retryCount are those of 1,000 requests that all fail, after 200 that did not.
+// retryCount returns how many of 1,000 failed requests are retried, after 200 successful ones.
 func retryCount() float64 {
 	budget := &retry.Budget{}
 	for range 200 {
@@ -223,6 +228,7 @@
 	return float64(count)
 }
 
+// freshnessWithoutPushes returns how long a change takes to reach all processes if every push is lost.
 func freshnessWithoutPushes() float64 {
 	result := freshness.Run(freshness.Config{
 		Entries: 140, Agents: 700, Zones: 17, PushLossRate: 1, WatermarksOnRequests: true, RequestsPerSecond: 1200, DigestInterval: 2 * time.Second, Seed: 1,
--- a/bench/capacity/connections_test.go
+++ b/bench/capacity/connections_test.go
@@ -17,6 +17,7 @@
 	"github.com/rillreach/rillreach/peer"
 )
 
+// newPool returns a pool of peer connections whose peers can call an empty unary method.
 func newPool(ctx context.Context, name string) *peer.Pool {
 	p := &peer.Pool{
 		Self: rillreach.Instance{
@@ -31,8 +32,8 @@
 	return p
 }
 
-// BenchmarkConnections is one process's connections to many peers; both ends are in this process, so that each
-// connection's figure is twice what one process spends.
+// BenchmarkConnections measures the connections of one process to many peers. Both ends are in this process, so the
+// memory is divided by two.
 func BenchmarkConnections(b *testing.B) {
 	for _, count := range []int{50, 200, 800} {
 		b.Run(fmt.Sprintf("connections=%d", count), func(b *testing.B) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// BenchmarkLeaseBytes is the size of what an entry and an owner send each other for each row and renewal.
+// BenchmarkLeaseBytes measures the size of the messages between an entry and an owner per row and lease renewal.
 func BenchmarkLeaseBytes(b *testing.B) {
 	for _, rows := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
--- a/bench/capacity/doc.go
+++ b/bench/capacity/doc.go
@@ -1,3 +1,3 @@
-// Package capacity holds the benchmarks that give the slopes of docs/CAPACITY.md: state, messages and processor time as
-// they grow with rows, instances, connections and requests.
+// Package capacity contains the benchmarks behind the figures in docs/CAPACITY.md: how memory, message sizes and
+// processor time grow with the numbers of rows, instances, connections and requests.
 package capacity
--- a/bench/capacity/state_test.go
+++ b/bench/capacity/state_test.go
@@ -19,7 +19,7 @@
 	"github.com/rillreach/rillreach/table"
 )
 
-// heapInUse is the memory in use after a collection.
+// heapInUse returns the size of the live heap after garbage collection.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -27,7 +27,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// benchmarkPerItem builds a state of some items and reports the memory and the time for each.
+// benchmarkPerItem builds a state of each size and reports the memory and the time per item.
 func benchmarkPerItem(b *testing.B, sizes []int, build func(count int) any) {
 	b.Helper()
 	for _, count := range sizes {
@@ -82,7 +82,7 @@
 	return replicate.Delta{Snapshot: true, To: replicate.Watermark{Kind: kind, Version: uint64(len(objects) + 1)}, Objects: objects}
 }
 
-// BenchmarkRows is the copy of the rows and the table made of it.
+// BenchmarkRows measures the replica of the rows and the table built from it.
 func BenchmarkRows(b *testing.B) {
 	benchmarkPerItem(b, []int{1000, 4000, 16000}, func(count int) any {
 		t, replica := &table.Table{}, replicate.NewReplica()
@@ -96,7 +96,7 @@
 	})
 }
 
-// BenchmarkInstances is the copy of the list of instances and the members made of it.
+// BenchmarkInstances measures the replica of the instances and the membership built from it.
 func BenchmarkInstances(b *testing.B) {
 	benchmarkPerItem(b, []int{500, 1500, 5030}, func(count int) any {
 		m, replica := membership.New(), replicate.NewReplica()
@@ -110,7 +110,7 @@
 	})
 }
 
-// BenchmarkShares is an entry's shares of rows in use.
+// BenchmarkShares measures the limiters that an entry has for the rows in use.
 func BenchmarkShares(b *testing.B) {
 	benchmarkPerItem(b, []int{100, 1000, 10000}, func(count int) any {
 		limiters := make([]*limit.Limiter, count)
@@ -122,7 +122,7 @@
 	})
 }
 
-// BenchmarkOutcomes is an agent's memory of requests that ran once, with answers of 200 bytes.
+// BenchmarkOutcomes measures an agent's ledger of at-most-once requests, with response bodies of 200 bytes.
 func BenchmarkOutcomes(b *testing.B) {
 	benchmarkPerItem(b, []int{1000, 4000, 16000}, func(count int) any {
 		ledger, now := &once.Ledger{}, time.Now()
@@ -135,7 +135,7 @@
 	})
 }
 
-// BenchmarkResident is what an agent believes its engine's memory to hold.
+// BenchmarkResident measures an agent's estimate of the contents of its engine's cache.
 func BenchmarkResident(b *testing.B) {
 	benchmarkPerItem(b, []int{500, 1000, 4000}, func(count int) any {
 		estimate := &keep.CacheEstimate{}
@@ -146,6 +146,7 @@
 	})
 }
 
+// TestObjectsDecode checks that the objects used by the benchmarks are valid.
 func TestObjectsDecode(t *testing.T) {
 	_, err := rillreach.DecodeRow(rowObject(3).Value)
 	require.NoError(t, err)
@@ -153,7 +154,7 @@
 	require.NoError(t, err)
 }
 
-// stackInUse is the memory in use for goroutines' stackInUse.
+// stackInUse returns the memory in use for goroutine stacks.
 func stackInUse() int64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/bench/days_test.go
+++ b/bench/days_test.go
@@ -13,17 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// daysDir holds the days of our own.
+// daysDir contains the day files of this project. A day is a schedule of planned changes and faults for a test run.
 const daysDir = "../deploy/days"
 
-// dayFile is a file with a day of our own, which stands at its top level or in a list of days.
+// dayFile is a file with one day at its top level or with a list of days.
 type dayFile struct {
 	day
 	Days []day `toml:"day"`
 }
 
-// day is one day: what is planned, what fails, and the marks that it is measured by. It holds no traffic, since that names
-// zones and kinds of request.
+// day is one day: the planned changes, the faults and the marks that its score is measured by. It has no traffic
+// section, because traffic refers to the zones and request classes of one site.
 type day struct {
 	Name    string         `toml:"name"`
 	Slot    string         `toml:"slot"`
@@ -39,7 +39,7 @@
 	Faults  []dayEvent     `toml:"faults"`
 }
 
-// dayEvent is one entry of a day, with all the fields that a day may have.
+// dayEvent is a planned change or a fault, with all fields that a day may use.
 type dayEvent struct {
 	At      float64 `toml:"at"`
 	Kind    string  `toml:"kind"`
@@ -57,8 +57,8 @@
 	Class   string  `toml:"class"`
 }
 
-// TestDaysFitEverySite reads the days as a hunt does: only files that lie directly in the folder, none of which may name what
-// other sites don't have.
+// TestDaysFitEverySite guards against days that can only run on one site because they name its zones, regions,
+// services or request classes. Only files directly in the folder are run, so it must have no subfolders.
 func TestDaysFitEverySite(t *testing.T) {
 	entries, err := os.ReadDir(daysDir)
 	require.NoError(t, err)
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestSiteSpecificNamesAreFound spoils a day that fits, a field at a time.
+// TestSiteSpecificNamesAreFound checks that a site-specific name is found in each field, and that placeholders are
+// allowed only in their own field.
 func TestSiteSpecificNamesAreFound(t *testing.T) {
 	for _, field := range []string{"zone", "to_zone", "region", "service", "class"} {
 		t.Run(field, func(t *testing.T) {
@@ -107,7 +108,7 @@
 	})
 }
 
-// decodeDays reads a file of days, and refuses fields that it doesn't know.
+// decodeDays decodes a file of days. It returns an error for unknown fields.
 func decodeDays(data []byte) ([]day, error) {
 	var file dayFile
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(&file); err != nil {
@@ -119,7 +120,7 @@
 	return file.Days, nil
 }
 
-// assertPurpose fails unless the file begins with a comment that says something.
+// assertPurpose asserts that the file starts with a comment that is not empty.
 func assertPurpose(t *testing.T, data []byte) {
 	t.Helper()
 	first, _, _ := strings.Cut(string(data), "\n")
@@ -128,7 +129,8 @@
 	assert.NotEmpty(t, strings.TrimSpace(purpose))
 }
 
-// assertFitsEverySite fails for a day without a name, with an entry of no kind, or with names of one site.
+// assertFitsEverySite asserts that a day has a name and a slot, that all its events have a kind, and that it has no
+// site-specific names.
 func assertFitsEverySite(t *testing.T, d day) {
 	t.Helper()
 	assert.NotEmpty(t, d.Name)
@@ -139,7 +141,8 @@
 	}
 }
 
-// siteSpecificNames lists the zones, regions, services and kinds of request that are named other than by their place in a site file.
+// siteSpecificNames returns the zones, regions, services and request classes that are not placeholders. A placeholder
+// is the index of an item in the site file, such as @z0. There are none for regions.
 func siteSpecificNames(d day) []string {
 	var foreign []string
 	check := func(name, prefix string) {
@@ -159,7 +162,7 @@
 	return foreign
 }
 
-// isPlaceholder says whether a name is the prefix and a number.
+// isPlaceholder reports whether a name is the prefix followed by a number.
 func isPlaceholder(name, prefix string) bool {
 	number, found := strings.CutPrefix(name, prefix)
 	return found && number != "" && strings.Trim(number, "0123456789") == ""
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,3 +1,3 @@
-// Package bench holds the bounds that the project's figures must keep, and the test that measures them anew. All of
-// them are counts, bytes or shares in virtual time, so that they do not depend on the machine.
+// Package bench holds upper bounds for the project's performance figures, and the test that measures the figures. All
+// of them are counts, bytes, or shares and times in virtual time, so they do not depend on the machine.
 package bench
--- a/bench/freshness/doc.go
+++ b/bench/freshness/doc.go
@@ -1,4 +1,5 @@
-// Package freshness measures in virtual time how soon every process holds a change when pushes are lost: by comparing
-// marks with partners alone, and with marks also carried on the requests that entries send to agents, an idea of the
-// P3Q paper. It uses the real plans of the spreading, and no network or processes.
+// Package freshness measures in virtual time how soon a change reaches every process if pushes are lost. It compares
+// two ways to recover: comparing watermarks with partners, and in addition sending watermarks with the requests from
+// entries to agents, an idea from the P3Q paper. It uses the production plans for replication, but no network or
+// processes.
 package freshness
--- a/bench/freshness/freshness.go
+++ b/bench/freshness/freshness.go
@@ -10,38 +10,41 @@
 	"github.com/rillreach/rillreach/replicate"
 )
 
-// Config is what is measured.
+// Config is the configuration of one measurement.
 type Config struct {
 	Entries int
 	Agents  int
 	Zones   int
-	// PushLossRate is the share of pushes that get lost.
+	// PushLossRate is the share of pushes that are lost.
 	PushLossRate float64
-	// WatermarksOnRequests says that requests carry marks, RequestsPerSecond how many there are in the whole fleet.
+	// WatermarksOnRequests means that requests carry watermarks. RequestsPerSecond is the request rate of the whole
+	// fleet.
 	WatermarksOnRequests bool
 	RequestsPerSecond    float64
-	// DigestInterval is how often a process compares marks with a partner.
+	// DigestInterval is the mean interval at which a process compares watermarks with a partner.
 	DigestInterval time.Duration
 	Seed           uint64
 }
 
-// Result is when the change was held.
+// Result is the time that a change takes to reach the processes.
 type Result struct {
-	// P99 is when 99 in 100 processes held it, All when every one did.
+	// P99 is the time at which 99% of the processes have the change, All the time at which all of them have it.
 	P99 time.Duration
 	All time.Duration
-	// PushedCount is how many held it by pushes alone.
+	// PushedCount is the number of processes that the pushes alone reached.
 	PushedCount int
 }
 
+// event is a contact between two processes.
 type event struct {
 	at   time.Duration
 	from int
 	to   int
-	// isRequest says that a isRequest brings the two together, and not a comparison of marks.
+	// isRequest means that the contact is a request and not a scheduled comparison of watermarks.
 	isRequest bool
 }
 
+// events is a heap of events, the earliest first.
 type events []event
 
 func (h events) Len() int           { return len(h) }
@@ -69,11 +72,12 @@
 
 const (
 	networkDelay = 2 * time.Millisecond
-	maxDuration  = 10 * time.Minute
-	p99Share     = 0.99
+	// maxDuration limits the simulated time.
+	maxDuration = 10 * time.Minute
+	p99Share    = 0.99
 )
 
-// Run measures one change that the watchers have just heard of.
+// Run simulates the replication of one change that the watchers have just received.
 func Run(s Config) Result {
 	m := &simulation{Config: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed)), index: map[rillreach.InstanceID]int{}}
 	m.createNodes()
@@ -107,7 +111,7 @@
 	m.plans = replicate.MakePlans(nodes, m.Seed)
 }
 
-// deliver has a process hold the change and hand it on down its tree, where some of the pushes get lost.
+// deliver gives the change to a process, which pushes it to its children. Some of the pushes are lost.
 func (m *simulation) deliver(i int, at time.Duration) {
 	if m.holds[i] {
 		return
@@ -120,6 +124,7 @@
 	}
 }
 
+// recordDelivery marks a process as having the change and updates the result.
 func (m *simulation) recordDelivery(i int, at time.Duration) {
 	m.holds[i] = true
 	m.holderCount++
@@ -129,13 +134,14 @@
 	m.result.All = at
 }
 
-// scheduleDigest has a process compare marks with one of its partners at a time.
+// scheduleDigest schedules the comparison of watermarks with a random partner.
 func (m *simulation) scheduleDigest(i int, at time.Duration) {
 	partners := m.plans[i].Partners
 	heap.Push(&m.queue, event{at: at, from: i, to: m.index[partners[m.random.IntN(len(partners))]]})
 }
 
-// scheduleRequest has an entry send an agent a scheduleRequest some time after another.
+// scheduleRequest schedules the next request from a random entry to a random agent, at an exponentially distributed
+// interval.
 func (m *simulation) scheduleRequest(after time.Duration) {
 	gap := time.Duration(m.random.ExpFloat64() / m.RequestsPerSecond * float64(time.Second))
 	heap.Push(&m.queue, event{at: after + gap, from: m.random.IntN(m.Entries), to: m.Entries + m.random.IntN(m.Agents), isRequest: true})
@@ -157,7 +163,7 @@
 	}
 }
 
-// compareWatermarks has two processes find out that one of them is behind; what it then learns it hands on.
+// compareWatermarks delivers the change to the process that does not have it, if the other one has it.
 func (m *simulation) compareWatermarks(e event) {
 	switch {
 	case m.holds[e.from] && !m.holds[e.to]:
--- a/bench/freshness/freshness_test.go
+++ b/bench/freshness/freshness_test.go
@@ -15,6 +15,7 @@
 	}
 }
 
+// TestChangeReachesAll checks that a change reaches every process within 20 seconds if 30% of the pushes are lost.
 func TestChangeReachesAll(t *testing.T) {
 	for _, carried := range []bool{false, true} {
 		t.Run(fmt.Sprintf("carried=%v", carried), func(t *testing.T) {
@@ -27,8 +28,8 @@
 	}
 }
 
-// BenchmarkFreshness compares comparing marks alone with carrying them on requests too, by size of fleet and by share of
-// pushes lost.
+// BenchmarkFreshness compares the replication with and without watermarks on requests, for several fleet sizes and
+// push loss rates.
 func BenchmarkFreshness(b *testing.B) {
 	for _, agents := range []int{140, 420, 1400} {
 		for _, lossRate := range []float64{0.1, 0.5, 1} {
--- a/bench/path/doc.go
+++ b/bench/path/doc.go
@@ -1,3 +1,3 @@
-// Package path measures what the way through entry and agent costs: time to first token beside calling the engine
-// directly, frames a second, and memory for idle streams.
+// Package path measures the overhead of the request path through entry and agent: the time to first token compared
+// with a direct call to the engine, the events per second, and the memory for idle streams.
 package path
--- a/bench/path/path_test.go
+++ b/bench/path/path_test.go
@@ -19,7 +19,7 @@
 	"github.com/rillreach/rillreach/demo"
 )
 
-// caller sends prompts, directly to an engine or through an entry.
+// caller sends prompts to an engine directly or through an entry.
 type caller struct {
 	client *http.Client
 	key    string
@@ -29,6 +29,7 @@
 	return &caller{key: key, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20000, MaxIdleConns: 20000}}}
 }
 
+// open sends a prompt and returns the response, which the caller has to close.
 func (c *caller) open(url, body string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -43,7 +44,8 @@
 	return resp, err
 }
 
-// timeFirstEvent opens a stream, and returns how long its timeFirstEvent event took; the rest is read to its end.
+// timeFirstEvent sends a prompt and reads the stream to its end. It returns the time to the first event and the number
+// of events.
 func (c *caller) timeFirstEvent(tb testing.TB, url, body string) (time.Duration, int) {
 	tb.Helper()
 	start := time.Now()
@@ -75,6 +77,7 @@
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"prompt %d"}]}`, demo.Model, tokens, i)
 }
 
+// startFleet starts a fleet with one entry and one runner, and returns it with a caller that has a valid API key.
 func startFleet(tb testing.TB, tokenTime time.Duration) (*demo.Fleet, *caller) {
 	tb.Helper()
 	f := &demo.Fleet{Entries: 1, Runners: 1, TokenInterval: tokenTime, PrefillRate: 1e9, Slots: 100_000, Log: logr.Discard()}
@@ -92,8 +95,8 @@
 	return f, newCaller(key)
 }
 
-// BenchmarkFirstToken compares the time to first token through entry and agent with that of calling the engine, in
-// turn, with 200 streams open.
+// BenchmarkFirstToken compares the time to first token through entry and agent with that of direct calls to the
+// engine. The two alternate, with 200 concurrent streams.
 func BenchmarkFirstToken(b *testing.B) {
 	const streams, outputTokens = 200, 20
 	f, c := startFleet(b, 20*time.Millisecond)
@@ -129,7 +132,7 @@
 	b.ReportMetric(quantileMillis(routed, 99), "ms-through-p99")
 }
 
-// BenchmarkFrames streams as fast as it goes, and reports the events a second through entry and agent. Engine, agent,
+// BenchmarkFrames measures the throughput of streams through entry and agent in events per second. Engine, agent,
 // entry and callers share the processors.
 func BenchmarkFrames(b *testing.B) {
 	const streams, outputTokens = 64, 2000
@@ -154,8 +157,8 @@
 	b.ReportMetric(float64(events)/time.Since(start).Seconds(), "events/s")
 }
 
-// BenchmarkIdleStreams opens many streams that say nothing for long, and reports the memory of everything that this
-// process holds for them: engine, agent, entry and caller.
+// BenchmarkIdleStreams measures the memory per idle stream for engine, agent, entry and caller together, which all run
+// in this process.
 func BenchmarkIdleStreams(b *testing.B) {
 	for _, streams := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
@@ -177,6 +180,7 @@
 	}
 }
 
+// memoryInUse returns the memory in use for the heap and goroutine stacks after garbage collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/bench/policy/doc.go
+++ b/bench/policy/doc.go
@@ -1,4 +1,4 @@
-// Package policy measures the placing of prompts and the keeping of their state: it drives the real decision packages,
-// and small baselines, on one seeded workload in virtual time over a small model of engines, stores and links. It has
-// no network, no processes and no clock, and two runs with one seed give the same figures.
+// Package policy benchmarks the routing of prompts and the storing of their KV cache state. It runs the production
+// decision packages and simple baselines on the same seeded workload, in a discrete-event simulation of engines,
+// stores and links. It uses no network, processes or wall clock, so runs with the same seed give the same figures.
 package policy
--- a/bench/policy/events.go
+++ b/bench/policy/events.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a simulated time.
+// event is a function to run at a simulated time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
-// eventHeap is a heap of what is to happen, the earliest first.
+// eventHeap is a heap of scheduled events, the earliest first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -32,9 +33,11 @@
 	return e
 }
 
+// schedule adds an event that runs at the given simulated time.
 func (s *simulation) schedule(at time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{at: at, seq: s.seq, run: do})
 }
 
+// currentTime returns the simulated time as a time.Time.
 func (s *simulation) currentTime() time.Time { return time.Unix(0, int64(s.now)) }
--- a/bench/policy/kept.go
+++ b/bench/policy/kept.go
@@ -8,19 +8,23 @@
 	"github.com/rillreach/rillreach/route"
 )
 
-// transfer is a way to read kept state, from one store or from several at once.
+// transfer is a read of stored state, from one store or from several in parallel.
 type transfer struct {
-	parts         []transferPart
-	duration      time.Duration
+	// parts are the stores to read from. They share the bytes equally.
+	parts []transferPart
+	// duration is the estimated duration.
+	duration time.Duration
+	// crossSideLink is set if the state is read from the other side.
 	crossSideLink *link
 }
 
+// transferPart is the part of a transfer that one store serves. The rate is in bytes per second.
 type transferPart struct {
 	link *link
 	rate float64
 }
 
-// start begins the reading, and returns when it is done.
+// start begins the transfer and returns the time at which it ends.
 func (r transfer) start(now time.Duration, bytes float64) time.Duration {
 	done := now
 	for _, part := range r.parts {
@@ -32,7 +36,7 @@
 	return done
 }
 
-// estimate sets how long reading some bytes would take.
+// estimate sets the estimated duration for a number of bytes.
 func (r *transfer) estimate(now time.Duration, bytes float64) {
 	for _, part := range r.parts {
 		r.duration = max(r.duration, part.link.urgentDelay(now)+seconds(bytes/float64(len(r.parts))/part.rate))
@@ -42,7 +46,8 @@
 	}
 }
 
-// findStored finds a conversation's state in the stores of a side, or else of the other.
+// findStored looks up the state of a conversation in the stores of a side. It uses the other side if the first has no
+// more than the cached tokens. It returns the number of stored tokens, the bytes to read and their source.
 func (s *simulation) findStored(side rillreach.Side, p prompt, cached int) (int, float64, transfer) {
 	stored, source := s.storedOnSide(side, p)
 	if stored <= cached {
@@ -59,8 +64,8 @@
 	return stored, bytes, source
 }
 
-// storedOnSide is how much of a conversation's state the stores of a side hold. Stripes alternate from the start, so that
-// one that is missing leaves nothing to go on from.
+// storedOnSide returns how many tokens of a conversation the stores of a side hold, and how to read them. Stripes
+// alternate from the start of the state, so nothing is usable if one of them is missing.
 func (s *simulation) storedOnSide(side rillreach.Side, p prompt) (int, transfer) {
 	var source transfer
 	stored := 0
@@ -75,7 +80,7 @@
 	return stored, source
 }
 
-// export writes the part of a prompt's state that its store does not have yet.
+// export writes the state of a prompt that the stores of its runner's side do not have yet, if the policy decides so.
 func (s *simulation) export(r *runner, p prompt) {
 	stores := s.storesFor(r.side, p)
 	stored, _ := s.storedOnSide(r.side, p)
@@ -101,6 +106,7 @@
 	}
 }
 
+// firstStore returns the highest-ranked store for a conversation that has not failed.
 func (s *simulation) firstStore(side rillreach.Side, p prompt) *store {
 	stores := s.stores[side]
 	ranked := route.Rank(p.hash, len(stores), 2, func(i int) uint64 { return nodeHash(5000 + i) })
@@ -112,7 +118,7 @@
 	return stores[0]
 }
 
-// storesFor are the stores of a side over which a conversation's state is spread.
+// storesFor returns the stores of a side that hold the stripes of a conversation's state.
 func (s *simulation) storesFor(side rillreach.Side, p prompt) []*store {
 	all := s.stores[side]
 	ranked := route.Rank(p.hash, len(all), len(all), func(i int) uint64 { return nodeHash(5000 + i) })
@@ -125,6 +131,7 @@
 	return stores
 }
 
+// returnsOf returns the return histogram of an account and creates it if needed.
 func (s *simulation) returnsOf(account rillreach.AccountID) *keep.ReturnHistogram {
 	g := s.returns[account]
 	if g == nil {
--- a/bench/policy/model.go
+++ b/bench/policy/model.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// The model's figures: an engine that computes 8,000 tokens of a prompt a second and holds 400,000 in its memory, 64 KB
-// of state for each token, and stores of 128 GB of memory and 2 TB of disk each behind links of 5 GB a second, which
-// read from disk at 1.5 GB a second.
+// The parameters of the model. Rates are in tokens or bytes per second.
 const (
+	// An engine computes 8,000 prompt tokens per second and caches 400,000 tokens, with 64 KiB of state each.
 	prefillRate       = 8000.0
 	engineCacheTokens = 400_000
 	bytesPerToken     = 64 << 10
-	storeMemoryBytes  = int64(128) << 30
-	storeDiskBytes    = int64(2) << 40
-	linkRate          = 5e9
-	diskRate          = 1.5e9
-	crossSideRate     = 1e9
-	firstTokenDelay   = 30 * time.Millisecond
-	networkDelay      = 2 * time.Millisecond
+	// A store has 128 GiB of memory and a disk of 2 TiB. Its link carries 5 GB/s and its disk reads 1.5 GB/s.
+	storeMemoryBytes = int64(128) << 30
+	storeDiskBytes   = int64(2) << 40
+	linkRate         = 5e9
+	diskRate         = 1.5e9
+	crossSideRate    = 1e9
+	firstTokenDelay  = 30 * time.Millisecond
+	networkDelay     = 2 * time.Millisecond
 )
 
-// lru is a bounded memory of how many tokens of each conversation are held.
+// lru is a cache of bounded size that records how many tokens of each conversation it holds.
 type lru struct {
 	capacity int64
 	used     int64
@@ -38,6 +38,7 @@
 	return &lru{capacity: capacity, recency: list.New(), entries: map[int]*list.Element{}}
 }
 
+// tokens returns how many tokens of a conversation are cached.
 func (l *lru) tokens(conversation int) int {
 	if e := l.entries[conversation]; e != nil {
 		return e.Value.(*lruEntry).tokens
@@ -45,7 +46,7 @@
 	return 0
 }
 
-// put holds tokens of a conversation, and drops the least recently used ones for them; it returns the dropped.
+// put records tokens of a conversation. It evicts the least recently used conversations if needed and returns them.
 func (l *lru) put(conversation, tokens int) []lruEntry {
 	if e := l.entries[conversation]; e != nil {
 		entry := e.Value.(*lruEntry)
@@ -66,7 +67,7 @@
 	return dropped
 }
 
-// store is a model of a store instance: memory before a disk, behind one link.
+// store models a store instance: memory in front of a disk, behind one link.
 type store struct {
 	memory *lru
 	disk   *lru
@@ -78,7 +79,7 @@
 	return &store{memory: newLRU(storeMemoryBytes / bytesPerToken), disk: newLRU(storeDiskBytes / bytesPerToken), link: link{rate: linkRate}}
 }
 
-// lookup is how many tokens of a conversation the store has, and at which rate they can be read.
+// lookup returns how many tokens of a conversation are stored, and the rate at which they can be read.
 func (s *store) lookup(conversation int) (int, float64) {
 	if s.failed {
 		return 0, 0
@@ -89,7 +90,7 @@
 	return s.disk.tokens(conversation), min(diskRate, s.link.rate)
 }
 
-// put keeps tokens in memory; what memory drops goes to disk.
+// put stores tokens of a conversation in memory. Conversations evicted from memory go to disk.
 func (s *store) put(conversation, tokens int) {
 	if s.failed {
 		return
@@ -99,18 +100,18 @@
 	}
 }
 
-// link is a model of a link with two classes: what is urgent goes first, what can wait fills the rest.
+// link models a network link with two priorities: background traffic uses the capacity that urgent traffic leaves.
 type link struct {
 	rate            float64
 	updatedAt       time.Duration
 	urgentBytes     float64
 	backgroundBytes float64
-	// sentBytes and busy are for the report.
+	// sentBytes and busyTime are totals for the report.
 	sentBytes float64
 	busyTime  time.Duration
 }
 
-// advance carries what is queued up to a time.
+// advance sends queued bytes up to the given time.
 func (l *link) advance(now time.Duration) {
 	room := (now - l.updatedAt).Seconds() * l.rate
 	l.updatedAt = now
@@ -122,20 +123,20 @@
 	l.busyTime += seconds((urgent + later) / l.rate)
 }
 
-// urgentDelay is how long something urgent would urgentDelay before it is carried.
+// urgentDelay returns how long new urgent traffic waits before it is sent.
 func (l *link) urgentDelay(now time.Duration) time.Duration {
 	l.advance(now)
 	return seconds(l.urgentBytes / l.rate)
 }
 
-// sendUrgent queues urgent bytes and returns when they have arrived, at a rate that may be below the link's.
+// sendUrgent queues urgent bytes and returns their arrival time. The sender's rate may be lower than the link's.
 func (l *link) sendUrgent(now time.Duration, bytes, rate float64) time.Duration {
 	l.advance(now)
 	l.urgentBytes += bytes * l.rate / rate
 	return now + seconds(l.urgentBytes/l.rate)
 }
 
-// sendBackground queues bytes that can wait.
+// sendBackground queues bytes of low priority.
 func (l *link) sendBackground(now time.Duration, bytes float64) {
 	l.advance(now)
 	l.backgroundBytes += bytes
--- a/bench/policy/plot.go
+++ b/bench/policy/plot.go
@@ -11,12 +11,12 @@
 	plotWidth  = 28 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
 	barWidth   = 18
-	// maxBarSeconds cuts bars off, so that a policy that fails altogether does not flatten the others.
+	// maxBarSeconds limits the height of the bars, so that one very slow policy does not flatten the others.
 	maxBarSeconds = 15.0
 )
 
-// WritePlot draws each policy's 95th percentile of the time to first token under one scenario, in seconds, to a file
-// whose ending says its form (.png, .svg or .pdf). Bars end at 15 s.
+// WritePlot draws the 95th percentile of the time to first token of each policy under one scenario, in seconds. The
+// file extension selects the format (.png, .svg or .pdf). Bars are cut off at 15 s.
 func WritePlot(path, deployment, scenario string, results []Result) error {
 	p := plot.New()
 	p.Title.Text = deployment + ", " + scenario + ": p95 of the time to first token"
--- a/bench/policy/policy.go
+++ b/bench/policy/policy.go
@@ -8,36 +8,36 @@
 	"github.com/rillreach/rillreach/route"
 )
 
-// entryView is what an entry knows when it places a prompt.
+// entryView is what an entry knows when it routes a prompt.
 type entryView struct {
 	// runners are the usable runners of the side.
 	runners []*runner
-	// hints are what the entry last heard of each runner's wait.
+	// hints are the last reports about the runners' waits.
 	hints map[*runner]runnerHint
-	// promptCount counts the entry's prompts.
+	// promptCount is the number of prompts that the entry has routed.
 	promptCount int
 }
 
-// Policy places prompts and decides on their state.
+// Policy routes prompts and decides which state to import and export.
 type Policy interface {
-	// Name names the policy in tables.
+	// Name returns the policy's name for tables.
 	Name() string
-	// chooseRunner chooses a runner.
+	// chooseRunner returns the runner for a prompt.
 	chooseRunner(s *simulation, v entryView, p prompt) *runner
-	// shouldImport decides whether to read kept state.
+	// shouldImport decides whether to read stored state.
 	shouldImport(q keep.ImportInput) bool
-	// shouldExport decides whether to write state.
+	// shouldExport decides whether to write state to stores.
 	shouldExport(q keep.ExportInput) bool
-	// prioritizesReads says that writing waits for reading.
+	// prioritizesReads reports whether writes yield to reads on a link.
 	prioritizesReads() bool
-	// stripeCount is over how many stores a conversation's state is spread.
+	// stripeCount returns the number of stores over which a conversation's state is striped.
 	stripeCount() int
 }
 
-// NaiveStorage is what a baseline does with state: nothing, or it keeps all and reads all, and lets reading and writing share
-// a link as they come.
+// NaiveStorage is the storage policy of the baselines. It either does not use the stores, or writes all state and
+// reads all that the engine has not cached, with equal priority for reads and writes.
 type NaiveStorage struct {
-	// UseStores says that the baseline uses the stores.
+	// UseStores enables the stores.
 	UseStores bool
 }
 
@@ -55,20 +55,20 @@
 	return name
 }
 
-// RoundRobin takes one runner after another.
+// RoundRobin selects the runners in turn.
 type RoundRobin struct{ NaiveStorage }
 
-// Name names the policy.
+// Name implements Policy.
 func (b RoundRobin) Name() string { return b.policyName("round robin") }
 
 func (RoundRobin) chooseRunner(_ *simulation, v entryView, _ prompt) *runner {
 	return v.runners[v.promptCount%len(v.runners)]
 }
 
-// LeastLoaded takes the runner that is said to have the shortest wait.
+// LeastLoaded selects the runner with the shortest estimated wait.
 type LeastLoaded struct{ NaiveStorage }
 
-// Name names the policy.
+// Name implements Policy.
 func (b LeastLoaded) Name() string { return b.policyName("least loaded") }
 
 func (LeastLoaded) chooseRunner(s *simulation, v entryView, _ prompt) *runner {
@@ -82,10 +82,10 @@
 	return best
 }
 
-// ConsistentHash takes the conversation's runner by hash.
+// ConsistentHash selects the runner by the hash of the conversation.
 type ConsistentHash struct{ NaiveStorage }
 
-// Name names the policy.
+// Name implements Policy.
 func (b ConsistentHash) Name() string { return b.policyName("consistent hashing") }
 
 func (ConsistentHash) chooseRunner(_ *simulation, v entryView, p prompt) *runner {
@@ -93,10 +93,11 @@
 	return v.runners[ranked.At(0)]
 }
 
-// LongestPrefix takes the runner whose memory holds most of the prompt, which it is told without a lag.
+// LongestPrefix selects the runner that has cached most of the prompt, with up-to-date knowledge of the caches. If no
+// runner has cached any, it selects the least loaded one.
 type LongestPrefix struct{ NaiveStorage }
 
-// Name names the policy.
+// Name implements Policy.
 func (b LongestPrefix) Name() string { return b.policyName("longest prefix") }
 
 func (LongestPrefix) chooseRunner(s *simulation, v entryView, p prompt) *runner {
@@ -112,13 +113,14 @@
 	return LeastLoaded{}.chooseRunner(s, v, p)
 }
 
-// Rillreach is this project's policy: the real packages.
+// Rillreach is the policy of this project. It uses the production packages.
 type Rillreach struct {
-	// Stripes is over how many stores a conversation's state is spread; zero means two, as the agents do.
+	// Stripes is the number of stores over which a conversation's state is striped. Zero means two, the default of the
+	// agents.
 	Stripes int
 }
 
-// Name names the policy.
+// Name implements Policy.
 func (o Rillreach) Name() string {
 	if o.Stripes > 0 {
 		return fmt.Sprintf("rillreach, %d stripe", o.Stripes)
@@ -161,11 +163,12 @@
 func (Rillreach) shouldExport(q keep.ExportInput) bool { return q.Decide() == keep.VerdictExport }
 func (Rillreach) prioritizesReads() bool               { return true }
 
-// PerfectKnowledge knows every runner's queue and memory, every store and every link as they are, and takes what starts this
-// prompt best. It is greedy, and so a yardstick and not the optimum over all prompts.
+// PerfectKnowledge knows the current state of every runner's queue and cache, every store and every link, and selects
+// the runner with the lowest cost for the prompt. It is greedy, so it is a reference and not the optimum over all
+// prompts.
 type PerfectKnowledge struct{ Rillreach }
 
-// Name names the policy.
+// Name implements Policy.
 func (PerfectKnowledge) Name() string { return "perfect knowledge" }
 
 func (PerfectKnowledge) chooseRunner(s *simulation, v entryView, p prompt) *runner {
@@ -187,7 +190,7 @@
 
 func nodeHash(i int) uint64 { return hash.Mix(uint64(i), 0xface) }
 
-// Baselines are the policies to compare with.
+// Baselines returns the policies to compare with, each without and with stores.
 func Baselines() []Policy {
 	var list []Policy
 	for _, storage := range []NaiveStorage{{}, {UseStores: true}} {
--- a/bench/policy/report.go
+++ b/bench/policy/report.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc/iter"
 )
 
-// Experiment is a deployment's workload under some scenarios and policies.
+// Experiment compares policies under several scenarios on the workload of one deployment.
 type Experiment struct {
 	Deployment Deployment
 	Seed       uint64
@@ -34,7 +34,7 @@
 	return iter.Map(pairs, func(p *pair) Result { return Run(e.Deployment, p.policy, arrivals, p.scenario) })
 }
 
-// WriteTable writes results for people.
+// WriteTable writes the results as a text table.
 func WriteTable(w io.Writer, deployment string, results []Result) error {
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(tab, "deployment\tscenario\tpolicy\tanswered\trefused\tp50 s\tp95 s\tp99 s\trecomputed %\tbusiest link %\tbetween sides %\tTB carried\t")
@@ -45,7 +45,7 @@
 	return errors.Wrap(tab.Flush(), "write table")
 }
 
-// Small makes a deployment a tenth as large, for tests.
+// Small returns a tenth of the deployment, for tests.
 func (d Deployment) Small() Deployment {
 	const reduction = 10
 	d.Runners = max(d.Runners/reduction, 2)
--- a/bench/policy/result.go
+++ b/bench/policy/result.go
@@ -8,21 +8,21 @@
 	"github.com/rillreach/rillreach"
 )
 
-// Result is what a run measured.
+// Result is the result of one run.
 type Result struct {
 	Policy   string
 	Scenario string
 	Answered int
 	Refused  int
-	// P50, P95 and P99 are of the time to first token of prompts that return.
+	// P50, P95 and P99 are percentiles of the time to first token of returning prompts.
 	P50, P95, P99 time.Duration
-	// RecomputedShare is the share of the tokens of returning prompts that had been computed before and were computed again.
+	// RecomputedShare is the share of the returning prompts' earlier tokens that were computed again.
 	RecomputedShare float64
-	// LinkUtilization is the largest share of the run's time that a store's link was busy, CrossBusy that of the link between
-	// the sides.
+	// LinkUtilization is the highest utilization of a store's link, CrossSideUtilization that of the link between the
+	// sides.
 	LinkUtilization      float64
 	CrossSideUtilization float64
-	// LinkBytes is what the stores' links have carried.
+	// LinkBytes is the total number of bytes sent over the stores' links.
 	LinkBytes float64
 
 	times            *hdrhistogram.Histogram
--- a/bench/policy/scenario.go
+++ b/bench/policy/scenario.go
@@ -8,26 +8,27 @@
 	"github.com/rillreach/rillreach/route"
 )
 
-// Scenario is what happens to the site during a run.
+// Scenario is a sequence of events that affect the site during a run.
 type Scenario struct {
-	// Name names it in tables.
+	// Name is the name used in tables.
 	Name     string
 	schedule func(*simulation)
 }
 
-// Calm is a run in which nothing goes wrong.
+// Calm is a run without faults.
 func Calm() Scenario {
 	return Scenario{Name: "calm", schedule: func(*simulation) {}}
 }
 
-// StoreFailure loses one of the stores, and all it held, halfway.
+// StoreFailure is the failure of one store, with everything in it, halfway through the run.
 func StoreFailure() Scenario {
 	return Scenario{Name: "store dead", schedule: func(s *simulation) {
 		s.schedule(s.deployment.Span/2, func() { s.failStore(s.stores[rillreach.SideOld]) })
 	}}
 }
 
-// failStore loses the first of a side's stores, and with it all state that was spread over it and others.
+// failStore fails the first of the given stores. With striping, this also loses all state in the others, since state
+// is unusable without all its stripes.
 func (s *simulation) failStore(stores []*store) {
 	stores[0].failed = true
 	if s.policy.stripeCount() == 1 {
@@ -38,7 +39,7 @@
 	}
 }
 
-// SlowLinks has the links to the stores carry a tenth from halfway on.
+// SlowLinks reduces the rate of the stores' links to a tenth halfway through the run.
 func SlowLinks() Scenario {
 	return Scenario{Name: "links at a tenth", schedule: func(s *simulation) {
 		s.schedule(s.deployment.Span/2, func() {
@@ -50,7 +51,7 @@
 	}}
 }
 
-// RunnerFailures loses a third of the runners halfway.
+// RunnerFailures is the failure of a third of the runners halfway through the run.
 func RunnerFailures() Scenario {
 	return Scenario{Name: "a hall gone", schedule: func(s *simulation) {
 		s.schedule(s.deployment.Span/2, func() {
@@ -61,9 +62,10 @@
 	}}
 }
 
+// shiftSteps is the number of steps in which Shift moves the weight.
 const shiftSteps = 10
 
-// Shift moves all weight from the old side to the new in ten steps, with or without copying state ahead.
+// Shift moves all weight from the old side to the new one in ten steps, with or without copying state in advance.
 func Shift(copyAhead bool) Scenario {
 	name := "shift"
 	if copyAhead {
@@ -77,6 +79,8 @@
 	}}
 }
 
+// shift sets the weight of the new side. With copyAhead, it copies the state of all conversations that change sides,
+// the most recently seen first.
 func (s *simulation) shift(newWeight int, copyAhead bool) {
 	before := s.weights
 	s.weights = rillreach.Weights{Old: rillreach.TotalWeight - newWeight, New: newWeight}
@@ -97,8 +101,8 @@
 	}
 }
 
-// copyAhead copies a conversation's state to the other side, behind everything that callers wait for; it counts as
-// there once the link between the sides has carried it.
+// copyAhead copies a conversation's state to the other side as background traffic. The copy is available once the link
+// between the sides has sent it.
 func (s *simulation) copyAhead(p prompt) {
 	stored, _ := s.storedOnSide(rillreach.SideOld, p)
 	if stored == 0 {
@@ -119,7 +123,7 @@
 	})
 }
 
-// Scenarios are all of them.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{Calm(), StoreFailure(), SlowLinks(), RunnerFailures(), Shift(false), Shift(true)}
 }
--- a/bench/policy/simulate.go
+++ b/bench/policy/simulate.go
@@ -12,7 +12,7 @@
 
 const entryCount = 3
 
-// runnerHint is what an entry has heard of a runner.
+// runnerHint is the last report that an entry has received about a runner.
 type runnerHint struct {
 	wait       time.Duration
 	hitRate    float64
@@ -20,13 +20,14 @@
 	sentWork   time.Duration
 }
 
-// estimateWait is the estimateWait that an entry expects at a runner: what it last heard, less the time since, and what it has sent.
+// estimateWait returns the wait that an entry expects at a runner: the last reported wait plus the work sent since,
+// minus the time since the report.
 func (v entryView) estimateWait(s *simulation, r *runner) time.Duration {
 	h := v.hints[r]
 	return max(h.wait+h.sentWork-(s.now-h.receivedAt), 0)
 }
 
-// runner is a model of an engine with its agent.
+// runner models an engine with its agent.
 type runner struct {
 	hash    uint64
 	side    rillreach.Side
@@ -38,7 +39,7 @@
 	pending map[uint64]*job
 }
 
-// job is one prompt on its way.
+// job is one prompt in progress.
 type job struct {
 	id           uint64
 	prompt       prompt
@@ -47,7 +48,7 @@
 	reusedTokens int
 }
 
-// queueWait is how long a prompt that comes now would queueWait.
+// queueWait returns how long a prompt that arrives now waits for the engine.
 func (r *runner) queueWait(now time.Duration) time.Duration {
 	return max(r.freeAt-now, 0) + seconds(r.queue.Backlog()/prefillRate)
 }
@@ -72,7 +73,7 @@
 	result        Result
 }
 
-// Run runs a policy on arrivals under a scenario.
+// Run simulates a policy on the given arrivals under a scenario.
 func Run(d Deployment, policy Policy, arrivals []prompt, scenario Scenario) Result {
 	s := &simulation{
 		deployment: d, policy: policy, scenario: scenario,
@@ -97,6 +98,7 @@
 	return s.summarize()
 }
 
+// createSite creates the runners, stores and entries.
 func (s *simulation) createSite() {
 	for sideIndex, side := range []rillreach.Side{rillreach.SideOld, rillreach.SideNew} {
 		for i := range s.deployment.Runners {
@@ -115,7 +117,7 @@
 	}
 }
 
-// routePrompt places a prompt.
+// routePrompt routes a prompt from an entry to a runner.
 func (s *simulation) routePrompt(entry int, p prompt) {
 	side := route.Side(s.weights, p.hash)
 	v := &s.entries[entry]
@@ -142,7 +144,7 @@
 	return usable
 }
 
-// prepare is the agent's part: it looks for state and reads it where that is decided.
+// prepare models the agent: it looks up stored state, imports it if the policy decides so, and queues the prompt.
 func (s *simulation) prepare(j *job) {
 	r, p := j.runner, j.prompt
 	cached := min(r.cache.tokens(p.conversation), p.tokens)
@@ -161,7 +163,7 @@
 	s.schedule(source.start(s.now, bytes), func() { s.enqueue(j) })
 }
 
-// acknowledge is the acknowledgement: the entry hears how long the runner's queue is.
+// acknowledge models the runner's acknowledgement, which tells the entry the wait and the hit rate of the runner.
 func (s *simulation) acknowledge(j *job, cached int) {
 	r := j.runner
 	if j.prompt.priorTokens > 0 {
@@ -176,6 +178,7 @@
 	}
 }
 
+// enqueue adds a prompt to the queue of its runner.
 func (s *simulation) enqueue(j *job) {
 	r := j.runner
 	if r.failed {
@@ -190,7 +193,7 @@
 	}
 }
 
-// compute is the engine's part.
+// compute models the prefill by the engine.
 func (s *simulation) compute(j *job) {
 	r, p := j.runner, j.prompt
 	if cached := min(r.cache.tokens(p.conversation), p.tokens); cached > j.reusedTokens {
@@ -202,6 +205,7 @@
 	s.schedule(r.freeAt, func() { s.finishPrompt(j) })
 }
 
+// finishPrompt records the result, exports the new state and starts the next prompts in the queue.
 func (s *simulation) finishPrompt(j *job) {
 	r, p := j.runner, j.prompt
 	delete(r.pending, j.id)
--- a/bench/policy/workload.go
+++ b/bench/policy/workload.go
@@ -11,26 +11,28 @@
 	"github.com/rillreach/rillreach/internal/hash"
 )
 
-// Deployment is a shape of workload and site.
+// Deployment describes a site and its workload.
 type Deployment struct {
-	// Name names it in tables.
+	// Name is the name used in tables.
 	Name string
-	// Objective is that of all its rows.
+	// Objective is the objective of all rows.
 	Objective rillreach.Objective
-	// Runners and Stores are those of one side.
+	// Runners and Stores are the numbers on each side.
 	Runners int
 	Stores  int
-	// Conversations is how many return, over Span.
+	// Conversations is the number of conversations that start within Span.
 	Conversations int
 	Span          time.Duration
-	// FirstTokens is the median length of a first prompt, TurnTokens what a later one adds.
+	// FirstTokens is the median length of a conversation's first prompt, TurnTokens the mean number of tokens that
+	// each later prompt adds.
 	FirstTokens float64
 	TurnTokens  float64
-	// MinGap is the scale of the heavy-tailed gaps between a conversation's prompts.
+	// MinGap is the minimum time between two prompts of a conversation, the scale of a Pareto distribution.
 	MinGap time.Duration
 }
 
-// Kigali is the counter and quoting fleet: long order histories, weighing the time to first token.
+// Kigali is the counter and quoting fleet. Its prompts contain long order histories, and its objective is the time to
+// first token.
 func Kigali() Deployment {
 	return Deployment{
 		Name: "kigali", Objective: rillreach.ObjectiveFirstToken, Runners: 18, Stores: 2,
@@ -38,7 +40,7 @@
 	}
 }
 
-// Oja is the conference-call service: whole transcripts, weighing the share recomputed.
+// Oja is the conference-call service. Its prompts contain whole transcripts, and its objective is to recompute little.
 func Oja() Deployment {
 	return Deployment{
 		Name: "oja", Objective: rillreach.ObjectiveRecompute, Runners: 18, Stores: 2,
@@ -53,20 +55,21 @@
 	hash         uint64
 	account      rillreach.AccountID
 	tokens       int
-	// priorTokens is how many of the tokens the conversation's last prompt had.
+	// priorTokens is the length of the conversation's previous prompt, or zero.
 	priorTokens int
 }
 
 const (
 	accountCount = 10
-	// gapExponent is the exponent of the gaps' tail: many returns after minutes, some after days.
-	gapExponent      = 0.7
-	maxGap           = 72 * time.Hour
-	maxTokens        = 120_000
+	// gapExponent is the tail exponent of the gap distribution: many prompts return after minutes, some after days.
+	gapExponent = 0.7
+	maxGap      = 72 * time.Hour
+	maxTokens   = 120_000
+	// firstTokensSigma is the sigma of the log-normal distribution of the first prompt's length.
 	firstTokensSigma = 0.6
 )
 
-// Generate makes the arrivals of a deployment from a seed, in the order of their times.
+// Generate generates the arrivals of a deployment from a seed, sorted by time.
 func Generate(d Deployment, seed uint64) []prompt {
 	random := rand.New(rand.NewPCG(seed, seed))
 	var arrivals []prompt
@@ -77,7 +80,7 @@
 	return arrivals
 }
 
-// generateConversation makes the prompts of one generateConversation within the span.
+// generateConversation generates the prompts of one conversation that arrive within the span.
 func generateConversation(d Deployment, c int, random *rand.Rand) []prompt {
 	account := rillreach.AccountID(fmt.Sprintf("account-%d", drawAccount(random)))
 	tokens := int(d.FirstTokens * math.Exp(firstTokensSigma*random.NormFloat64()))
@@ -96,12 +99,13 @@
 	return prompts
 }
 
+// drawGap draws the time until the next prompt of a conversation.
 func drawGap(d Deployment, random *rand.Rand) time.Duration {
 	g := float64(d.MinGap) * math.Pow(1-random.Float64(), -1/gapExponent)
 	return min(time.Duration(g), maxGap)
 }
 
-// drawAccount draws an account: a few are large.
+// drawAccount draws an account from a skewed distribution: a few accounts have most conversations.
 func drawAccount(random *rand.Rand) int {
 	return int(accountCount * math.Pow(random.Float64(), 2.5))
 }
