--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -183,13 +183,13 @@
 
 // makeNodes returns nodes in 17 zones, a sixth of them entries.
 func makeNodes(count int) []replicate.Node {
-	list := make([]replicate.Node, count)
-	for i := range list {
-		list[i] = replicate.Node{
+	nodes := make([]replicate.Node, count)
+	for i := range nodes {
+		nodes[i] = replicate.Node{
 			ID: rillreach.InstanceID(fmt.Sprintf("n%05d", i)), Zone: rillreach.ZoneID(fmt.Sprint("z", i%17)), Entry: i%6 == 0, Usable: true,
 		}
 	}
-	return list
+	return nodes
 }
 
 const plannedNodes = 1020
--- a/bench/capacity/state_test.go
+++ b/bench/capacity/state_test.go
@@ -85,28 +85,28 @@
 // BenchmarkRows measures the replica of the rows and the table built from it.
 func BenchmarkRows(b *testing.B) {
 	benchmarkPerItem(b, []int{1000, 4000, 16000}, func(count int) any {
-		t, replica := &table.Table{}, replicate.NewReplica()
-		replica.AddKind(rillreach.KindRow, func(o rillreach.Object) { t.Apply(o) }, nil)
+		rowTable, replica := &table.Table{}, replicate.NewReplica()
+		replica.AddKind(rillreach.KindRow, func(o rillreach.Object) { rowTable.Apply(o) }, nil)
 		objects := make([]rillreach.Object, count)
 		for i := range objects {
 			objects[i] = rowObject(i)
 		}
 		replica.Merge(snapshotOf(rillreach.KindRow, objects))
-		return []any{t, replica}
+		return []any{rowTable, replica}
 	})
 }
 
 // BenchmarkInstances measures the replica of the instances and the membership built from it.
 func BenchmarkInstances(b *testing.B) {
 	benchmarkPerItem(b, []int{500, 1500, 5030}, func(count int) any {
-		m, replica := membership.New(), replicate.NewReplica()
-		replica.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = m.Apply(o) }, nil)
+		members, replica := membership.New(), replicate.NewReplica()
+		replica.AddKind(rillreach.KindInstance, func(o rillreach.Object) { _ = members.Apply(o) }, nil)
 		objects := make([]rillreach.Object, count)
 		for i := range objects {
 			objects[i] = instanceObject(i)
 		}
 		replica.Merge(snapshotOf(rillreach.KindInstance, objects))
-		return []any{m, replica}
+		return []any{members, replica}
 	})
 }
 
--- a/bench/days_test.go
+++ b/bench/days_test.go
@@ -136,30 +136,30 @@
 	assert.NotEmpty(t, d.Name)
 	assert.NotEmpty(t, d.Slot)
 	assert.Empty(t, siteSpecificNames(d))
-	for _, entry := range slices.Concat(d.Plan, d.Faults) {
-		assert.NotEmpty(t, entry.Kind)
+	for _, event := range slices.Concat(d.Plan, d.Faults) {
+		assert.NotEmpty(t, event.Kind)
 	}
 }
 
 // siteSpecificNames returns the zones, regions, services and request classes that are not placeholders. A placeholder
 // is the index of an item in the site file, such as @z0. There are none for regions.
 func siteSpecificNames(d day) []string {
-	var foreign []string
+	var names []string
 	check := func(name, prefix string) {
 		if name != "" && !isPlaceholder(name, prefix) {
-			foreign = append(foreign, name)
+			names = append(names, name)
 		}
 	}
-	for _, entry := range slices.Concat(d.Plan, d.Faults) {
-		check(entry.Zone, "@z")
-		check(entry.ToZone, "@z")
-		check(entry.Service, "@s")
-		check(entry.Class, "@c")
-		if entry.Region != "" {
-			foreign = append(foreign, entry.Region)
+	for _, event := range slices.Concat(d.Plan, d.Faults) {
+		check(event.Zone, "@z")
+		check(event.ToZone, "@z")
+		check(event.Service, "@s")
+		check(event.Class, "@c")
+		if event.Region != "" {
+			names = append(names, event.Region)
 		}
 	}
-	return foreign
+	return names
 }
 
 // isPlaceholder reports whether a name is the prefix followed by a number.
--- a/bench/freshness/freshness.go
+++ b/bench/freshness/freshness.go
@@ -78,8 +78,8 @@
 )
 
 // Run simulates the replication of one change that the watchers have just received.
-func Run(s Config) Result {
-	m := &simulation{Config: s, random: rand.New(rand.NewPCG(s.Seed, s.Seed)), index: map[rillreach.InstanceID]int{}}
+func Run(config Config) Result {
+	m := &simulation{Config: config, random: rand.New(rand.NewPCG(config.Seed, config.Seed)), index: map[rillreach.InstanceID]int{}}
 	m.createNodes()
 	for i, plan := range m.plans {
 		if plan.IsWatcher {
@@ -88,9 +88,9 @@
 	}
 	m.result.PushedCount = m.holderCount
 	for i := range m.plans {
-		m.scheduleDigest(i, time.Duration(m.random.Float64()*float64(s.DigestInterval)))
+		m.scheduleDigest(i, time.Duration(m.random.Float64()*float64(config.DigestInterval)))
 	}
-	if s.WatermarksOnRequests {
+	if config.WatermarksOnRequests {
 		m.scheduleRequest(0)
 	}
 	m.run()
--- a/bench/freshness/freshness_test.go
+++ b/bench/freshness/freshness_test.go
@@ -17,13 +17,13 @@
 
 // TestChangeReachesAll checks that a change reaches every process within 20 seconds if 30% of the pushes are lost.
 func TestChangeReachesAll(t *testing.T) {
-	for _, carried := range []bool{false, true} {
-		t.Run(fmt.Sprintf("carried=%v", carried), func(t *testing.T) {
-			s := testConfig(420)
-			s.WatermarksOnRequests = carried
-			r := Run(s)
-			assert.LessOrEqual(t, r.All, 20*time.Second)
-			assert.Positive(t, r.PushedCount)
+	for _, onRequests := range []bool{false, true} {
+		t.Run(fmt.Sprintf("carried=%v", onRequests), func(t *testing.T) {
+			config := testConfig(420)
+			config.WatermarksOnRequests = onRequests
+			result := Run(config)
+			assert.LessOrEqual(t, result.All, 20*time.Second)
+			assert.Positive(t, result.PushedCount)
 		})
 	}
 }
@@ -40,11 +40,11 @@
 					for b.Loop() {
 						all, p99 = 0, 0
 						for seed := range uint64(seeds) {
-							s := testConfig(agents)
-							s.PushLossRate, s.WatermarksOnRequests, s.Seed = lossRate, onRequests, seed+1
-							r := Run(s)
-							all += r.All / seeds
-							p99 += r.P99 / seeds
+							config := testConfig(agents)
+							config.PushLossRate, config.WatermarksOnRequests, config.Seed = lossRate, onRequests, seed+1
+							result := Run(config)
+							all += result.All / seeds
+							p99 += result.P99 / seeds
 						}
 					}
 					b.ReportMetric(all.Seconds(), "s-all")
--- a/bench/policy/kept.go
+++ b/bench/policy/kept.go
@@ -133,10 +133,10 @@
 
 // returnsOf returns the return histogram of an account and creates it if needed.
 func (s *simulation) returnsOf(account rillreach.AccountID) *keep.ReturnHistogram {
-	g := s.returns[account]
-	if g == nil {
-		g = &keep.ReturnHistogram{}
-		s.returns[account] = g
+	histogram := s.returns[account]
+	if histogram == nil {
+		histogram = &keep.ReturnHistogram{}
+		s.returns[account] = histogram
 	}
-	return g
+	return histogram
 }
--- a/bench/policy/model.go
+++ b/bench/policy/model.go
@@ -113,10 +113,10 @@
 
 // advance sends queued bytes up to the given time.
 func (l *link) advance(now time.Duration) {
-	room := (now - l.updatedAt).Seconds() * l.rate
+	capacity := (now - l.updatedAt).Seconds() * l.rate
 	l.updatedAt = now
-	urgent := min(l.urgentBytes, room)
-	later := min(l.backgroundBytes, room-urgent)
+	urgent := min(l.urgentBytes, capacity)
+	later := min(l.backgroundBytes, capacity-urgent)
 	l.urgentBytes -= urgent
 	l.backgroundBytes -= later
 	l.sentBytes += urgent + later
--- a/bench/policy/policy.go
+++ b/bench/policy/policy.go
@@ -176,11 +176,11 @@
 	for i, r := range v.runners {
 		st := s.firstStore(r.side, p)
 		stored, rate := st.lookup(p.conversation)
-		c := route.Candidate{QueueWait: r.queueWait(s.now), PrefillRate: prefillRate, CachedTokens: min(r.cache.tokens(p.conversation), p.tokens), StoredTokens: stored}
+		candidate := route.Candidate{QueueWait: r.queueWait(s.now), PrefillRate: prefillRate, CachedTokens: min(r.cache.tokens(p.conversation), p.tokens), StoredTokens: stored}
 		if stored > 0 {
-			c.ImportTime = st.link.urgentDelay(s.now) + seconds(float64(stored-c.CachedTokens)*bytesPerToken/rate)
+			candidate.ImportTime = st.link.urgentDelay(s.now) + seconds(float64(stored-candidate.CachedTokens)*bytesPerToken/rate)
 		}
-		choice := route.Estimate(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, &c)
+		choice := route.Estimate(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, &candidate)
 		if i == 0 || route.Better(route.Request{Tokens: p.tokens, Objective: s.deployment.Objective}, choice, bestChoice) {
 			best, bestChoice = r, choice
 		}
@@ -192,11 +192,11 @@
 
 // Baselines returns the policies to compare with, each without and with stores.
 func Baselines() []Policy {
-	var list []Policy
+	var baselines []Policy
 	for _, storage := range []NaiveStorage{{}, {UseStores: true}} {
-		list = append(list, RoundRobin{storage}, LeastLoaded{storage}, ConsistentHash{storage}, LongestPrefix{storage})
+		baselines = append(baselines, RoundRobin{storage}, LeastLoaded{storage}, ConsistentHash{storage}, LongestPrefix{storage})
 	}
-	return list
+	return baselines
 }
 
 // UsesStores reports whether a baseline uses the stores.
--- a/bench/policy/report.go
+++ b/bench/policy/report.go
@@ -36,13 +36,13 @@
 
 // WriteTable writes the results as a text table.
 func WriteTable(w io.Writer, deployment string, results []Result) error {
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(tab, "deployment\tscenario\tpolicy\tanswered\trefused\tp50 s\tp95 s\tp99 s\trecomputed %\tbusiest link %\tbetween sides %\tTB carried\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	_, _ = fmt.Fprintln(table, "deployment\tscenario\tpolicy\tanswered\trefused\tp50 s\tp95 s\tp99 s\trecomputed %\tbusiest link %\tbetween sides %\tTB carried\t")
 	for _, r := range results {
-		_, _ = fmt.Fprintf(tab, "%s\t%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%.1f\t\n", deployment, r.Scenario, r.Policy, r.Answered,
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%.1f\t\n", deployment, r.Scenario, r.Policy, r.Answered,
 			r.Refused, r.P50.Seconds(), r.P95.Seconds(), r.P99.Seconds(), 100*r.RecomputedShare, 100*r.LinkUtilization, 100*r.CrossSideUtilization, r.LinkBytes/1e12)
 	}
-	return errors.Wrap(tab.Flush(), "write table")
+	return errors.Wrap(table.Flush(), "write table")
 }
 
 // Small returns a tenth of the deployment, for tests.
--- a/bench/policy/result.go
+++ b/bench/policy/result.go
@@ -35,7 +35,7 @@
 	significantDigits = 3
 )
 
-func (r *Result) record(p prompt, first time.Duration, reused int) {
+func (r *Result) record(p prompt, timeToFirstToken time.Duration, reused int) {
 	r.Answered++
 	if p.priorTokens == 0 {
 		return
@@ -43,7 +43,7 @@
 	if r.times == nil {
 		r.times = hdrhistogram.New(1, maxRecordedMicros, significantDigits)
 	}
-	_ = r.times.RecordValue(min(first.Microseconds(), maxRecordedMicros))
+	_ = r.times.RecordValue(min(timeToFirstToken.Microseconds(), maxRecordedMicros))
 	r.priorTokens += p.priorTokens
 	r.recomputedTokens += max(p.priorTokens-reused, 0)
 }
--- a/bench/policy/simulate.go
+++ b/bench/policy/simulate.go
@@ -187,8 +187,8 @@
 	}
 	r.pending[j.id] = j
 	work := max(j.prompt.tokens-j.reusedTokens, 1)
-	d := r.queue.Offer(s.currentTime(), queue.Item{ID: j.id, Account: j.prompt.account, Cost: float64(work)})
-	if d.Verdict == queue.Started {
+	decision := r.queue.Offer(s.currentTime(), queue.Item{ID: j.id, Account: j.prompt.account, Cost: float64(work)})
+	if decision.Verdict == queue.Started {
 		s.compute(j)
 	}
 }
--- a/bench/policy/workload.go
+++ b/bench/policy/workload.go
@@ -73,15 +73,15 @@
 func Generate(d Deployment, seed uint64) []prompt {
 	random := rand.New(rand.NewPCG(seed, seed))
 	var arrivals []prompt
-	for c := range d.Conversations {
-		arrivals = append(arrivals, generateConversation(d, c, random)...)
+	for id := range d.Conversations {
+		arrivals = append(arrivals, generateConversation(d, id, random)...)
 	}
 	slices.SortStableFunc(arrivals, func(a, b prompt) int { return int(a.arrivesAt - b.arrivesAt) })
 	return arrivals
 }
 
 // generateConversation generates the prompts of one conversation that arrive within the span.
-func generateConversation(d Deployment, c int, random *rand.Rand) []prompt {
+func generateConversation(d Deployment, id int, random *rand.Rand) []prompt {
 	account := rillreach.AccountID(fmt.Sprintf("account-%d", drawAccount(random)))
 	tokens := int(d.FirstTokens * math.Exp(firstTokensSigma*random.NormFloat64()))
 	at := time.Duration(random.Float64() * float64(d.Span))
@@ -92,7 +92,7 @@
 		}
 		tokens = min(tokens, maxTokens)
 		prompts = append(prompts, prompt{
-			arrivesAt: at, conversation: c, hash: hash.Mix(uint64(c), 77), account: account, tokens: tokens, priorTokens: prior,
+			arrivesAt: at, conversation: id, hash: hash.Mix(uint64(id), 77), account: account, tokens: tokens, priorTokens: prior,
 		})
 		at += drawGap(d, random)
 	}
@@ -101,8 +101,8 @@
 
 // drawGap draws the time until the next prompt of a conversation.
 func drawGap(d Deployment, random *rand.Rand) time.Duration {
-	g := float64(d.MinGap) * math.Pow(1-random.Float64(), -1/gapExponent)
-	return min(time.Duration(g), maxGap)
+	length := float64(d.MinGap) * math.Pow(1-random.Float64(), -1/gapExponent)
+	return min(time.Duration(length), maxGap)
 }
 
 // drawAccount draws an account from a skewed distribution: a few accounts have most conversations.
