--- a/bench/capacity/connections_test.go
+++ b/bench/capacity/connections_test.go
@@ -17,7 +17,7 @@
 	"github.com/rillreach/rillreach/peer"
 )
 
-// newPool returns a pool of peer connections whose peers can call an empty unary method.
+// newPool returns a pool of peer connections that answers the sync method with an empty response.
 func newPool(ctx context.Context, name string) *peer.Pool {
 	p := &peer.Pool{
 		Self: rillreach.Instance{
--- a/bench/capacity/state_test.go
+++ b/bench/capacity/state_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-// BenchmarkShares measures the limiters that an entry has for the rows in use.
+// BenchmarkShares measures the limiters that hold an entry's shares of the limits of rows in use.
 func BenchmarkShares(b *testing.B) {
 	benchmarkPerItem(b, []int{100, 1000, 10000}, func(count int) any {
 		limiters := make([]*limit.Limiter, count)
--- a/bench/days_test.go
+++ b/bench/days_test.go
@@ -22,7 +22,7 @@
 	Days []day `toml:"day"`
 }
 
-// day is one day: the planned changes, the faults and the marks that its score is measured by. It has no traffic
+// day is one day: the planned changes, the faults and the criteria by which it is scored. It has no traffic
 // section, because traffic refers to the zones and request classes of one site.
 type day struct {
 	Name    string         `toml:"name"`
--- a/bench/freshness/freshness.go
+++ b/bench/freshness/freshness.go
@@ -31,7 +31,7 @@
 	// P99 is the time at which 99% of the processes have the change, All the time at which all of them have it.
 	P99 time.Duration
 	All time.Duration
-	// PushedCount is the number of processes that the pushes alone reached.
+	// PushedCount is the number of processes that the first pushes reached.
 	PushedCount int
 }
 
--- a/bench/policy/kept.go
+++ b/bench/policy/kept.go
@@ -12,7 +12,7 @@
 type transfer struct {
 	// parts are the stores to read from. They share the bytes equally.
 	parts []transferPart
-	// duration is the estimated duration.
+	// duration is the estimated time for the read, as set by estimate.
 	duration time.Duration
 	// crossSideLink is set if the state is read from the other side.
 	crossSideLink *link
--- a/bench/policy/model.go
+++ b/bench/policy/model.go
@@ -16,9 +16,10 @@
 	storeDiskBytes   = int64(2) << 40
 	linkRate         = 5e9
 	diskRate         = 1.5e9
-	crossSideRate    = 1e9
-	firstTokenDelay  = 30 * time.Millisecond
-	networkDelay     = 2 * time.Millisecond
+	// crossSideRate is the rate of the link between the sides.
+	crossSideRate   = 1e9
+	firstTokenDelay = 30 * time.Millisecond
+	networkDelay    = 2 * time.Millisecond
 )
 
 // lru is a cache of bounded size that records how many tokens of each conversation it holds.
@@ -129,7 +130,8 @@
 	return seconds(l.urgentBytes / l.rate)
 }
 
-// sendUrgent queues urgent bytes and returns their arrival time. The sender's rate may be lower than the link's.
+// sendUrgent queues urgent bytes and returns their arrival time. The sender may be slower
+// than the link, such as a store that reads from disk; it then occupies the link for longer.
 func (l *link) sendUrgent(now time.Duration, bytes, rate float64) time.Duration {
 	l.advance(now)
 	l.urgentBytes += bytes * l.rate / rate
--- a/bench/policy/simulate.go
+++ b/bench/policy/simulate.go
@@ -20,8 +20,8 @@
 	sentWork   time.Duration
 }
 
-// estimateWait returns the wait that an entry expects at a runner: the last reported wait plus the work sent since,
-// minus the time since the report.
+// estimateWait returns the wait that an entry expects at a runner: the last reported wait plus the time to compute
+// the prompt that the report answered, minus the time since the report.
 func (v entryView) estimateWait(s *simulation, r *runner) time.Duration {
 	h := v.hints[r]
 	return max(h.wait+h.sentWork-(s.now-h.receivedAt), 0)
