--- a/bench/bounds_test.go
+++ b/bench/bounds_test.go
@@ -54,7 +54,7 @@
 	for name, bound := range bounds {
 		t.Run(name, func(t *testing.T) {
 			require.Contains(t, measured, name)
-			t.Logf("%g of %g", measured[name], bound)
+			t.Logf("measured %g, bound %g", measured[name], bound)
 			assert.LessOrEqual(t, measured[name], bound)
 		})
 	}
--- a/bench/days_test.go
+++ b/bench/days_test.go
@@ -65,7 +65,7 @@
 	require.NotEmpty(t, entries)
 	for _, entry := range entries {
 		t.Run(entry.Name(), func(t *testing.T) {
-			require.True(t, entry.Type().IsRegular(), "a hunt plays no subfolder")
+			require.True(t, entry.Type().IsRegular(), "days in subfolders are not run")
 			require.Equal(t, ".toml", filepath.Ext(entry.Name()))
 			data, err := os.ReadFile(filepath.Join(daysDir, entry.Name()))
 			require.NoError(t, err)
@@ -100,7 +100,7 @@
 		_, err := decodeDays([]byte(`traffic = [{ zone = "@z0", per_s = 1.0 }]`))
 		assert.Error(t, err)
 	})
-	t.Run("days that fit", func(t *testing.T) {
+	t.Run("placeholders only", func(t *testing.T) {
 		days, err := decodeDays([]byte(`faults = [{ kind = "burst", zone = "@z0", to_zone = "@z1", service = "@s0", class = "@c0" }]`))
 		require.NoError(t, err)
 		require.Len(t, days, 1)
@@ -125,7 +125,7 @@
 	t.Helper()
 	first, _, _ := strings.Cut(string(data), "\n")
 	purpose, commented := strings.CutPrefix(first, "# ")
-	assert.True(t, commented, "the first line is no comment: %q", first)
+	assert.True(t, commented, "the first line is not a comment: %q", first)
 	assert.NotEmpty(t, strings.TrimSpace(purpose))
 }
 
--- a/bench/freshness/freshness_test.go
+++ b/bench/freshness/freshness_test.go
@@ -18,7 +18,7 @@
 // TestChangeReachesAll checks that a change reaches every process within 20 seconds if 30% of the pushes are lost.
 func TestChangeReachesAll(t *testing.T) {
 	for _, onRequests := range []bool{false, true} {
-		t.Run(fmt.Sprintf("carried=%v", onRequests), func(t *testing.T) {
+		t.Run(fmt.Sprintf("watermarks on requests=%v", onRequests), func(t *testing.T) {
 			config := testConfig(420)
 			config.WatermarksOnRequests = onRequests
 			result := Run(config)
--- a/bench/path/path_test.go
+++ b/bench/path/path_test.go
@@ -39,7 +39,7 @@
 	resp, err := c.client.Do(req)
 	if err == nil && resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("status %d", resp.StatusCode)
+		return nil, fmt.Errorf("unexpected status %d", resp.StatusCode)
 	}
 	return resp, err
 }
