--- a/bench/policy/model.go
+++ b/bench/policy/model.go
@@ -117,11 +117,11 @@
 	capacity := (now - l.updatedAt).Seconds() * l.rate
 	l.updatedAt = now
 	urgent := min(l.urgentBytes, capacity)
-	later := min(l.backgroundBytes, capacity-urgent)
+	background := min(l.backgroundBytes, capacity-urgent)
 	l.urgentBytes -= urgent
-	l.backgroundBytes -= later
-	l.sentBytes += urgent + later
-	l.busyTime += seconds((urgent + later) / l.rate)
+	l.backgroundBytes -= background
+	l.sentBytes += urgent + background
+	l.busyTime += seconds((urgent + background) / l.rate)
 }
 
 // urgentDelay returns how long new urgent traffic waits before it is sent.
