--- a/bench/capacity/connections_test.go
+++ b/bench/capacity/connections_test.go
@@ -17,6 +17,7 @@
 	"github.com/rillreach/rillreach/peer"
 )
 
+// newPool returns a pool of peer connections that answers the sync method with an empty response.
 func newPool(ctx context.Context, name string) *peer.Pool {
 	p := &peer.Pool{
 		Self: rillreach.Instance{
@@ -31,53 +32,53 @@
 	return p
 }
 
-// BenchmarkConnections is one process's connections to many peers; both ends are in this process, so that each
-// connection's figure is twice what one process spends.
+// BenchmarkConnections measures the connections of one process to many peers. Both ends are in this process, so the
+// memory is divided by two.
 func BenchmarkConnections(b *testing.B) {
 	for _, count := range []int{50, 200, 800} {
 		b.Run(fmt.Sprintf("connections=%d", count), func(b *testing.B) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			dialling, accepting := newPool(ctx, "dials"), newPool(ctx, "accepts")
+			client, server := newPool(ctx, "dials"), newPool(ctx, "accepts")
 			addresses := make([]netip.AddrPort, count)
 			for i := range addresses {
-				server := httptest.NewServer(http.Handler(accepting))
-				b.Cleanup(server.Close)
-				addresses[i] = netip.MustParseAddrPort(server.Listener.Addr().String())
+				listener := httptest.NewServer(http.Handler(server))
+				b.Cleanup(listener.Close)
+				addresses[i] = netip.MustParseAddrPort(listener.Listener.Addr().String())
 			}
-			before := heap() + stacks()
+			before := heapInUse() + stackInUse()
 			for b.Loop() {
 				for _, address := range addresses {
-					conn, err := dialling.Get(ctx, address)
+					conn, err := client.Get(ctx, address)
 					require.NoError(b, err)
 					_, err = peer.Invoke[fleet.SyncRequest, fleet.SyncResponse](ctx, conn, peer.MethodSync, fleet.SyncRequest{})
 					require.NoError(b, err)
 				}
 			}
-			b.ReportMetric(float64(heap()+stacks()-before)/float64(count)/2, "bytes/end")
+			b.ReportMetric(float64(heapInUse()+stackInUse()-before)/float64(count)/2, "bytes/end")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(count), "us/ask")
 		})
 	}
 }
 
-// BenchmarkLeaseBytes is the size of what an entry and an owner send each other for each row and renewal.
+// BenchmarkLeaseBytes measures the size of the messages between an entry and an owner per row and lease renewal.
 func BenchmarkLeaseBytes(b *testing.B) {
 	for _, rows := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("rows=%d", rows), func(b *testing.B) {
 			var size int
 			for b.Loop() {
-				var ask fleet.LeaseRequest
-				var leases fleet.LeaseResponse
+				var request fleet.LeaseRequest
+				var response fleet.LeaseResponse
 				for i := range rows {
 					demand := limit.Amounts{1.25, 312.5, 2}
-					ask.Rows = append(ask.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i%37), Demand: demand})
-					leases.Granted = append(leases.Granted, demand)
+					request.Rows = append(request.Rows, fleet.RowDemand{Row: fmt.Sprintf("account-%d/model-%d/v1", i, i%37), Demand: demand})
+					response.Granted = append(response.Granted, demand)
 				}
-				asked, err := peer.Encode(ask)
+				encodedRequest, err := peer.Encode(request)
 				require.NoError(b, err)
-				granted, err := peer.Encode(leases)
+				encodedResponse, err := peer.Encode(response)
 				require.NoError(b, err)
-				size = len(asked) + len(granted)
+				size = len(encodedRequest) + len(encodedResponse)
 			}
 			b.ReportMetric(float64(size)/float64(rows), "bytes/row")
 		})
--- a/bench/days_test.go
+++ b/bench/days_test.go
@@ -13,17 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// daysFolder holds the days of our own.
-const daysFolder = "../deploy/days"
+// daysDir contains the day files of this project. A day is a schedule of planned changes and faults for a test run.
+const daysDir = "../deploy/days"
 
-// dayFile is a file with a day of our own, which stands at its top level or in a list of days.
+// dayFile is a file with one day at its top level or with a list of days.
 type dayFile struct {
 	day
 	Days []day `toml:"day"`
 }
 
-// day is one day: what is planned, what fails, and the marks that it is measured by. It holds no traffic, since that names
-// zones and kinds of request.
+// day is one day: the planned changes, the faults and the criteria by which it is scored. It has no traffic
+// section, because traffic refers to the zones and request classes of one site.
 type day struct {
 	Name    string         `toml:"name"`
 	Slot    string         `toml:"slot"`
@@ -35,12 +35,12 @@
 	Wall    float64        `toml:"wall"`
 	Light   bool           `toml:"light"`
 	Closing map[string]any `toml:"closing"`
-	Plan    []trouble      `toml:"plan"`
-	Faults  []trouble      `toml:"faults"`
+	Plan    []dayEvent     `toml:"plan"`
+	Faults  []dayEvent     `toml:"faults"`
 }
 
-// trouble is one entry of a day, with all the fields that a day may have.
-type trouble struct {
+// dayEvent is a planned change or a fault, with all fields that a day may use.
+type dayEvent struct {
 	At      float64 `toml:"at"`
 	Kind    string  `toml:"kind"`
 	ForS    float64 `toml:"for_s"`
@@ -57,17 +57,17 @@
 	Class   string  `toml:"class"`
 }
 
-// TestDaysFitEverySite reads the days as a hunt does: only files that lie directly in the folder, none of which may name what
-// other sites don't have.
+// TestDaysFitEverySite guards against days that can only run on one site because they name its zones, regions,
+// services or request classes. Only files directly in the folder are run, so it must have no subfolders.
 func TestDaysFitEverySite(t *testing.T) {
-	entries, err := os.ReadDir(daysFolder)
+	entries, err := os.ReadDir(daysDir)
 	require.NoError(t, err)
 	require.NotEmpty(t, entries)
 	for _, entry := range entries {
 		t.Run(entry.Name(), func(t *testing.T) {
-			require.True(t, entry.Type().IsRegular(), "a hunt plays no subfolder")
+			require.True(t, entry.Type().IsRegular(), "days in subfolders are not run")
 			require.Equal(t, ".toml", filepath.Ext(entry.Name()))
-			data, err := os.ReadFile(filepath.Join(daysFolder, entry.Name()))
+			data, err := os.ReadFile(filepath.Join(daysDir, entry.Name()))
 			require.NoError(t, err)
 			assertPurpose(t, data)
 			days, err := decodeDays(data)
@@ -79,35 +79,36 @@
 	}
 }
 
-// TestNamesOfOneSiteAreFound spoils a day that fits, a field at a time.
-func TestNamesOfOneSiteAreFound(t *testing.T) {
+// TestSiteSpecificNamesAreFound checks that a site-specific name is found in each field, and that placeholders are
+// allowed only in their own field.
+func TestSiteSpecificNamesAreFound(t *testing.T) {
 	for _, field := range []string{"zone", "to_zone", "region", "service", "class"} {
 		t.Run(field, func(t *testing.T) {
 			days, err := decodeDays([]byte(`faults = [{ at = 1.0, kind = "burst", ` + field + ` = "kigali" }]`))
 			require.NoError(t, err)
 			require.Len(t, days, 1)
-			assert.Len(t, foreignNames(days[0]), 1)
+			assert.Len(t, siteSpecificNames(days[0]), 1)
 		})
 	}
 	t.Run("placeholder of another field", func(t *testing.T) {
 		days, err := decodeDays([]byte(`[[day]]` + "\n" + `plan = [{ at = 1.0, kind = "release", service = "@z0" }]`))
 		require.NoError(t, err)
 		require.Len(t, days, 1)
-		assert.Equal(t, []string{"@z0"}, foreignNames(days[0]))
+		assert.Equal(t, []string{"@z0"}, siteSpecificNames(days[0]))
 	})
 	t.Run("traffic", func(t *testing.T) {
 		_, err := decodeDays([]byte(`traffic = [{ zone = "@z0", per_s = 1.0 }]`))
 		assert.Error(t, err)
 	})
-	t.Run("days that fit", func(t *testing.T) {
+	t.Run("placeholders only", func(t *testing.T) {
 		days, err := decodeDays([]byte(`faults = [{ kind = "burst", zone = "@z0", to_zone = "@z1", service = "@s0", class = "@c0" }]`))
 		require.NoError(t, err)
 		require.Len(t, days, 1)
-		assert.Empty(t, foreignNames(days[0]))
+		assert.Empty(t, siteSpecificNames(days[0]))
 	})
 }
 
-// decodeDays reads a file of days, and refuses fields that it doesn't know.
+// decodeDays decodes a file of days. It returns an error for unknown fields.
 func decodeDays(data []byte) ([]day, error) {
 	var file dayFile
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(&file); err != nil {
@@ -119,47 +120,49 @@
 	return file.Days, nil
 }
 
-// assertPurpose fails unless the file begins with a comment that says something.
+// assertPurpose asserts that the file starts with a comment that is not empty.
 func assertPurpose(t *testing.T, data []byte) {
 	t.Helper()
 	first, _, _ := strings.Cut(string(data), "\n")
 	purpose, commented := strings.CutPrefix(first, "# ")
-	assert.True(t, commented, "the first line is no comment: %q", first)
+	assert.True(t, commented, "the first line is not a comment: %q", first)
 	assert.NotEmpty(t, strings.TrimSpace(purpose))
 }
 
-// assertFitsEverySite fails for a day without a name, with an entry of no kind, or with names of one site.
+// assertFitsEverySite asserts that a day has a name and a slot, that all its events have a kind, and that it has no
+// site-specific names.
 func assertFitsEverySite(t *testing.T, d day) {
 	t.Helper()
 	assert.NotEmpty(t, d.Name)
 	assert.NotEmpty(t, d.Slot)
-	assert.Empty(t, foreignNames(d))
-	for _, entry := range slices.Concat(d.Plan, d.Faults) {
-		assert.NotEmpty(t, entry.Kind)
+	assert.Empty(t, siteSpecificNames(d))
+	for _, event := range slices.Concat(d.Plan, d.Faults) {
+		assert.NotEmpty(t, event.Kind)
 	}
 }
 
-// foreignNames lists the zones, regions, services and kinds of request that are named other than by their place in a site file.
-func foreignNames(d day) []string {
-	var foreign []string
+// siteSpecificNames returns the zones, regions, services and request classes that are not placeholders. A placeholder
+// is the index of an item in the site file, such as @z0. There are none for regions.
+func siteSpecificNames(d day) []string {
+	var names []string
 	check := func(name, prefix string) {
 		if name != "" && !isPlaceholder(name, prefix) {
-			foreign = append(foreign, name)
+			names = append(names, name)
 		}
 	}
-	for _, entry := range slices.Concat(d.Plan, d.Faults) {
-		check(entry.Zone, "@z")
-		check(entry.ToZone, "@z")
-		check(entry.Service, "@s")
-		check(entry.Class, "@c")
-		if entry.Region != "" {
-			foreign = append(foreign, entry.Region)
+	for _, event := range slices.Concat(d.Plan, d.Faults) {
+		check(event.Zone, "@z")
+		check(event.ToZone, "@z")
+		check(event.Service, "@s")
+		check(event.Class, "@c")
+		if event.Region != "" {
+			names = append(names, event.Region)
 		}
 	}
-	return foreign
+	return names
 }
 
-// isPlaceholder says whether a name is the prefix and a number.
+// isPlaceholder reports whether a name is the prefix followed by a number.
 func isPlaceholder(name, prefix string) bool {
 	number, found := strings.CutPrefix(name, prefix)
 	return found && number != "" && strings.Trim(number, "0123456789") == ""
--- a/bench/path/path_test.go
+++ b/bench/path/path_test.go
@@ -19,7 +19,7 @@
 	"github.com/rillreach/rillreach/demo"
 )
 
-// caller sends prompts, directly to an engine or through an entry.
+// caller sends prompts to an engine directly or through an entry.
 type caller struct {
 	client *http.Client
 	key    string
@@ -29,6 +29,7 @@
 	return &caller{key: key, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20000, MaxIdleConns: 20000}}}
 }
 
+// open sends a prompt and returns the response, which the caller has to close.
 func (c *caller) open(url, body string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -38,13 +39,14 @@
 	resp, err := c.client.Do(req)
 	if err == nil && resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("status %d", resp.StatusCode)
+		return nil, fmt.Errorf("unexpected status %d", resp.StatusCode)
 	}
 	return resp, err
 }
 
-// first opens a stream, and returns how long its first event took; the rest is read to its end.
-func (c *caller) first(tb testing.TB, url, body string) (time.Duration, int) {
+// timeFirstEvent sends a prompt and reads the stream to its end. It returns the time to the first event and the number
+// of events.
+func (c *caller) timeFirstEvent(tb testing.TB, url, body string) (time.Duration, int) {
 	tb.Helper()
 	start := time.Now()
 	resp, err := c.open(url, body)
@@ -71,10 +73,11 @@
 	}
 }
 
-func body(i, tokens int) string {
+func requestBody(i, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"prompt %d"}]}`, demo.Model, tokens, i)
 }
 
+// startFleet starts a fleet with one entry and one runner, and returns it with a caller that has a valid API key.
 func startFleet(tb testing.TB, tokenTime time.Duration) (*demo.Fleet, *caller) {
 	tb.Helper()
 	f := &demo.Fleet{Entries: 1, Runners: 1, TokenInterval: tokenTime, PrefillRate: 1e9, Slots: 100_000, Log: logr.Discard()}
@@ -92,14 +95,14 @@
 	return f, newCaller(key)
 }
 
-// BenchmarkFirstToken compares the time to first token through entry and agent with that of calling the engine, in
-// turn, with 200 streams open.
+// BenchmarkFirstToken compares the time to first token through entry and agent with that of direct calls to the
+// engine. The two alternate, with 200 concurrent streams.
 func BenchmarkFirstToken(b *testing.B) {
-	const streams, tokens = 200, 20
+	const streams, outputTokens = 200, 20
 	f, c := startFleet(b, 20*time.Millisecond)
-	direct, through := hdrhistogram.New(1, 1e8, 3), hdrhistogram.New(1, 1e8, 3)
+	direct, routed := hdrhistogram.New(1, 1e8, 3), hdrhistogram.New(1, 1e8, 3)
 	var mu sync.Mutex
-	run := func(url string, into *hdrhistogram.Histogram, count int) {
+	run := func(url string, histogram *hdrhistogram.Histogram, count int) {
 		var wg sync.WaitGroup
 		for worker := range streams {
 			wg.Add(1)
@@ -107,9 +110,9 @@
 				defer wg.Done()
 				time.Sleep(time.Duration(worker) * 2 * time.Millisecond)
 				for i := range count {
-					took, _ := c.first(b, url, body(worker*1000+i, tokens))
+					took, _ := c.timeFirstEvent(b, url, requestBody(worker*1000+i, outputTokens))
 					mu.Lock()
-					_ = into.RecordValue(took.Microseconds())
+					_ = histogram.RecordValue(took.Microseconds())
 					mu.Unlock()
 				}
 			}()
@@ -120,19 +123,19 @@
 	run(f.URLs[0], hdrhistogram.New(1, 1e8, 3), 1)
 	for b.Loop() {
 		run(f.EngineURLs[0], direct, 5)
-		run(f.URLs[0], through, 5)
+		run(f.URLs[0], routed, 5)
 	}
-	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	b.ReportMetric(ms(direct, 50), "ms-direct-p50")
-	b.ReportMetric(ms(through, 50), "ms-through-p50")
-	b.ReportMetric(ms(direct, 99), "ms-direct-p99")
-	b.ReportMetric(ms(through, 99), "ms-through-p99")
+	quantileMillis := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	b.ReportMetric(quantileMillis(direct, 50), "ms-direct-p50")
+	b.ReportMetric(quantileMillis(routed, 50), "ms-through-p50")
+	b.ReportMetric(quantileMillis(direct, 99), "ms-direct-p99")
+	b.ReportMetric(quantileMillis(routed, 99), "ms-through-p99")
 }
 
-// BenchmarkFrames streams as fast as it goes, and reports the events a second through entry and agent. Engine, agent,
+// BenchmarkFrames measures the throughput of streams through entry and agent in events per second. Engine, agent,
 // entry and callers share the processors.
 func BenchmarkFrames(b *testing.B) {
-	const streams, tokens = 64, 2000
+	const streams, outputTokens = 64, 2000
 	f, c := startFleet(b, 0)
 	events := 0
 	var mu sync.Mutex
@@ -143,7 +146,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				_, count := c.first(b, f.URLs[0], body(i, tokens))
+				_, count := c.timeFirstEvent(b, f.URLs[0], requestBody(i, outputTokens))
 				mu.Lock()
 				events += count
 				mu.Unlock()
@@ -154,22 +157,22 @@
 	b.ReportMetric(float64(events)/time.Since(start).Seconds(), "events/s")
 }
 
-// BenchmarkIdleStreams opens many streams that say nothing for long, and reports the memory of everything that this
-// process holds for them: engine, agent, entry and caller.
+// BenchmarkIdleStreams measures the memory per idle stream for engine, agent, entry and caller together, which all run
+// in this process.
 func BenchmarkIdleStreams(b *testing.B) {
 	for _, streams := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			f, c := startFleet(b, time.Hour)
-			before := inUse()
+			before := memoryInUse()
 			var responses []*http.Response
 			for b.Loop() {
 				for i := range streams {
-					resp, err := c.open(f.URLs[0], body(i, 2))
+					resp, err := c.open(f.URLs[0], requestBody(i, 2))
 					require.NoError(b, err)
 					responses = append(responses, resp)
 				}
 			}
-			b.ReportMetric(float64(inUse()-before)/float64(len(responses)), "bytes/stream-all-parts")
+			b.ReportMetric(float64(memoryInUse()-before)/float64(len(responses)), "bytes/stream-all-parts")
 			for _, r := range responses {
 				_ = r.Body.Close()
 			}
@@ -177,7 +180,8 @@
 	}
 }
 
-func inUse() int64 {
+// memoryInUse returns the memory in use for the heap and goroutine stacks after garbage collection.
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/bench/policy/model.go
+++ b/bench/policy/model.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// The model's figures: an engine that computes 8,000 tokens of a prompt a second and holds 400,000 in its memory, 64 KB
-// of state for each token, and stores of 128 GB of memory and 2 TB of disk each behind links of 5 GB a second, which
-// read from disk at 1.5 GB a second.
+// The parameters of the model. Rates are in tokens or bytes per second.
 const (
-	prefillRate    = 8000.0
-	engineTokens   = 400_000
-	bytesPerToken  = 64 << 10
-	storeMemory    = int64(128) << 30
-	storeDisk      = int64(2) << 40
-	linkRate       = 5e9
-	diskRate       = 1.5e9
-	crossRate      = 1e9
-	firstTokenTime = 30 * time.Millisecond
-	hopTime        = 2 * time.Millisecond
+	// An engine computes 8,000 prompt tokens per second and caches 400,000 tokens, with 64 KiB of state each.
+	prefillRate       = 8000.0
+	engineCacheTokens = 400_000
+	bytesPerToken     = 64 << 10
+	// A store has 128 GiB of memory and a disk of 2 TiB. Its link carries 5 GB/s and its disk reads 1.5 GB/s.
+	storeMemoryBytes = int64(128) << 30
+	storeDiskBytes   = int64(2) << 40
+	linkRate         = 5e9
+	diskRate         = 1.5e9
+	// crossSideRate is the rate of the link between the sides.
+	crossSideRate   = 1e9
+	firstTokenDelay = 30 * time.Millisecond
+	networkDelay    = 2 * time.Millisecond
 )
 
-// lru is a bounded memory of how many tokens of each conversation are held.
+// lru is a cache of bounded size that records how many tokens of each conversation it holds.
 type lru struct {
 	capacity int64
 	used     int64
-	order    *list.List
-	held     map[int]*list.Element
+	recency  *list.List
+	entries  map[int]*list.Element
 }
 
 type lruEntry struct {
@@ -35,52 +36,53 @@
 }
 
 func newLRU(capacity int64) *lru {
-	return &lru{capacity: capacity, order: list.New(), held: map[int]*list.Element{}}
+	return &lru{capacity: capacity, recency: list.New(), entries: map[int]*list.Element{}}
 }
 
+// tokens returns how many tokens of a conversation are cached.
 func (l *lru) tokens(conversation int) int {
-	if e := l.held[conversation]; e != nil {
+	if e := l.entries[conversation]; e != nil {
 		return e.Value.(*lruEntry).tokens
 	}
 	return 0
 }
 
-// put holds tokens of a conversation, and drops the least recently used ones for them; it returns the dropped.
+// put records tokens of a conversation. It evicts the least recently used conversations if needed and returns them.
 func (l *lru) put(conversation, tokens int) []lruEntry {
-	if e := l.held[conversation]; e != nil {
+	if e := l.entries[conversation]; e != nil {
 		entry := e.Value.(*lruEntry)
 		l.used += int64(tokens - entry.tokens)
 		entry.tokens = tokens
-		l.order.MoveToFront(e)
+		l.recency.MoveToFront(e)
 	} else {
-		l.held[conversation] = l.order.PushFront(&lruEntry{conversation: conversation, tokens: tokens})
+		l.entries[conversation] = l.recency.PushFront(&lruEntry{conversation: conversation, tokens: tokens})
 		l.used += int64(tokens)
 	}
 	var dropped []lruEntry
-	for l.used > l.capacity && l.order.Len() > 0 {
-		oldest := l.order.Remove(l.order.Back()).(*lruEntry)
-		delete(l.held, oldest.conversation)
+	for l.used > l.capacity && l.recency.Len() > 0 {
+		oldest := l.recency.Remove(l.recency.Back()).(*lruEntry)
+		delete(l.entries, oldest.conversation)
 		l.used -= int64(oldest.tokens)
 		dropped = append(dropped, *oldest)
 	}
 	return dropped
 }
 
-// store is a model of a store instance: memory before a disk, behind one link.
+// store models a store instance: memory in front of a disk, behind one link.
 type store struct {
 	memory *lru
 	disk   *lru
 	link   link
-	dead   bool
+	failed bool
 }
 
 func newStore() *store {
-	return &store{memory: newLRU(storeMemory / bytesPerToken), disk: newLRU(storeDisk / bytesPerToken), link: link{rate: linkRate}}
+	return &store{memory: newLRU(storeMemoryBytes / bytesPerToken), disk: newLRU(storeDiskBytes / bytesPerToken), link: link{rate: linkRate}}
 }
 
-// holds is how many tokens of a conversation the store has, and at which rate they can be read.
-func (s *store) holds(conversation int) (int, float64) {
-	if s.dead {
+// lookup returns how many tokens of a conversation are stored, and the rate at which they can be read.
+func (s *store) lookup(conversation int) (int, float64) {
+	if s.failed {
 		return 0, 0
 	}
 	if tokens := s.memory.tokens(conversation); tokens > 0 {
@@ -89,9 +91,9 @@
 	return s.disk.tokens(conversation), min(diskRate, s.link.rate)
 }
 
-// put keeps tokens in memory; what memory drops goes to disk.
+// put stores tokens of a conversation in memory. Conversations evicted from memory go to disk.
 func (s *store) put(conversation, tokens int) {
-	if s.dead {
+	if s.failed {
 		return
 	}
 	for _, dropped := range s.memory.put(conversation, tokens) {
@@ -99,46 +101,47 @@
 	}
 }
 
-// link is a model of a link with two classes: what is urgent goes first, what can wait fills the rest.
+// link models a network link with two priorities: background traffic uses the capacity that urgent traffic leaves.
 type link struct {
-	rate   float64
-	at     time.Duration
-	urgent float64
-	later  float64
-	// carried and busy are for the report.
-	carried float64
-	busy    time.Duration
+	rate            float64
+	updatedAt       time.Duration
+	urgentBytes     float64
+	backgroundBytes float64
+	// sentBytes and busyTime are totals for the report.
+	sentBytes float64
+	busyTime  time.Duration
 }
 
-// advance carries what is queued up to a time.
+// advance sends queued bytes up to the given time.
 func (l *link) advance(now time.Duration) {
-	room := (now - l.at).Seconds() * l.rate
-	l.at = now
-	urgent := min(l.urgent, room)
-	later := min(l.later, room-urgent)
-	l.urgent -= urgent
-	l.later -= later
-	l.carried += urgent + later
-	l.busy += seconds((urgent + later) / l.rate)
+	capacity := (now - l.updatedAt).Seconds() * l.rate
+	l.updatedAt = now
+	urgent := min(l.urgentBytes, capacity)
+	background := min(l.backgroundBytes, capacity-urgent)
+	l.urgentBytes -= urgent
+	l.backgroundBytes -= background
+	l.sentBytes += urgent + background
+	l.busyTime += seconds((urgent + background) / l.rate)
 }
 
-// wait is how long something urgent would wait before it is carried.
-func (l *link) wait(now time.Duration) time.Duration {
+// urgentDelay returns how long new urgent traffic waits before it is sent.
+func (l *link) urgentDelay(now time.Duration) time.Duration {
 	l.advance(now)
-	return seconds(l.urgent / l.rate)
+	return seconds(l.urgentBytes / l.rate)
 }
 
-// carry queues urgent bytes and returns when they have arrived, at a rate that may be below the link's.
-func (l *link) carry(now time.Duration, bytes, rate float64) time.Duration {
+// sendUrgent queues urgent bytes and returns their arrival time. The sender may be slower
+// than the link, such as a store that reads from disk; it then occupies the link for longer.
+func (l *link) sendUrgent(now time.Duration, bytes, rate float64) time.Duration {
 	l.advance(now)
-	l.urgent += bytes * l.rate / rate
-	return now + seconds(l.urgent/l.rate)
+	l.urgentBytes += bytes * l.rate / rate
+	return now + seconds(l.urgentBytes/l.rate)
 }
 
-// carryLater queues bytes that can wait.
-func (l *link) carryLater(now time.Duration, bytes float64) {
+// sendBackground queues bytes of low priority.
+func (l *link) sendBackground(now time.Duration, bytes float64) {
 	l.advance(now)
-	l.later += bytes
+	l.backgroundBytes += bytes
 }
 
 func seconds(s float64) time.Duration {
--- a/bench/policy/report.go
+++ b/bench/policy/report.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc/iter"
 )
 
-// Experiment is a deployment's workload under some scenarios and policies.
+// Experiment compares policies under several scenarios on the workload of one deployment.
 type Experiment struct {
 	Deployment Deployment
 	Seed       uint64
@@ -34,22 +34,22 @@
 	return iter.Map(pairs, func(p *pair) Result { return Run(e.Deployment, p.policy, arrivals, p.scenario) })
 }
 
-// WriteTable writes results for people.
+// WriteTable writes the results as a text table.
 func WriteTable(w io.Writer, deployment string, results []Result) error {
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(tab, "deployment\tscenario\tpolicy\tanswered\trefused\tp50 s\tp95 s\tp99 s\trecomputed %\tbusiest link %\tbetween sides %\tTB carried\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	_, _ = fmt.Fprintln(table, "deployment\tscenario\tpolicy\tanswered\trefused\tp50 s\tp95 s\tp99 s\trecomputed %\tbusiest link %\tbetween sides %\tTB carried\t")
 	for _, r := range results {
-		_, _ = fmt.Fprintf(tab, "%s\t%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%.1f\t\n", deployment, r.Scenario, r.Policy, r.Answered,
-			r.Refused, r.P50.Seconds(), r.P95.Seconds(), r.P99.Seconds(), 100*r.Recomputed, 100*r.LinkBusy, 100*r.CrossBusy, r.LinkBytes/1e12)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%.1f\t\n", deployment, r.Scenario, r.Policy, r.Answered,
+			r.Refused, r.P50.Seconds(), r.P95.Seconds(), r.P99.Seconds(), 100*r.RecomputedShare, 100*r.LinkUtilization, 100*r.CrossSideUtilization, r.LinkBytes/1e12)
 	}
-	return errors.Wrap(tab.Flush(), "write table")
+	return errors.Wrap(table.Flush(), "write table")
 }
 
-// Small makes a deployment a tenth as large, for tests.
+// Small returns a tenth of the deployment, for tests.
 func (d Deployment) Small() Deployment {
-	const part = 10
-	d.Runners = max(d.Runners/part, 2)
-	d.Conversations /= part
+	const reduction = 10
+	d.Runners = max(d.Runners/reduction, 2)
+	d.Conversations /= reduction
 	d.Span = min(d.Span, 24*time.Hour)
 	return d
 }
