--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -15,16 +15,16 @@
 	"github.com/rillreach/rillreach"
 )
 
-func TestWhatCallersMeet(t *testing.T) {
+func TestCallerInterface(t *testing.T) {
 	f := newFleet(t)
-	e, _ := f.engine(rillreach.SideOld, "--engine-token-time", "5ms")
-	key := f.account("kigali", allOld("m"))
-	entry := f.entry("--max-body", "100000")
+	e, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
+	key := f.createAccount("kigali", oldSideRow("m"))
+	entry := f.startEntry("--max-body", "100000")
 	base := "http://" + entry.address("callers")
-	serves(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, base+chatPath, key, chatBody("x", false)) })
+	awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, base+chatPath, key, chatBody("x", false)) })
 	engineRequests := func() int {
 		var stats struct{ Requests int }
-		get(t, "http://"+e.address("standin")+"/stats", &stats)
+		getJSON(t, "http://"+e.address("standin")+"/stats", &stats)
 		return stats.Requests
 	}
 	before := engineRequests()
@@ -76,7 +76,7 @@
 	})
 	t.Run("a caller that hangs up ends the work at the engine", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+chatPath, strings.NewReader(longAnswer("true")))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+chatPath, strings.NewReader(longAnswerRequest("true")))
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer "+key)
 		resp, err := http.DefaultClient.Do(req)
@@ -85,7 +85,7 @@
 		_ = resp.Body.Close()
 		eventually(t, func() bool {
 			var stats struct{ Cancelled int }
-			get(t, "http://"+e.address("standin")+"/stats", &stats)
+			getJSON(t, "http://"+e.address("standin")+"/stats", &stats)
 			return stats.Cancelled > 0
 		}, "engine sees that the caller has gone")
 	})
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -17,8 +17,8 @@
 // clockTicks is how many ticks a second the kernel counts processor time in.
 const clockTicks = 100
 
-// processor is the processor time that a process has used.
-func (p *process) processor(b *testing.B) time.Duration {
+// cpuTime is the cpuTime time that a process has used.
+func (p *process) cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	require.NoError(b, err)
@@ -30,8 +30,8 @@
 	return time.Duration(user+system) * time.Second / clockTicks
 }
 
-// memory is the resident memory of a process in KB.
-func (p *process) memory(b *testing.B) float64 {
+// residentKB is the resident residentKB of a process in KB.
+func (p *process) residentKB(b *testing.B) float64 {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	require.NoError(b, err)
@@ -56,11 +56,11 @@
 			engine := start(b, "standin", "engine", "--engine-version", "v1", "--engine-token-time", "0s", "--engine-prefill", "100000000")
 			var list []*process
 			for range agents {
-				list = append(list, f.agent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m",
+				list = append(list, f.startAgent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m",
 					"--model-version", "v1", "--log-level", "info"))
 			}
-			key := f.account("kigali", allOld("m"))
-			entry := f.entry()
+			key := f.createAccount("kigali", oldSideRow("m"))
+			entry := f.startEntry()
 			url := "http://" + entry.address("callers") + chatPath
 			request := func(i int) error {
 				body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"prompt %d"}]}`, i)
@@ -70,32 +70,32 @@
 				}
 				return err
 			}
-			require.Eventually(b, func() bool { return request(0) == nil }, patience, 20*time.Millisecond)
-			load(b, 1000, request)
+			require.Eventually(b, func() bool { return request(0) == nil }, waitTimeout, 20*time.Millisecond)
+			sendLoad(b, 1000, request)
 			const requests = 4000
-			entryBefore, agentBefore := entry.processor(b), total(b, list)
+			entryBefore, agentBefore := entry.cpuTime(b), totalCPUTime(b, list)
 			for b.Loop() {
-				load(b, requests, request)
+				sendLoad(b, requests, request)
 			}
 			sent := float64(requests * b.N)
-			b.ReportMetric(float64((entry.processor(b)-entryBefore).Microseconds())/sent, "entry-us/request")
-			b.ReportMetric(float64((total(b, list)-agentBefore).Microseconds())/sent, "agent-us/request")
-			b.ReportMetric(entry.memory(b), "entry-KB")
-			b.ReportMetric(list[0].memory(b), "agent-KB")
-			const rest = 5 * time.Second
-			entryBefore, agentBefore = entry.processor(b), total(b, list)
-			time.Sleep(rest)
-			b.ReportMetric(float64(entry.processor(b)-entryBefore)/float64(rest)*100, "entry-rest-%core")
-			b.ReportMetric(float64(total(b, list)-agentBefore)/float64(rest)*100/float64(agents), "agent-rest-%core")
+			b.ReportMetric(float64((entry.cpuTime(b)-entryBefore).Microseconds())/sent, "entry-us/request")
+			b.ReportMetric(float64((totalCPUTime(b, list)-agentBefore).Microseconds())/sent, "agent-us/request")
+			b.ReportMetric(entry.residentKB(b), "entry-KB")
+			b.ReportMetric(list[0].residentKB(b), "agent-KB")
+			const idle = 5 * time.Second
+			entryBefore, agentBefore = entry.cpuTime(b), totalCPUTime(b, list)
+			time.Sleep(idle)
+			b.ReportMetric(float64(entry.cpuTime(b)-entryBefore)/float64(idle)*100, "entry-rest-%core")
+			b.ReportMetric(float64(totalCPUTime(b, list)-agentBefore)/float64(idle)*100/float64(agents), "agent-rest-%core")
 		})
 	}
 }
 
-func total(b *testing.B, list []*process) time.Duration {
+func totalCPUTime(b *testing.B, list []*process) time.Duration {
 	b.Helper()
 	var sum time.Duration
 	for _, p := range list {
-		sum += p.processor(b)
+		sum += p.cpuTime(b)
 	}
 	return sum
 }
@@ -107,9 +107,9 @@
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			f := newBenchFleet(b)
 			engine := start(b, "standin", "engine", "--engine-version", "v1", "--engine-token-time", "5ms", "--engine-prefill", "100000000")
-			agent := f.agent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1", "--slots", "1000")
-			key := f.account("kigali", allOld("m"))
-			entry := f.entry()
+			agent := f.startAgent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1", "--slots", "1000")
+			key := f.createAccount("kigali", oldSideRow("m"))
+			entry := f.startEntry()
 			url := "http://" + entry.address("callers") + chatPath
 			request := func(i int) error {
 				a, err := trySend(http.MethodPost, url, key,
@@ -119,21 +119,21 @@
 				}
 				return err
 			}
-			require.Eventually(b, func() bool { return request(0) == nil }, patience, 20*time.Millisecond)
+			require.Eventually(b, func() bool { return request(0) == nil }, waitTimeout, 20*time.Millisecond)
 			const requests = 256
-			entryBefore, agentBefore := entry.processor(b), agent.processor(b)
+			entryBefore, agentBefore := entry.cpuTime(b), agent.cpuTime(b)
 			for b.Loop() {
-				load(b, requests, request)
+				sendLoad(b, requests, request)
 			}
 			sent := float64(requests * b.N)
-			b.ReportMetric(float64((entry.processor(b)-entryBefore).Microseconds())/sent, "entry-us/request")
-			b.ReportMetric(float64((agent.processor(b)-agentBefore).Microseconds())/sent, "agent-us/request")
+			b.ReportMetric(float64((entry.cpuTime(b)-entryBefore).Microseconds())/sent, "entry-us/request")
+			b.ReportMetric(float64((agent.cpuTime(b)-agentBefore).Microseconds())/sent, "agent-us/request")
 		})
 	}
 }
 
-// load sends some requests from 64 callers at once.
-func load(b *testing.B, count int, request func(int) error) {
+// sendLoad sends some requests from 64 callers at once.
+func sendLoad(b *testing.B, count int, request func(int) error) {
 	b.Helper()
 	const callers = 64
 	var wg sync.WaitGroup
@@ -155,7 +155,7 @@
 func newBenchFleet(b *testing.B) *testFleet {
 	b.Helper()
 	p := start(b, "standin", "platform")
-	return &testFleet{t: b, platform: "http://" + p.address("standin"), digest: "2s"}
+	return &testFleet{t: b, platform: "http://" + p.address("standin"), digestInterval: "2s"}
 }
 
 // BenchmarkIdleStreams measures an entry's memory for streams that are open and say nothing.
@@ -164,25 +164,25 @@
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			f := newBenchFleet(b)
 			engine := start(b, "standin", "engine", "--engine-version", "v1", "--engine-token-time", "1h")
-			agent := f.agent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1", "--slots", "100000")
-			key := f.account("kigali", allOld("m"))
-			entry := f.entry()
+			agent := f.startAgent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1", "--slots", "100000")
+			key := f.createAccount("kigali", oldSideRow("m"))
+			entry := f.startEntry()
 			url := "http://" + entry.address("callers") + chatPath
 			require.Eventually(b, func() bool {
 				a, err := trySend(http.MethodPost, url, key, `{"model":"m","max_tokens":1,"messages":[{"role":"user","content":"x"}],"stream":true}`)
 				return err == nil && a.status == http.StatusOK
-			}, patience, 20*time.Millisecond)
-			entryBefore, agentBefore := entry.memory(b), agent.memory(b)
+			}, waitTimeout, 20*time.Millisecond)
+			entryBefore, agentBefore := entry.residentKB(b), agent.residentKB(b)
 			opened := 0
 			for b.Loop() {
 				for range streams {
-					resp := open(b, url, key, `{"model":"m","max_tokens":2,"messages":[{"role":"user","content":"x"}],"stream":true}`)
+					resp := openStream(b, url, key, `{"model":"m","max_tokens":2,"messages":[{"role":"user","content":"x"}],"stream":true}`)
 					b.Cleanup(func() { _ = resp.Body.Close() })
 					opened++
 				}
 			}
-			b.ReportMetric((entry.memory(b)-entryBefore)/float64(opened), "entry-KB/stream")
-			b.ReportMetric((agent.memory(b)-agentBefore)/float64(opened), "agent-KB/stream")
+			b.ReportMetric((entry.residentKB(b)-entryBefore)/float64(opened), "entry-KB/stream")
+			b.ReportMetric((agent.residentKB(b)-agentBefore)/float64(opened), "agent-KB/stream")
 		})
 	}
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -18,46 +18,46 @@
 
 // testFleet is a fleet of separate processes.
 type testFleet struct {
-	t        testing.TB
-	platform string
-	digest   string
+	t              testing.TB
+	platform       string
+	digestInterval string
 }
 
 func newFleet(t *testing.T) *testFleet {
 	t.Helper()
 	p := start(t, "standin", "platform")
-	return &testFleet{t: t, platform: "http://" + p.address("standin"), digest: "200ms"}
+	return &testFleet{t: t, platform: "http://" + p.address("standin"), digestInterval: "200ms"}
 }
 
 func (f *testFleet) nodeArgs(more ...string) []string {
-	return append([]string{"--platform", f.platform, "--secret", secret, "--digest-every", f.digest}, more...)
+	return append([]string{"--platform", f.platform, "--secret", secret, "--digest-every", f.digestInterval}, more...)
 }
 
-func (f *testFleet) entry(more ...string) *process {
+func (f *testFleet) startEntry(more ...string) *process {
 	args := append([]string{"entry", "--listen", "127.0.0.1:0"}, f.nodeArgs(more...)...)
 	return start(f.t, args...)
 }
 
-func (f *testFleet) agent(more ...string) *process {
+func (f *testFleet) startAgent(more ...string) *process {
 	return start(f.t, append([]string{"agent"}, f.nodeArgs(more...)...)...)
 }
 
-// engine starts an engine and the agent beside it.
-func (f *testFleet) engine(side rillreach.Side, more ...string) (*process, *process) {
+// startEngine starts an startEngine and the agent beside it.
+func (f *testFleet) startEngine(side rillreach.Side, more ...string) (*process, *process) {
 	e := start(f.t, append([]string{"standin", "engine", "--engine-version", "v1"}, more...)...)
-	a := f.agent("--backend", "http://"+e.address("standin"), "--side", string(side), "--model", "m", "--model-version", "v1")
+	a := f.startAgent("--backend", "http://"+e.address("standin"), "--side", string(side), "--model", "m", "--model-version", "v1")
 	return e, a
 }
 
-// service starts a plain service and the agent beside it.
-func (f *testFleet) service(side rillreach.Side, name string, more ...string) (*process, *process) {
+// startService starts a plain startService and the agent beside it.
+func (f *testFleet) startService(side rillreach.Side, name string, more ...string) (*process, *process) {
 	s := start(f.t, "standin", "service")
-	a := f.agent(append([]string{"--backend", "http://" + s.address("standin"), "--side", string(side), "--service", name}, more...)...)
+	a := f.startAgent(append([]string{"--backend", "http://" + s.address("standin"), "--side", string(side), "--service", name}, more...)...)
 	return s, a
 }
 
-// account makes a key for an account and writes its rows.
-func (f *testFleet) account(name string, rows ...rillreach.Row) string {
+// createAccount makes a key for an createAccount and writes its rows.
+func (f *testFleet) createAccount(name string, rows ...rillreach.Row) string {
 	f.t.Helper()
 	key, credential, err := rillreach.NewAPIKey(rillreach.AccountID(name))
 	require.NoError(f.t, err)
@@ -69,11 +69,11 @@
 			rows[i].Objective = rillreach.ObjectiveFirstToken
 		}
 	}
-	f.apply(rows...)
+	f.applyRows(rows...)
 	return key
 }
 
-func (f *testFleet) apply(rows ...rillreach.Row) {
+func (f *testFleet) applyRows(rows ...rillreach.Row) {
 	f.t.Helper()
 	data, err := json.Marshal(rows)
 	require.NoError(f.t, err)
@@ -127,11 +127,11 @@
 // eventually waits until a condition holds.
 func eventually(tb testing.TB, condition func() bool, what string) {
 	tb.Helper()
-	require.Eventually(tb, condition, patience, 20*time.Millisecond, what)
+	require.Eventually(tb, condition, waitTimeout, 20*time.Millisecond, what)
 }
 
-// serves waits until an entry answers a request with a status.
-func serves(tb testing.TB, status int, request func() (answer, error)) {
+// awaitStatus waits until an entry answers a request with a status.
+func awaitStatus(tb testing.TB, status int, request func() (answer, error)) {
 	tb.Helper()
 	var last string
 	eventually(tb, func() bool {
@@ -141,7 +141,7 @@
 	}, "entry answers with the status; last: "+last)
 }
 
-func get(tb testing.TB, url string, into any) {
+func getJSON(tb testing.TB, url string, into any) {
 	tb.Helper()
 	resp, err := http.Get(url)
 	require.NoError(tb, err)
@@ -150,8 +150,8 @@
 	require.NoError(tb, json.NewDecoder(resp.Body).Decode(into))
 }
 
-// open sends a prompt and returns as soon as its answer has begun.
-func open(tb testing.TB, url, key, body string) *http.Response {
+// openStream sends a prompt and returns as soon as its answer has begun.
+func openStream(tb testing.TB, url, key, body string) *http.Response {
 	tb.Helper()
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	require.NoError(tb, err)
@@ -170,10 +170,10 @@
 	return string(data)
 }
 
-// instances is how many instances the platform lists.
-func (f *testFleet) instances() int {
+// instanceCount is how many instanceCount the platform lists.
+func (f *testFleet) instanceCount() int {
 	f.t.Helper()
 	var page rillreach.ObjectPage
-	get(f.t, f.platform+"/objects/instances", &page)
+	getJSON(f.t, f.platform+"/objects/instances", &page)
 	return len(page.Objects)
 }
--- a/e2e/limit_test.go
+++ b/e2e/limit_test.go
@@ -12,21 +12,21 @@
 	"github.com/rillreach/rillreach"
 )
 
-func TestLimitsHoldOverTwoEntries(t *testing.T) {
+func TestRateLimitAcrossTwoEntries(t *testing.T) {
 	const rate, seconds = 20.0, 4
 	f := newFleet(t)
-	f.service(rillreach.SideOld, "catalogue")
-	limited := allOld("catalogue")
+	f.startService(rillreach.SideOld, "catalogue")
+	limited := oldSideRow("catalogue")
 	limited.Limits.RequestsPerSecond = rate
-	key := f.account("kigali", limited)
-	urls := []string{"http://" + f.entry().address("callers"), "http://" + f.entry().address("callers")}
+	key := f.createAccount("kigali", limited)
+	urls := []string{"http://" + f.startEntry().address("callers"), "http://" + f.startEntry().address("callers")}
 	request := func(url string) func() (answer, error) {
 		return func() (answer, error) { return trySend(http.MethodGet, url+"/services/catalogue/prices", key, "") }
 	}
 	for _, url := range urls {
-		serves(t, http.StatusOK, request(url))
+		awaitStatus(t, http.StatusOK, request(url))
 	}
-	var let, refused atomic.Int64
+	var admitted, rejected atomic.Int64
 	begin := time.Now()
 	var wg sync.WaitGroup
 	for i := range 8 {
@@ -37,10 +37,10 @@
 				a, err := request(urls[i%2])()
 				switch {
 				case err == nil && a.status == http.StatusOK:
-					let.Add(1)
+					admitted.Add(1)
 				case err == nil && a.status == http.StatusTooManyRequests:
 					assert.NotEmpty(t, a.header.Get("Retry-After"))
-					refused.Add(1)
+					rejected.Add(1)
 				default:
 					assert.Fail(t, "unexpected answer", "%v %v", a, err)
 				}
@@ -49,7 +49,7 @@
 	}
 	wg.Wait()
 	took := time.Since(begin).Seconds()
-	assert.LessOrEqual(t, float64(let.Load()), rate*(took+1)+float64(len(urls)), "requests let in")
-	assert.Positive(t, let.Load())
-	assert.Positive(t, refused.Load())
+	assert.LessOrEqual(t, float64(admitted.Load()), rate*(took+1)+float64(len(urls)), "requests let in")
+	assert.Positive(t, admitted.Load())
+	assert.Positive(t, rejected.Load())
 }
--- a/e2e/mixed_fleet_test.go
+++ b/e2e/mixed_fleet_test.go
@@ -13,8 +13,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// slot is a place in the fleet whose process is killed, frozen and replaced.
-type slot struct {
+// processSlot is a place in the fleet whose process is killed, frozen and replaced.
+type processSlot struct {
 	mu      sync.Mutex
 	process *process
 	args    []string
@@ -22,21 +22,21 @@
 
 // address is where the slot's process listens. One that a fault has killed before it listened is replaced by that fault, and so is waited
 // for; one that ends otherwise is a failure.
-func (s *slot) address(who string) string {
-	for deadline := time.Now().Add(patience); ; {
+func (s *processSlot) address(listener string) string {
+	for deadline := time.Now().Add(waitTimeout); ; {
 		p := s.current()
-		address, problem := p.awaitAddress(who)
+		address, problem := p.awaitAddress(listener)
 		switch {
 		case problem == "":
 			return address
-		case problem != problemEnded || time.Now().After(deadline):
-			require.FailNow(p.t, problem, p.text())
+		case problem != problemExited || time.Now().After(deadline):
+			require.FailNow(p.t, problem, p.logText())
 		}
-		time.Sleep(lookAgain)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (s *slot) current() *process {
+func (s *processSlot) current() *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process
@@ -45,9 +45,9 @@
 // mixedFleet is a fleet with faults going on.
 type mixedFleet struct {
 	*testFleet
-	entries  []*slot
-	agents   []*slot
-	stores   []*slot
+	entries  []*processSlot
+	agents   []*processSlot
+	stores   []*processSlot
 	services []*process
 	keys     map[string]string
 }
@@ -56,29 +56,29 @@
 	t.Helper()
 	f := &mixedFleet{testFleet: newFleet(t), keys: map[string]string{}}
 	for i, side := range []rillreach.Side{rillreach.SideOld, rillreach.SideNew} {
-		f.stores = append(f.stores, f.slot("standin", "store", "--platform", f.platform, "--side", string(side)))
+		f.stores = append(f.stores, f.startSlot("standin", "store", "--platform", f.platform, "--side", string(side)))
 		for j := range 2 {
 			e := start(t, "standin", "engine", "--engine-version", "v1", "--engine-token-time", "1ms")
 			name := fmt.Sprintf("runner-%d-%d", i, j)
-			f.agents = append(f.agents, f.slot(f.agentArgs(name, "http://"+e.address("standin"), side, "--model", "m", "--model-version", "v1")...))
+			f.agents = append(f.agents, f.startSlot(f.agentArgs(name, "http://"+e.address("standin"), side, "--model", "m", "--model-version", "v1")...))
 		}
 		e := start(t, "standin", "engine", "--engine-version", "v2", "--engine-token-time", "1ms")
-		f.agents = append(f.agents, f.slot(f.agentArgs(fmt.Sprintf("next-%d", i), "http://"+e.address("standin"), side, "--model", "m", "--model-version", "v2")...))
+		f.agents = append(f.agents, f.startSlot(f.agentArgs(fmt.Sprintf("next-%d", i), "http://"+e.address("standin"), side, "--model", "m", "--model-version", "v2")...))
 		s := start(t, "standin", "service")
 		f.services = append(f.services, s)
-		f.agents = append(f.agents, f.slot(f.agentArgs(fmt.Sprintf("service-%d", i), "http://"+s.address("standin"), side, "--service", "receipts")...))
+		f.agents = append(f.agents, f.startSlot(f.agentArgs(fmt.Sprintf("service-%d", i), "http://"+s.address("standin"), side, "--service", "receipts")...))
 	}
 	for i := range 2 {
-		args := append([]string{"entry", "--listen", "127.0.0.1:0", "--instance", fmt.Sprintf("entry-%d", i), "--ack-timeout", "500ms"}, f.nodeArgs(quick...)...)
-		f.entries = append(f.entries, f.slot(args...))
+		args := append([]string{"entry", "--listen", "127.0.0.1:0", "--instance", fmt.Sprintf("entry-%d", i), "--ack-timeout", "500ms"}, f.nodeArgs(fastOwnershipArgs...)...)
+		f.entries = append(f.entries, f.startSlot(args...))
 	}
 	for _, account := range []string{"kigali", "oja", "small"} {
-		f.keys[account] = f.account(account, f.rows(account, 50)...)
+		f.keys[account] = f.createAccount(account, f.accountRows(account, 50)...)
 	}
 	return f
 }
 
-func (f *mixedFleet) rows(_ string, toNew int) []rillreach.Row {
+func (f *mixedFleet) accountRows(_ string, toNew int) []rillreach.Row {
 	w := rillreach.Weights{Old: 100 - toNew, New: toNew}
 	return []rillreach.Row{
 		{Model: "m", Version: "v1", Weights: w},
@@ -89,15 +89,15 @@
 
 func (f *mixedFleet) agentArgs(name, backend string, side rillreach.Side, more ...string) []string {
 	args := append([]string{"agent", "--instance", name, "--backend", backend, "--side", string(side)}, more...)
-	return append(args, f.nodeArgs(quick...)...)
+	return append(args, f.nodeArgs(fastOwnershipArgs...)...)
 }
 
-func (f *mixedFleet) slot(args ...string) *slot {
-	return &slot{process: start(f.t, args...), args: args}
+func (f *mixedFleet) startSlot(args ...string) *processSlot {
+	return &processSlot{process: start(f.t, args...), args: args}
 }
 
 // replace starts a new process in a slot, whose old one is dead.
-func (f *mixedFleet) replace(s *slot) {
+func (f *mixedFleet) replace(s *processSlot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.process = start(f.t, s.args...)
@@ -105,24 +105,26 @@
 
 // fault is one thing that goes wrong, and is mended before the next of its list.
 type fault struct {
-	name string
-	do   func()
+	name   string
+	inject func()
 }
 
-func pick(random *rand.Rand, slots []*slot) *slot { return slots[random.IntN(len(slots))] }
+func randomSlot(random *rand.Rand, slots []*processSlot) *processSlot {
+	return slots[random.IntN(len(slots))]
+}
 
 // agentFaults are what happens to agents.
 func (f *mixedFleet) agentFaults(random *rand.Rand) []fault {
 	return []fault{
-		{"agent killed", func() { s := pick(random, f.agents); s.process.kill(); f.replace(s) }},
+		{"agent killed", func() { s := randomSlot(random, f.agents); s.process.kill(); f.replace(s) }},
 		{"agent stopped", func() {
-			s := pick(random, f.agents)
+			s := randomSlot(random, f.agents)
 			s.process.signal(syscall.SIGTERM)
 			<-s.process.exited
 			f.replace(s)
 		}},
 		{"agent frozen", func() {
-			s := pick(random, f.agents)
+			s := randomSlot(random, f.agents)
 			s.process.signal(syscall.SIGSTOP)
 			time.Sleep(time.Second)
 			s.process.signal(syscall.SIGCONT)
@@ -132,49 +134,49 @@
 
 // otherFaults are what happens to everything else.
 func (f *mixedFleet) otherFaults(random *rand.Rand) []fault {
-	platform := func(faults string, lasting time.Duration) func() {
-		return func() { f.setFaults(faults); time.Sleep(lasting); f.setFaults(`{}`) }
+	platform := func(faults string, duration time.Duration) func() {
+		return func() { f.setFaults(faults); time.Sleep(duration); f.setFaults(`{}`) }
 	}
 	return []fault{
-		{"entry killed", func() { s := pick(random, f.entries); s.process.kill(); f.replace(s) }},
-		{"store killed", func() { s := pick(random, f.stores); s.process.kill(); f.replace(s) }},
+		{"entry killed", func() { s := randomSlot(random, f.entries); s.process.kill(); f.replace(s) }},
+		{"store killed", func() { s := randomSlot(random, f.stores); s.process.kill(); f.replace(s) }},
 		{"platform down", platform(`{"down":true}`, time.Second)},
 		{"platform slow", platform(`{"delay":300000000}`, time.Second)},
 		{"platform loses answers", platform(`{"loseAnswers":true}`, time.Second/2)},
-		{"weights shifted", func() { f.race(random) }},
+		{"weights shifted", func() { f.shiftConcurrently(random) }},
 	}
 }
 
-// trouble brings about one fault after another until it is told to stop.
-func trouble(random *rand.Rand, faults []fault, stop <-chan struct{}) map[string]int {
-	done := map[string]int{}
+// injectFaults brings about one fault after another until it is told to stop.
+func injectFaults(random *rand.Rand, faults []fault, stop <-chan struct{}) map[string]int {
+	counts := map[string]int{}
 	for {
 		next := faults[random.IntN(len(faults))]
 		select {
 		case <-stop:
-			return done
+			return counts
 		case <-time.After(200 * time.Millisecond):
-			next.do()
-			done[next.name]++
+			next.inject()
+			counts[next.name]++
 		}
 	}
 }
 
-// race has two operators edit the same rows at once; one of them may lose.
-func (f *mixedFleet) race(random *rand.Rand) {
+// shiftConcurrently has two operators edit the same rows at once; one of them may lose.
+func (f *mixedFleet) shiftConcurrently(random *rand.Rand) {
 	var wg sync.WaitGroup
 	for range 2 {
 		toNew := 10 + random.IntN(81)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f.shiftAll(toNew)
+			f.shiftAllWeights(toNew)
 		}()
 	}
 	wg.Wait()
 }
 
-func (f *mixedFleet) shiftAll(toNew int) {
+func (f *mixedFleet) shiftAllWeights(toNew int) {
 	for account := range f.keys {
 		for _, model := range []string{"m", "receipts"} {
 			_, _, _ = runCommand(f.t, "", "table", "set", "--platform", f.platform, account+"/"+model+"/v1", "--new", fmt.Sprint(toNew))
@@ -182,7 +184,7 @@
 	}
 }
 
-// urlOf is the address of some entry that is up.
-func (f *mixedFleet) urlOf(i int) string {
+// entryURL is the address of some entry that is up.
+func (f *mixedFleet) entryURL(i int) string {
 	return "http://" + f.entries[i%len(f.entries)].address("callers")
 }
--- a/e2e/mixed_test.go
+++ b/e2e/mixed_test.go
@@ -22,19 +22,19 @@
 	mixedRequests = 20_000
 	mixedCallers  = 32
 	mixedSeed     = 7
-	// callerPatience is how long a caller goes on trying one request.
-	callerPatience = 60 * time.Second
+	// callerTimeout is how long a caller goes on trying one request.
+	callerTimeout = 60 * time.Second
 )
 
 // mixedReport counts what became of the requests, as their callers and the outside systems saw it.
 type mixedReport struct {
-	whole, lost, notRun, unknown, retried     atomic.Int64
-	wrongAnswer, crossed, wrongVersion        atomic.Int64
-	doubled, refusedButRun, answeredButNotRun int
-	causes                                    sync.Map
+	answered, lost, notRun, unknown, retried   atomic.Int64
+	wrongAnswer, wrongAccount, wrongVersion    atomic.Int64
+	ranTwice, refusedButRun, answeredButNotRun int
+	causes                                     sync.Map
 }
 
-func (r *mixedReport) cause(a answer, err error) {
+func (r *mixedReport) countFailure(a answer, err error) {
 	name := "connection"
 	if err == nil {
 		name = a.header.Get(rillreach.HeaderOutcome) + " " + a.header.Get(rillreach.HeaderReason)
@@ -46,33 +46,33 @@
 func TestMixedRequestsUnderFaults(t *testing.T) {
 	f := newMixedFleet(t)
 	for i := range f.entries {
-		serves(t, http.StatusOK, func() (answer, error) { return f.chat(i, "kigali", "m@v1", "warm up", false) })
-		serves(t, http.StatusOK, func() (answer, error) {
-			return trySend(http.MethodPost, f.urlOf(i)+"/services/receipts/x", f.keys["kigali"], "warm up", rillreach.HeaderIdempotencyKey, newKey(t))
+		awaitStatus(t, http.StatusOK, func() (answer, error) { return f.sendChat(i, "kigali", "m@v1", "warm up", false) })
+		awaitStatus(t, http.StatusOK, func() (answer, error) {
+			return trySend(http.MethodPost, f.entryURL(i)+"/services/receipts/x", f.keys["kigali"], "warm up", rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
 		})
 	}
 	var r mixedReport
-	stop, troubled := make(chan struct{}), make(chan map[string]int, 2)
+	stop, faultCounts := make(chan struct{}), make(chan map[string]int, 2)
 	for i, faults := range []func(*rand.Rand) []fault{f.agentFaults, f.otherFaults} {
 		random := rand.New(rand.NewPCG(mixedSeed, uint64(i)))
-		go func() { troubled <- trouble(random, faults(random), stop) }()
+		go func() { faultCounts <- injectFaults(random, faults(random), stop) }()
 	}
 	outcomes := f.sendAll(t, &r)
 	close(stop)
-	toAgents, toOthers := <-troubled, <-troubled
-	f.judge(t, &r, outcomes)
-	r.log(t, toAgents, toOthers)
+	agentFaults, otherFaults := <-faultCounts, <-faultCounts
+	f.compareWithRuns(t, &r, outcomes)
+	r.logSummary(t, agentFaults, otherFaults)
 	assert.Zero(t, r.lost.Load(), "lost")
-	assert.Zero(t, r.doubled, "doubled")
+	assert.Zero(t, r.ranTwice, "doubled")
 	assert.Zero(t, r.wrongAnswer.Load(), "answers that are not whole or another request's")
-	assert.Zero(t, r.crossed.Load(), "crossed accounts")
+	assert.Zero(t, r.wrongAccount.Load(), "crossed accounts")
 	assert.Zero(t, r.wrongVersion.Load(), "wrong version")
 	assert.Zero(t, r.refusedButRun, "refused as not run, but run")
 	assert.Zero(t, r.answeredButNotRun, "answered, but not run")
 }
 
-// outcome is how a call that must not run twice ended for its caller.
-type outcome struct {
+// callOutcome is how a call that must not run twice ended for its caller.
+type callOutcome struct {
 	body   string
 	ok     bool
 	notRun bool
@@ -80,10 +80,10 @@
 	attempts []string
 }
 
-func (f *mixedFleet) sendAll(t *testing.T, r *mixedReport) []outcome {
+func (f *mixedFleet) sendAll(t *testing.T, r *mixedReport) []callOutcome {
 	t.Helper()
 	var mu sync.Mutex
-	var outcomes []outcome
+	var outcomes []callOutcome
 	var wg sync.WaitGroup
 	for caller := range mixedCallers {
 		wg.Add(1)
@@ -103,15 +103,15 @@
 	return outcomes
 }
 
-func (f *mixedFleet) sendOne(random *rand.Rand, i int, r *mixedReport) (outcome, bool) {
+func (f *mixedFleet) sendOne(random *rand.Rand, i int, r *mixedReport) (callOutcome, bool) {
 	account := []string{"kigali", "oja", "small"}[random.IntN(3)]
 	switch kind := random.IntN(10); {
 	case kind < 7:
 		f.sendPrompt(random, i, account, r)
-		return outcome{}, false
+		return callOutcome{}, false
 	case kind < 8:
 		f.sendService(i, account, r)
-		return outcome{}, false
+		return callOutcome{}, false
 	default:
 		return f.sendOnce(random, i, account, r), true
 	}
@@ -120,25 +120,25 @@
 // sendPrompt sends a prompt until it is answered, as a caller of a repeatable request would.
 func (f *mixedFleet) sendPrompt(random *rand.Rand, i int, account string, r *mixedReport) {
 	version := []string{"v1", "v2"}[random.IntN(2)]
-	text := fmt.Sprintf("%s asks %s %d", account, history("w"), random.IntN(500))
+	text := fmt.Sprintf("%s asks %s %d", account, longPrompt("w"), random.IntN(500))
 	stream := random.IntN(2) == 0
-	deadline := time.Now().Add(callerPatience)
+	deadline := time.Now().Add(callerTimeout)
 	for try := i; ; try++ {
-		a, err := f.chat(try, account, "m@"+version, text, stream)
+		a, err := f.sendChat(try, account, "m@"+version, text, stream)
 		if err == nil && a.status == http.StatusOK && (!stream || strings.HasSuffix(a.body, "data: [DONE]\n\n")) {
-			r.whole.Add(1)
+			r.answered.Add(1)
 			f.checkAnswer(a, text, version, stream, r)
 			return
 		}
-		if !r.again(a, err, deadline) {
+		if !r.shouldRetry(a, err, deadline) {
 			return
 		}
 	}
 }
 
-// again counts an attempt that failed, and says whether the caller tries again.
-func (r *mixedReport) again(a answer, err error, deadline time.Time) bool {
-	r.cause(a, err)
+// shouldRetry counts an attempt that failed, and says whether the caller tries shouldRetry.
+func (r *mixedReport) shouldRetry(a answer, err error, deadline time.Time) bool {
+	r.countFailure(a, err)
 	if time.Now().After(deadline) {
 		r.lost.Add(1)
 		return false
@@ -148,20 +148,20 @@
 	return true
 }
 
-func (f *mixedFleet) chat(i int, account, model, text string, stream bool) (answer, error) {
+func (f *mixedFleet) sendChat(i int, account, model, text string, stream bool) (answer, error) {
 	body := strings.Replace(chatBody(text, stream), `"model":"m"`, fmt.Sprintf(`"model":%q`, model), 1)
-	return trySend(http.MethodPost, f.urlOf(i)+chatPath, f.keys[account], body)
+	return trySend(http.MethodPost, f.entryURL(i)+chatPath, f.keys[account], body)
 }
 
 func (f *mixedFleet) checkAnswer(a answer, text, version string, stream bool, r *mixedReport) {
 	got, err := answerText(a, stream)
 	want := func(v string) string {
-		return " " + strings.Join(engine.ResponseWords(v, userWord+` "`+text+`"`, wordCount), " ")
+		return " " + strings.Join(engine.ResponseWords(v, userWord+` "`+text+`"`, answerWordCount), " ")
 	}
-	other := map[string]string{"v1": "v2", "v2": "v1"}[version]
+	otherVersion := map[string]string{"v1": "v2", "v2": "v1"}[version]
 	switch {
 	case err == nil && got == want(version):
-	case got == want(other):
+	case got == want(otherVersion):
 		r.wrongVersion.Add(1)
 	default:
 		r.wrongAnswer.Add(1)
@@ -191,18 +191,18 @@
 }
 
 func (f *mixedFleet) sendService(i int, account string, r *mixedReport) {
-	deadline := time.Now().Add(callerPatience)
+	deadline := time.Now().Add(callerTimeout)
 	body := fmt.Sprintf("price %d", i)
 	for try := i; ; try++ {
-		a, err := trySend(http.MethodPost, f.urlOf(try)+"/services/receipts/price", f.keys[account], body)
+		a, err := trySend(http.MethodPost, f.entryURL(try)+"/services/receipts/price", f.keys[account], body)
 		if err == nil && a.status == http.StatusOK {
-			r.whole.Add(1)
+			r.answered.Add(1)
 			if !strings.Contains(a.body, body+`"`) {
 				r.wrongAnswer.Add(1)
 			}
 			return
 		}
-		if !r.again(a, err, deadline) {
+		if !r.shouldRetry(a, err, deadline) {
 			return
 		}
 	}
@@ -210,8 +210,8 @@
 
 // sendOnce sends a call that must not run twice, with a key or a ticket, and goes on under the same identity until the
 // call is answered or its outcome is final.
-func (f *mixedFleet) sendOnce(random *rand.Rand, i int, account string, r *mixedReport) outcome {
-	o := outcome{body: fmt.Sprintf("once %d", i)}
+func (f *mixedFleet) sendOnce(random *rand.Rand, i int, account string, r *mixedReport) callOutcome {
+	o := callOutcome{body: fmt.Sprintf("once %d", i)}
 	header, identity := rillreach.HeaderTicket, ""
 	if random.IntN(2) == 0 {
 		header, identity = rillreach.HeaderIdempotencyKey, uuid.Must(uuid.NewV7()).String()
@@ -222,13 +222,13 @@
 		if identity != "" {
 			headers = append(headers, header, identity)
 		}
-		a, err := trySend(http.MethodPost, f.urlOf(try)+"/services/receipts/issue", f.keys[account], o.body, headers...)
+		a, err := trySend(http.MethodPost, f.entryURL(try)+"/services/receipts/issue", f.keys[account], o.body, headers...)
 		if err == nil && a.status == http.StatusOK {
-			r.whole.Add(1)
+			r.answered.Add(1)
 			o.ok, o.notRun = true, false
 			return o
 		}
-		r.cause(a, err)
+		r.countFailure(a, err)
 		o.attempts = append(o.attempts, fmt.Sprint(a.body, err))
 		o.notRun = err == nil && a.header.Get(rillreach.HeaderOutcome) == string(rillreach.OutcomeNotRun)
 		if err == nil && identity == "" {
@@ -256,13 +256,13 @@
 	return a.header.Get(rillreach.HeaderReason) == string(rillreach.ReasonOwnerGone)
 }
 
-// judge holds what callers were told against what the services ran.
-func (f *mixedFleet) judge(t *testing.T, r *mixedReport, outcomes []outcome) {
+// compareWithRuns holds what callers were told against what the services ran.
+func (f *mixedFleet) compareWithRuns(t *testing.T, r *mixedReport, outcomes []callOutcome) {
 	t.Helper()
 	runs := map[string]int{}
 	for _, s := range f.services {
 		var ran map[string]int
-		get(t, "http://"+s.address("standin")+"/runs", &ran)
+		getJSON(t, "http://"+s.address("standin")+"/runs", &ran)
 		for body, count := range ran {
 			runs[body] += count
 		}
@@ -270,7 +270,7 @@
 	for _, o := range outcomes {
 		switch {
 		case runs[o.body] > 1:
-			r.doubled++
+			r.ranTwice++
 		case o.notRun && runs[o.body] > 0:
 			r.refusedButRun++
 			t.Logf("refused as not run, but run: %s: %v", o.body, o.attempts)
@@ -280,12 +280,12 @@
 	}
 }
 
-func (r *mixedReport) log(t *testing.T, faults ...map[string]int) {
+func (r *mixedReport) logSummary(t *testing.T, faults ...map[string]int) {
 	t.Helper()
-	t.Logf("requests %d: whole %d, lost %d, not run %d, unknown %d; attempts tried again %d", mixedRequests, r.whole.Load(),
+	t.Logf("requests %d: whole %d, lost %d, not run %d, unknown %d; attempts tried again %d", mixedRequests, r.answered.Load(),
 		r.lost.Load(), r.notRun.Load(), r.unknown.Load(), r.retried.Load())
 	t.Logf("wrong answers %d, crossed accounts %d, wrong version %d, doubled %d, refused but run %d, answered but not run %d",
-		r.wrongAnswer.Load(), r.crossed.Load(), r.wrongVersion.Load(), r.doubled, r.refusedButRun, r.answeredButNotRun)
+		r.wrongAnswer.Load(), r.wrongAccount.Load(), r.wrongVersion.Load(), r.ranTwice, r.refusedButRun, r.answeredButNotRun)
 	t.Logf("faults: %v", faults)
 	r.causes.Range(func(name, count any) bool {
 		t.Logf("failed attempts: %v: %d", name, count.(*atomic.Int64).Load())
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -17,17 +17,17 @@
 	"github.com/rillreach/rillreach"
 )
 
-// quick are the settings with which a fleet knows its owners of keys after a few seconds.
-var quick = []string{"--owner-lead", "2s", "--watch-wait", "200ms"}
+// fastOwnershipArgs are the settings with which a fleet knows its owners of keys after a few seconds.
+var fastOwnershipArgs = []string{"--owner-lead", "2s", "--watch-wait", "200ms"}
 
 // onceFleet is a fleet with two entries before two agents of one service.
 type onceFleet struct {
 	*testFleet
-	key      string
-	entries  [2]string
-	services [2]*process
-	agents   [2]*process
-	entry    [2]*process
+	key       string
+	entryURLs [2]string
+	services  [2]*process
+	agents    [2]*process
+	entries   [2]*process
 }
 
 func newOnceFleet(t *testing.T, delay string) *onceFleet {
@@ -36,53 +36,53 @@
 	for i := range f.services {
 		f.services[i] = start(t, "standin", "service", "--service-delay", delay)
 		args := []string{"--backend", "http://" + f.services[i].address("standin"), "--side", "old", "--service", "receipts"}
-		f.agents[i] = f.agent(append(args, quick...)...)
+		f.agents[i] = f.startAgent(append(args, fastOwnershipArgs...)...)
 	}
-	f.key = f.account("oja", allOld("receipts"))
-	for i := range f.entries {
-		f.entry[i] = f.testFleet.entry(append([]string{"--ack-timeout", "500ms"}, quick...)...)
-		f.entries[i] = "http://" + f.entry[i].address("callers")
+	f.key = f.createAccount("oja", oldSideRow("receipts"))
+	for i := range f.entryURLs {
+		f.entries[i] = f.testFleet.startEntry(append([]string{"--ack-timeout", "500ms"}, fastOwnershipArgs...)...)
+		f.entryURLs[i] = "http://" + f.entries[i].address("callers")
 	}
-	for _, url := range f.entries {
-		serves(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodGet, url+"/services/receipts/ready", f.key, "") })
+	for _, url := range f.entryURLs {
+		awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodGet, url+"/services/receipts/ready", f.key, "") })
 	}
 	return f
 }
 
 func (f *onceFleet) call(entry int, body string, headers ...string) (answer, error) {
-	return trySend(http.MethodPost, f.entries[entry]+"/services/receipts/issue", f.key, body, headers...)
+	return trySend(http.MethodPost, f.entryURLs[entry]+"/services/receipts/issue", f.key, body, headers...)
 }
 
-func (f *onceFleet) ticket() string {
+func (f *onceFleet) issueTicket() string {
 	f.t.Helper()
-	a := send(f.t, http.MethodPost, f.entries[0]+"/v1/tickets/receipts", f.key, "")
+	a := send(f.t, http.MethodPost, f.entryURLs[0]+"/v1/tickets/receipts", f.key, "")
 	require.Equal(f.t, http.StatusCreated, a.status, a.body)
 	var parsed struct{ Ticket string }
 	require.NoError(f.t, json.Unmarshal([]byte(a.body), &parsed))
 	return parsed.Ticket
 }
 
-// runs is how often the services ran a body.
-func (f *onceFleet) runs(body string) int {
+// runCount is how often the services ran a body.
+func (f *onceFleet) runCount(body string) int {
 	f.t.Helper()
 	total := 0
 	for _, s := range f.services {
 		var runs map[string]int
-		get(f.t, "http://"+s.address("standin")+"/runs", &runs)
+		getJSON(f.t, "http://"+s.address("standin")+"/runs", &runs)
 		total += runs[body]
 	}
 	return total
 }
 
-func newKey(t *testing.T) string {
+func newIdempotencyKey(t *testing.T) string {
 	t.Helper()
 	id, err := uuid.NewV7()
 	require.NoError(t, err)
 	return id.String()
 }
 
-// race sends one call to both entries many times at once.
-func (f *onceFleet) race(body string, headers ...string) []answer {
+// sendConcurrently sends one call to both entries many times at once.
+func (f *onceFleet) sendConcurrently(body string, headers ...string) []answer {
 	f.t.Helper()
 	const times = 10
 	answers := make([]answer, 2*times)
@@ -101,20 +101,20 @@
 func TestTicketRunsOnce(t *testing.T) {
 	f := newOnceFleet(t, "50ms")
 	t.Run("sent to two entries at once", func(t *testing.T) {
-		for _, a := range f.race("race", rillreach.HeaderTicket, f.ticket()) {
+		for _, a := range f.sendConcurrently("race", rillreach.HeaderTicket, f.issueTicket()) {
 			assert.Equal(t, http.StatusOK, a.status, a.body)
 			assert.Equal(t, `/issue ran "race" time 1`, a.body)
 		}
-		assert.Equal(t, 1, f.runs("race"))
+		assert.Equal(t, 1, f.runCount("race"))
 	})
 	t.Run("a ticket used for another call is refused", func(t *testing.T) {
-		ticket := f.ticket()
+		ticket := f.issueTicket()
 		_, err := f.call(0, "first use", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
 		a, err := f.call(1, "second use", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
 		assertRefused(t, a, http.StatusUnprocessableEntity, rillreach.OutcomeNotRun, rillreach.ReasonKeyReused)
-		assert.Zero(t, f.runs("second use"))
+		assert.Zero(t, f.runCount("second use"))
 	})
 	t.Run("a marked call without a ticket gets one with its answer", func(t *testing.T) {
 		a, err := f.call(0, "marked", rillreach.HeaderRepeat, rillreach.RepeatNever)
@@ -122,12 +122,12 @@
 		again, err := f.call(1, "marked", rillreach.HeaderTicket, a.header.Get(rillreach.HeaderTicket))
 		require.NoError(t, err)
 		assert.Equal(t, a.body, again.body)
-		assert.Equal(t, 1, f.runs("marked"))
+		assert.Equal(t, 1, f.runCount("marked"))
 	})
 	t.Run("a platform outage stops no tickets", func(t *testing.T) {
 		f.setFaults(`{"down":true}`)
 		defer f.setFaults(`{}`)
-		a, err := f.call(0, "outage", rillreach.HeaderTicket, f.ticket())
+		a, err := f.call(0, "outage", rillreach.HeaderTicket, f.issueTicket())
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, a.status, a.body)
 	})
@@ -135,13 +135,17 @@
 
 func TestKeyRunsOnce(t *testing.T) {
 	f := newOnceFleet(t, "50ms")
-	serves(t, http.StatusOK, func() (answer, error) { return f.call(0, "warm up", rillreach.HeaderIdempotencyKey, newKey(t)) })
-	serves(t, http.StatusOK, func() (answer, error) { return f.call(1, "warm up", rillreach.HeaderIdempotencyKey, newKey(t)) })
+	awaitStatus(t, http.StatusOK, func() (answer, error) {
+		return f.call(0, "warm up", rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
+	})
+	awaitStatus(t, http.StatusOK, func() (answer, error) {
+		return f.call(1, "warm up", rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
+	})
 	t.Run("sent to two entries at once", func(t *testing.T) {
-		for _, a := range f.race("race", rillreach.HeaderIdempotencyKey, newKey(t)) {
+		for _, a := range f.sendConcurrently("race", rillreach.HeaderIdempotencyKey, newIdempotencyKey(t)) {
 			assert.Equal(t, http.StatusOK, a.status, a.body)
 		}
-		assert.Equal(t, 1, f.runs("race"))
+		assert.Equal(t, 1, f.runCount("race"))
 	})
 	t.Run("a key that carries no time is refused", func(t *testing.T) {
 		a, err := f.call(0, "plain key", rillreach.HeaderIdempotencyKey, "order 66")
@@ -157,37 +161,37 @@
 		for round := range 6 {
 			body := "change " + string(rune('a'+round))
 			if round == 1 {
-				f.agent(append([]string{"--backend", "http://" + f.services[1].address("standin"), "--side", "old", "--service", "receipts"}, quick...)...)
+				f.startAgent(append([]string{"--backend", "http://" + f.services[1].address("standin"), "--side", "old", "--service", "receipts"}, fastOwnershipArgs...)...)
 			}
 			if round == 3 {
 				f.agents[0].signal(syscall.SIGTERM)
 			}
-			f.race(body, rillreach.HeaderIdempotencyKey, newKey(t))
-			assert.LessOrEqual(t, f.runs(body), 1, body)
+			f.sendConcurrently(body, rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
+			assert.LessOrEqual(t, f.runCount(body), 1, body)
 		}
 	})
 }
 
-func TestOwnerInTrouble(t *testing.T) {
+func TestOwnerFailures(t *testing.T) {
 	t.Run("killed before it runs", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
-		ticket := f.ticket()
+		ticket := f.issueTicket()
 		f.agents[0].kill()
 		f.agents[1].kill()
 		a, err := f.call(0, "before", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
 		assert.Equal(t, string(rillreach.OutcomeUnknown), a.header.Get(rillreach.HeaderOutcome), a.body)
-		assert.Zero(t, f.runs("before"))
+		assert.Zero(t, f.runCount("before"))
 	})
 	t.Run("killed while it runs", func(t *testing.T) {
 		f := newOnceFleet(t, "1s")
-		ticket := f.ticket()
+		ticket := f.issueTicket()
 		answers := make(chan answer, 1)
 		go func() {
 			a, _ := f.call(0, "while", rillreach.HeaderTicket, ticket)
 			answers <- a
 		}()
-		eventually(t, func() bool { return f.runs("while") == 1 }, "service runs")
+		eventually(t, func() bool { return f.runCount("while") == 1 }, "service runs")
 		f.agents[0].kill()
 		f.agents[1].kill()
 		a := <-answers
@@ -195,7 +199,7 @@
 		again, err := f.call(1, "while", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
 		assert.Equal(t, string(rillreach.OutcomeUnknown), again.header.Get(rillreach.HeaderOutcome), again.body)
-		assert.Equal(t, 1, f.runs("while"))
+		assert.Equal(t, 1, f.runCount("while"))
 	})
 	t.Run("killed while it runs a marked call that has no ticket", func(t *testing.T) {
 		f := newOnceFleet(t, "1s")
@@ -204,21 +208,21 @@
 			a, _ := f.call(0, "marked", rillreach.HeaderRepeat, rillreach.RepeatNever)
 			answers <- a
 		}()
-		eventually(t, func() bool { return f.runs("marked") == 1 }, "service runs")
+		eventually(t, func() bool { return f.runCount("marked") == 1 }, "service runs")
 		for i, s := range f.services {
 			var runs map[string]int
-			get(t, "http://"+s.address("standin")+"/runs", &runs)
+			getJSON(t, "http://"+s.address("standin")+"/runs", &runs)
 			if runs["marked"] > 0 {
 				f.agents[i].kill()
 			}
 		}
 		a := <-answers
 		assert.Equal(t, string(rillreach.OutcomeUnknown), a.header.Get(rillreach.HeaderOutcome), a.body)
-		assert.Equal(t, 1, f.runs("marked"))
+		assert.Equal(t, 1, f.runCount("marked"))
 	})
 	t.Run("frozen past the deadline and thawed", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
-		ticket := f.ticket()
+		ticket := f.issueTicket()
 		for _, agent := range f.agents {
 			agent.signal(syscall.SIGSTOP)
 		}
@@ -229,28 +233,28 @@
 		for _, agent := range f.agents {
 			agent.signal(syscall.SIGCONT)
 		}
-		serves(t, http.StatusOK, func() (answer, error) { return f.call(0, "after", rillreach.HeaderTicket, f.ticket()) })
-		assert.Zero(t, f.runs("frozen"))
+		awaitStatus(t, http.StatusOK, func() (answer, error) { return f.call(0, "after", rillreach.HeaderTicket, f.issueTicket()) })
+		assert.Zero(t, f.runCount("frozen"))
 	})
 	t.Run("the answer is lost on its way back", func(t *testing.T) {
 		f := newOnceFleet(t, "500ms")
-		ticket := f.ticket()
+		ticket := f.issueTicket()
 		lost := make(chan error, 1)
 		go func() {
 			_, err := f.call(0, "lost", rillreach.HeaderTicket, ticket)
 			lost <- err
 		}()
-		eventually(t, func() bool { return f.runs("lost") == 1 }, "service runs")
-		f.entry[0].kill()
+		eventually(t, func() bool { return f.runCount("lost") == 1 }, "service runs")
+		f.entries[0].kill()
 		require.Error(t, <-lost)
 		a, err := f.call(1, "lost", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
 		assert.Equal(t, `/issue ran "lost" time 1`, a.body)
-		assert.Equal(t, 1, f.runs("lost"))
+		assert.Equal(t, 1, f.runCount("lost"))
 	})
 	t.Run("replaced by a new incarnation after it ran", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
-		ticket := f.ticket()
+		ticket := f.issueTicket()
 		a, err := f.call(0, "replaced", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, a.status, a.body)
@@ -259,37 +263,39 @@
 			id := agent.instance()
 			agent.kill()
 			args := []string{"--instance", id, "--peer-listen", address, "--backend", "http://" + f.services[i].address("standin"), "--side", "old", "--service", "receipts"}
-			f.agents[i] = f.agent(append(args, quick...)...)
+			f.agents[i] = f.startAgent(append(args, fastOwnershipArgs...)...)
 		}
-		serves(t, http.StatusOK, func() (answer, error) { return f.call(1, "after", rillreach.HeaderTicket, f.ticket()) })
+		awaitStatus(t, http.StatusOK, func() (answer, error) { return f.call(1, "after", rillreach.HeaderTicket, f.issueTicket()) })
 		a, err = f.call(1, "replaced", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
 		assertRefused(t, a, http.StatusBadGateway, rillreach.OutcomeUnknown, rillreach.ReasonOwnerGone)
-		assert.Equal(t, 1, f.runs("replaced"))
+		assert.Equal(t, 1, f.runCount("replaced"))
 	})
 	t.Run("two processes believe they have the slot", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
 		args := []string{"--instance", "slot", "--backend", "http://" + f.services[0].address("standin"), "--side", "old", "--service", "receipts"}
-		first := f.agent(append(args, quick...)...)
+		first := f.startAgent(append(args, fastOwnershipArgs...)...)
 		first.address("peers")
-		second := f.agent(append(args, quick...)...)
+		second := f.startAgent(append(args, fastOwnershipArgs...)...)
 		second.address("peers")
 		for range 10 {
-			key := newKey(t)
-			f.race("slot "+key, rillreach.HeaderIdempotencyKey, key)
-			assert.LessOrEqual(t, f.runs("slot "+key), 1)
+			key := newIdempotencyKey(t)
+			f.sendConcurrently("slot "+key, rillreach.HeaderIdempotencyKey, key)
+			assert.LessOrEqual(t, f.runCount("slot "+key), 1)
 		}
 	})
 }
 
-// TestPlannedStopLosesNoKeys has an agent that owns keys stop while calls with fresh keys come: every one of them is
+// TestAgentShutdownAnswersEveryKey has an agent that owns keys stop while calls with fresh keys come: every one of them is
 // answered, and run once.
-func TestPlannedStopLosesNoKeys(t *testing.T) {
+func TestAgentShutdownAnswersEveryKey(t *testing.T) {
 	f := newOnceFleet(t, "0s")
-	for i := range f.entries {
-		serves(t, http.StatusOK, func() (answer, error) { return f.call(i, "warm up", rillreach.HeaderIdempotencyKey, newKey(t)) })
+	for i := range f.entryURLs {
+		awaitStatus(t, http.StatusOK, func() (answer, error) {
+			return f.call(i, "warm up", rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
+		})
 	}
-	awaitOwners(t, f, 2)
+	awaitKeyOwners(t, f, 2)
 	stopped := make(chan struct{})
 	f.agents[0].signal(syscall.SIGTERM)
 	go func() {
@@ -298,10 +304,10 @@
 	}()
 	for calls := 0; ; calls++ {
 		body := "during the stop " + strconv.Itoa(calls)
-		a, err := f.call(calls%2, body, rillreach.HeaderIdempotencyKey, newKey(t))
+		a, err := f.call(calls%2, body, rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, a.status, a.body)
-		require.Equal(t, 1, f.runs(body))
+		require.Equal(t, 1, f.runCount(body))
 		select {
 		case <-stopped:
 			require.Greater(t, calls, 10)
@@ -311,14 +317,14 @@
 	}
 }
 
-// awaitOwners waits until keys go to some number of agents.
-func awaitOwners(t *testing.T, f *onceFleet, count int) {
+// awaitKeyOwners waits until keys go to some number of agents.
+func awaitKeyOwners(t *testing.T, f *onceFleet, count int) {
 	t.Helper()
 	eventually(t, func() bool {
 		owners := 0
 		for _, s := range f.services {
 			var runs map[string]int
-			get(t, "http://"+s.address("standin")+"/runs", &runs)
+			getJSON(t, "http://"+s.address("standin")+"/runs", &runs)
 			for body := range runs {
 				if strings.HasPrefix(body, "probe ") {
 					owners++
@@ -326,7 +332,7 @@
 				}
 			}
 		}
-		_, err := f.call(0, "probe "+newKey(t), rillreach.HeaderIdempotencyKey, newKey(t))
+		_, err := f.call(0, "probe "+newIdempotencyKey(t), rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
 		return err == nil && owners == count
 	}, "keys are spread over the agents")
 }
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -14,9 +14,9 @@
 	"github.com/rillreach/rillreach/objectstore"
 )
 
-func TestOperatorsTable(t *testing.T) {
+func TestTableCommands(t *testing.T) {
 	f := newFleet(t)
-	f.account("kigali", allOld("m"))
+	f.createAccount("kigali", oldSideRow("m"))
 	set := func(args ...string) (string, string, int) {
 		return runCommand(t, "", append([]string{"table", "set", "--platform", f.platform, "kigali/m/v1"}, args...)...)
 	}
@@ -54,17 +54,17 @@
 			}()
 		}
 		wg.Wait()
-		won := 0
+		succeeded := 0
 		for i, code := range codes {
 			if code == 0 {
-				won++
+				succeeded++
 				continue
 			}
 			assert.Equal(t, 3, code, texts[i])
 			assert.Contains(t, texts[i], "ours:")
 			assert.Contains(t, texts[i], "theirs:")
 		}
-		assert.Positive(t, won)
+		assert.Positive(t, succeeded)
 	})
 	t.Run("an edit whose answer is lost is recognised as taken", func(t *testing.T) {
 		f.setFaults(`{"loseAnswers":true}`)
@@ -81,12 +81,12 @@
 	})
 }
 
-func TestShiftStepByStep(t *testing.T) {
+func TestShiftInSteps(t *testing.T) {
 	f := newFleet(t)
-	f.engine(rillreach.SideOld)
-	f.engine(rillreach.SideNew)
-	f.account("kigali", allOld("m"))
-	entry := f.entry()
+	f.startEngine(rillreach.SideOld)
+	f.startEngine(rillreach.SideNew)
+	f.createAccount("kigali", oldSideRow("m"))
+	entry := f.startEntry()
 	operators := "http://" + entry.address("operators")
 	eventually(t, func() bool {
 		resp, err := http.Get(operators + "/status")
@@ -110,28 +110,28 @@
 	assert.Contains(t, readAll(t, metrics), "rillreach_members")
 }
 
-// TestRowWrittenAroundTheTool puts a row into the platform that fails its checks: the last good one stays in force.
-func TestRowWrittenAroundTheTool(t *testing.T) {
+// TestInvalidRowIsNotApplied puts a row into the platform that fails its checks: the last good one stays in force.
+func TestInvalidRowIsNotApplied(t *testing.T) {
 	f := newFleet(t)
-	f.engine(rillreach.SideOld)
-	key := f.account("kigali", allOld("m"))
-	entry := f.entry()
+	f.startEngine(rillreach.SideOld)
+	key := f.createAccount("kigali", oldSideRow("m"))
+	entry := f.startEntry()
 	url := "http://" + entry.address("callers") + chatPath
 	request := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("x", false)) }
-	serves(t, http.StatusOK, request)
+	awaitStatus(t, http.StatusOK, request)
 	client := &objectstore.Client{BaseURL: f.platform}
 	name := rillreach.RowName("kigali", "m", "v1")
 	object, err := client.Get(t.Context(), rillreach.KindRow, name)
 	require.NoError(t, err)
 	_, err = client.Put(t.Context(), rillreach.KindRow, name, object.Version, []byte(`{"format":1,"account":"kigali","weights":{"old":5}}`))
 	require.NoError(t, err)
-	eventually(t, func() bool { return strings.Contains(entry.text(), "row not applied") }, "entry rejects the row")
+	eventually(t, func() bool { return strings.Contains(entry.logText(), "row not applied") }, "entry rejects the row")
 	a, err := request()
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, a.status, a.body)
 }
 
-func TestPeersNeedACertificate(t *testing.T) {
+func TestPeersRequireCertificate(t *testing.T) {
 	f := newFleet(t)
 	dir := t.TempDir()
 	_, errOut, code := runCommand(t, "", "certs", "--dir", dir)
@@ -141,21 +141,21 @@
 	}
 	e := start(t, "standin", "engine", "--engine-version", "v1")
 	args := []string{"--backend", "http://" + e.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1"}
-	f.agent(append(args, tls("agent")...)...)
-	key := f.account("kigali", allOld("m"))
+	f.startAgent(append(args, tls("agent")...)...)
+	key := f.createAccount("kigali", oldSideRow("m"))
 	request := func(entry *process) func() (answer, error) {
 		return func() (answer, error) {
 			return trySend(http.MethodPost, "http://"+entry.address("callers")+chatPath, key, chatBody("x", false))
 		}
 	}
 	t.Run("an entry of the fleet is served", func(t *testing.T) {
-		entry := f.entry(tls("entry")...)
+		entry := f.startEntry(tls("entry")...)
 		t.Cleanup(entry.stop)
-		serves(t, http.StatusOK, request(entry))
+		awaitStatus(t, http.StatusOK, request(entry))
 	})
 	for name, more := range map[string][]string{"without a certificate": nil, "with an agent's certificate": tls("agent")} {
 		t.Run("an entry "+name+" is refused", func(t *testing.T) {
-			entry := f.entry(more...)
+			entry := f.startEntry(more...)
 			t.Cleanup(entry.stop) // else its record stays, and the next entry leaves the watching to it
 			var last answer
 			eventually(t, func() bool {
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestSettingsAreCheckedTogether(t *testing.T) {
+func TestInvalidSettingsAreListedTogether(t *testing.T) {
 	t.Run("all faults are listed at once", func(t *testing.T) {
 		_, errOut, code := runCommand(t, "", "agent", "--platform", "nowhere", "--peer-listen", "x", "--side", "left", "--slots", "0")
 		assert.Equal(t, 2, code)
@@ -190,7 +190,7 @@
 	})
 }
 
-func TestDemoEndsByItself(t *testing.T) {
+func TestDemoExits(t *testing.T) {
 	out, errOut, code := runCommand(t, "", "demo", "-o", "json")
 	require.Zero(t, code, errOut)
 	var summary map[string]any
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	longText  = "one two three four five six seven eight nine ten eleven twelve thirteen fourteen fifteen sixteen"
-	chatPath  = "/v1/chat/completions"
-	userWord  = "<user>"
-	wordCount = 8
+	longText        = "one two three four five six seven eight nine ten eleven twelve thirteen fourteen fifteen sixteen"
+	chatPath        = "/v1/chat/completions"
+	userWord        = "<user>"
+	answerWordCount = 8
 )
 
 func chatBody(text string, stream bool) string {
@@ -32,9 +32,9 @@
 	return string(data)
 }
 
-// expected is the answer that the engine stand-in owes to a chat with one message.
-func expected(text string) string {
-	return " " + strings.Join(engine.ResponseWords("v1", userWord+` "`+text+`"`, wordCount), " ")
+// expectedAnswer is the answer that the engine stand-in owes to a chat with one message.
+func expectedAnswer(text string) string {
+	return " " + strings.Join(engine.ResponseWords("v1", userWord+` "`+text+`"`, answerWordCount), " ")
 }
 
 type chatAnswer struct {
@@ -75,32 +75,32 @@
 	return text.String()
 }
 
-func allOld(model string) rillreach.Row {
+func oldSideRow(model string) rillreach.Row {
 	return rillreach.Row{Model: rillreach.ModelID(model), Version: "v1", Weights: rillreach.Weights{Old: 100}}
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequestPath(t *testing.T) {
 	f := newFleet(t)
-	f.engine(rillreach.SideOld)
-	service, _ := f.service(rillreach.SideOld, "catalogue")
-	key := f.account("kigali", allOld("m"), allOld("catalogue"))
-	url := "http://" + f.entry().address("callers")
+	f.startEngine(rillreach.SideOld)
+	service, _ := f.startService(rillreach.SideOld, "catalogue")
+	key := f.createAccount("kigali", oldSideRow("m"), oldSideRow("catalogue"))
+	url := "http://" + f.startEntry().address("callers")
 	chat := func(text string, stream bool) func() (answer, error) {
 		return func() (answer, error) { return trySend(http.MethodPost, url+chatPath, key, chatBody(text, stream)) }
 	}
-	serves(t, http.StatusOK, chat("warm up", false))
-	serves(t, http.StatusOK, func() (answer, error) {
+	awaitStatus(t, http.StatusOK, chat("warm up", false))
+	awaitStatus(t, http.StatusOK, func() (answer, error) {
 		return trySend(http.MethodPost, url+"/services/catalogue/prices", key, "warm up")
 	})
 
 	t.Run("an unstreamed answer arrives byte for byte", func(t *testing.T) {
 		parsed := decodeChat(t, send(t, http.MethodPost, url+chatPath, key, chatBody("does the quote stand", false)))
-		assert.Equal(t, expected("does the quote stand"), parsed.Choices[0].Message.Content)
+		assert.Equal(t, expectedAnswer("does the quote stand"), parsed.Choices[0].Message.Content)
 	})
 	t.Run("a streamed answer arrives byte for byte", func(t *testing.T) {
 		a := send(t, http.MethodPost, url+chatPath, key, chatBody("does the vote carry", true))
 		assert.Equal(t, "text/event-stream", a.header.Get("Content-Type"))
-		assert.Equal(t, expected("does the vote carry"), decodeStream(t, a))
+		assert.Equal(t, expectedAnswer("does the vote carry"), decodeStream(t, a))
 	})
 	t.Run("a second prompt of a conversation reuses what the first left", func(t *testing.T) {
 		first := decodeChat(t, send(t, http.MethodPost, url+chatPath, key, chatBody(longText, false)))
@@ -112,7 +112,7 @@
 		a := send(t, http.MethodPost, url+"/services/catalogue/prices", key, "cement")
 		assert.Equal(t, `/prices ran "cement" time 1`, a.body)
 		var runs map[string]int
-		get(t, "http://"+service.address("standin")+"/runs", &runs)
+		getJSON(t, "http://"+service.address("standin")+"/runs", &runs)
 		assert.Equal(t, 1, runs["cement"])
 	})
 	t.Run("a refusal says that nothing was run", func(t *testing.T) {
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -24,11 +24,11 @@
 // platformEntry is an entry on the users' platform, as a process of its own.
 type platformEntry struct {
 	*process
-	callers  string
-	ready    string
-	metrics  string
-	settings string
-	good     string
+	callerAddress    string
+	readinessAddress string
+	metricsAddress   string
+	settingsFile     string
+	validSettings    string
 }
 
 func freeAddress(t *testing.T, host string) string {
@@ -51,37 +51,37 @@
 func newPlatformEntry(t *testing.T, host, store string) *platformEntry {
 	t.Helper()
 	e := &platformEntry{
-		callers: freeAddress(t, host), ready: freeAddress(t, host), metrics: freeAddress(t, host),
-		settings: filepath.Join(t.TempDir(), "boot.toml"),
+		callerAddress: freeAddress(t, host), readinessAddress: freeAddress(t, host), metricsAddress: freeAddress(t, host),
+		settingsFile: filepath.Join(t.TempDir(), "boot.toml"),
 	}
-	e.good = (&site.Settings{
-		Name: "entry-1", Host: netip.MustParseAddr(host), PeerPort: 7580, FrontendAddress: e.callers, ReadinessAddress: e.ready,
+	e.validSettings = (&site.Settings{
+		Name: "entry-1", Host: netip.MustParseAddr(host), PeerPort: 7580, FrontendAddress: e.callerAddress, ReadinessAddress: e.readinessAddress,
 		PlatformAddress: netip.MustParseAddrPort(store),
 	}).TOML()
-	e.write(t, e.good)
+	e.writeSettings(t, e.validSettings)
 	return e
 }
 
 // start starts the entry's process, for the first time or again.
 func (e *platformEntry) start(t *testing.T) {
 	t.Helper()
-	_, port, err := net.SplitHostPort(e.metrics)
+	_, port, err := net.SplitHostPort(e.metricsAddress)
 	require.NoError(t, err)
-	e.process = startReading(t, (*exec.Cmd).StdoutPipe, "platform", "entry", "--settings-file", e.settings, "--metrics-port", port)
+	e.process = startWithLogPipe(t, (*exec.Cmd).StdoutPipe, "platform", "entry", "--settings-file", e.settingsFile, "--metrics-port", port)
 }
 
 func (e *platformEntry) awaitReady(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return status("http://"+e.ready+"/ready") == http.StatusOK }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return getStatus("http://"+e.readinessAddress+"/ready") == http.StatusOK }, waitTimeout, 10*time.Millisecond)
 }
 
-func (e *platformEntry) write(t *testing.T, text string) {
+func (e *platformEntry) writeSettings(t *testing.T, text string) {
 	t.Helper()
-	require.NoError(t, os.WriteFile(e.settings, []byte(text), 0o600))
+	require.NoError(t, os.WriteFile(e.settingsFile, []byte(text), 0o600))
 }
 
-// status is the status of an answer, zero where there is none.
-func status(url string) int {
+// getStatus is the getStatus of an answer, zero where there is none.
+func getStatus(url string) int {
 	resp, err := http.Get(url)
 	if err != nil {
 		return 0
@@ -94,7 +94,7 @@
 // call sends one request on a connection of its own; closes says that the entry wants no more on it.
 func (e *platformEntry) call(t *testing.T) (got int, closes bool) {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodGet, "http://"+e.callers+"/r/x", http.NoBody)
+	req, err := http.NewRequest(http.MethodGet, "http://"+e.callerAddress+"/r/x", http.NoBody)
 	require.NoError(t, err)
 	req.Header.Set("X-Rillreach-Attempt-Id", "a1")
 	transport := &http.Transport{}
@@ -127,34 +127,34 @@
 	store.Put("config", "main", map[string]any{
 		"version": 2,
 		"routes": []map[string]any{{
-			"name": "r", "host": e.callers, "path_prefix": "/r/", "kind": "idempotent", "timeout_ms": 5000, "service": "s", "max_attempts": 1,
+			"name": "r", "host": e.callerAddress, "path_prefix": "/r/", "kind": "idempotent", "timeout_ms": 5000, "service": "s", "max_attempts": 1,
 		}},
 		"services": []map[string]any{{"name": "s"}},
 		"limits":   map[string]any{"max_body_bytes": 1000},
 	})
-	require.Eventually(t, func() bool { got, _ := e.call(t); return got == http.StatusOK }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { got, _ := e.call(t); return got == http.StatusOK }, waitTimeout, 10*time.Millisecond)
 
 	t.Run("a settings file that is broken leaves the last good one", func(t *testing.T) {
-		e.write(t, "= =")
+		e.writeSettings(t, "= =")
 		e.signal(syscall.SIGHUP)
-		require.Eventually(t, func() bool { return strings.Contains(e.text(), "settings refused") }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "settings refused") }, waitTimeout, 10*time.Millisecond)
 		got, closes := e.call(t)
 		assert.Equal(t, http.StatusOK, got)
 		assert.False(t, closes)
-		e.write(t, e.good)
+		e.writeSettings(t, e.validSettings)
 		e.signal(syscall.SIGHUP)
-		require.Eventually(t, func() bool { return strings.Contains(e.text(), "settings read again") }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "settings read again") }, waitTimeout, 10*time.Millisecond)
 	})
 	t.Run("the store's outage leaves what is known in force", func(t *testing.T) {
 		store.FailWithStatus(http.StatusServiceUnavailable)
-		require.Eventually(t, func() bool { return strings.Contains(e.text(), "dependency lost") }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "dependency lost") }, waitTimeout, 10*time.Millisecond)
 		got, _ := e.call(t)
 		assert.Equal(t, http.StatusOK, got)
 		store.FailWithStatus(0)
-		require.Eventually(t, func() bool { return strings.Contains(e.text(), "dependency regained") }, patience, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "dependency regained") }, waitTimeout, 10*time.Millisecond)
 	})
 	t.Run("figures are served", func(t *testing.T) {
-		resp, err := http.Get("http://" + e.metrics + "/metrics")
+		resp, err := http.Get("http://" + e.metricsAddress + "/metrics")
 		require.NoError(t, err)
 		text, err := io.ReadAll(resp.Body)
 		require.NoError(t, err)
@@ -165,7 +165,7 @@
 	})
 	t.Run("a stop says so at once, and answers what still comes", func(t *testing.T) {
 		e.signal(syscall.SIGTERM)
-		require.Eventually(t, func() bool { return status("http://"+e.ready+"/ready") == http.StatusServiceUnavailable }, patience, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return getStatus("http://"+e.readinessAddress+"/ready") == http.StatusServiceUnavailable }, waitTimeout, 5*time.Millisecond)
 		got, closes := e.call(t)
 		assert.Equal(t, http.StatusOK, got)
 		assert.True(t, closes)
@@ -173,16 +173,16 @@
 		assert.Zero(t, e.cmd.ProcessState.ExitCode())
 	})
 	t.Run("each line of the log is JSON, and start and stop are told", func(t *testing.T) {
-		for line := range strings.Lines(e.text()) {
+		for line := range strings.Lines(e.logText()) {
 			assert.True(t, json.Valid([]byte(line)), line)
 		}
 		for _, message := range []string{`"msg":"starting"`, `"msg":"stopping"`, `"msg":"stopped"`, `"msg":"answered"`} {
-			assert.Contains(t, e.text(), message)
+			assert.Contains(t, e.logText(), message)
 		}
 	})
 }
 
-func TestPlatformSettingsAreCheckedFirst(t *testing.T) {
+func TestInvalidPlatformSettingsAreRejected(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "boot.toml")
 	require.NoError(t, os.WriteFile(file, []byte("ip = \"nowhere\"\n[platform]\naddress = \"bad\"\n"), 0o600))
 	for _, args := range [][]string{{"platform", "entry", "--settings-file", file}, {"platform", "agent", "--settings-file", file}, {"platform", "check", file}} {
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 var binary string
 
@@ -49,12 +49,12 @@
 	t   testing.TB
 	cmd *exec.Cmd
 
-	mu        sync.Mutex
-	log       bytes.Buffer
-	addresses map[string]string
-	id        string
-	changed   chan struct{}
-	exited    chan struct{}
+	mu         sync.Mutex
+	log        bytes.Buffer
+	addresses  map[string]string
+	instanceID string
+	changed    chan struct{}
+	exited     chan struct{}
 }
 
 type logLine struct {
@@ -67,11 +67,11 @@
 // start starts the binary, whose log is on standard error; it is killed at the end of the test.
 func start(tb testing.TB, args ...string) *process {
 	tb.Helper()
-	return startReading(tb, (*exec.Cmd).StderrPipe, args...)
+	return startWithLogPipe(tb, (*exec.Cmd).StderrPipe, args...)
 }
 
-// startReading starts the binary and reads its log from one of its outputs.
-func startReading(tb testing.TB, pipe func(*exec.Cmd) (io.ReadCloser, error), args ...string) *process {
+// startWithLogPipe starts the binary and reads its log from one of its outputs.
+func startWithLogPipe(tb testing.TB, pipe func(*exec.Cmd) (io.ReadCloser, error), args ...string) *process {
 	tb.Helper()
 	p := &process{
 		t:         tb,
@@ -83,27 +83,27 @@
 	output, err := pipe(p.cmd)
 	require.NoError(tb, err)
 	require.NoError(tb, p.cmd.Start())
-	go p.read(output)
+	go p.readLog(output)
 	tb.Cleanup(func() {
 		p.kill()
 		if tb.Failed() {
-			tb.Logf("log of %v:\n%s", args, p.text())
+			tb.Logf("log of %v:\n%s", args, p.logText())
 		}
 	})
 	return p
 }
 
-func (p *process) read(output io.Reader) {
+func (p *process) readLog(output io.Reader) {
 	defer close(p.exited)
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		p.take(scanner.Bytes())
+		p.recordLine(scanner.Bytes())
 	}
 	_ = p.cmd.Wait()
 }
 
-func (p *process) take(line []byte) {
+func (p *process) recordLine(line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.log.Write(line)
@@ -111,7 +111,7 @@
 	var parsed logLine
 	if json.Unmarshal(line, &parsed) == nil && parsed.Message == "listening" {
 		p.addresses[parsed.For] = parsed.Address
-		p.id = parsed.ID
+		p.instanceID = parsed.ID
 	}
 	select {
 	case p.changed <- struct{}{}:
@@ -119,48 +119,48 @@
 	}
 }
 
-func (p *process) text() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
 // address waits for the address that the process listens on for somebody.
-func (p *process) address(who string) string {
+func (p *process) address(listener string) string {
 	p.t.Helper()
-	address, problem := p.awaitAddress(who)
+	address, problem := p.awaitAddress(listener)
 	if problem != "" {
-		require.FailNow(p.t, problem, p.text())
+		require.FailNow(p.t, problem, p.logText())
 	}
 	return address
 }
 
 // What may keep a process from listening.
 const (
-	problemEnded = "process ended"
-	problemLate  = "process does not listen"
+	problemExited       = "process ended"
+	problemNotListening = "process does not listen"
 )
 
-// lookAgain is how often somebody who waits for a process looks at it.
-const lookAgain = 20 * time.Millisecond
+// pollInterval is how often somebody who waits for a process looks at it.
+const pollInterval = 20 * time.Millisecond
 
 // awaitAddress waits for the address that the process listens on for somebody, and says why there is none.
-func (p *process) awaitAddress(who string) (address, problem string) {
-	deadline := time.After(patience)
+func (p *process) awaitAddress(listener string) (address, problem string) {
+	deadline := time.After(waitTimeout)
 	for {
 		p.mu.Lock()
-		address := p.addresses[who]
+		address := p.addresses[listener]
 		p.mu.Unlock()
 		if address != "" {
 			return address, ""
 		}
 		select {
 		case <-p.changed:
-		case <-time.After(lookAgain): // another who waits may have taken the change
+		case <-time.After(pollInterval): // another who waits may have taken the change
 		case <-p.exited:
-			return "", problemEnded
+			return "", problemExited
 		case <-deadline:
-			return "", problemLate
+			return "", problemNotListening
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	p.address("peers")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.id
+	return p.instanceID
 }
 
 func (p *process) signal(s syscall.Signal) {
--- a/e2e/race_off_test.go
+++ b/e2e/race_off_test.go
@@ -6,6 +6,6 @@
 
 var buildFlags []string
 
-// lastBreath is how long before its process's end an entry may fail new connections: between the closing of its listener and the
+// listenerCloseMargin is how long before its process's end an entry may fail new connections: between the closing of its listener and the
 // end that its parent sees there is always some time.
-const lastBreath = 50 * time.Millisecond
+const listenerCloseMargin = 50 * time.Millisecond
--- a/e2e/race_on_test.go
+++ b/e2e/race_on_test.go
@@ -6,7 +6,7 @@
 
 var buildFlags = []string{"-race"}
 
-// lastBreath is how long before its process's end an entry may fail new connections: between the closing of its listener and the
+// listenerCloseMargin is how long before its process's end an entry may fail new connections: between the closing of its listener and the
 // end that its parent sees there is always some time, which the race detector
 // makes longer.
-const lastBreath = 250 * time.Millisecond
+const listenerCloseMargin = 250 * time.Millisecond
--- a/e2e/reload_test.go
+++ b/e2e/reload_test.go
@@ -18,9 +18,9 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// TestReloadAtStart: the platform may say that the settings have changed while a process is only starting. The settings file
+// TestSIGHUPDuringStart: the platform may say that the settings have changed while a process is only starting. The settings file
 // is a pipe here, so that the process waits in its start for as long as the test likes.
-func TestReloadAtStart(t *testing.T) {
+func TestSIGHUPDuringStart(t *testing.T) {
 	store := site.NewStore()
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
@@ -30,7 +30,7 @@
 	require.NoError(t, syscall.Mkfifo(file, 0o600))
 	_, port, err := net.SplitHostPort(freeAddress(t, "127.0.0.1"))
 	require.NoError(t, err)
-	p := startReading(t, (*exec.Cmd).StdoutPipe, "platform", "entry", "--settings-file", file, "--metrics-port", port)
+	p := startWithLogPipe(t, (*exec.Cmd).StdoutPipe, "platform", "entry", "--settings-file", file, "--metrics-port", port)
 	pipe, err := os.OpenFile(file, os.O_WRONLY, 0) // returns once the process has begun to read
 	require.NoError(t, err)
 	p.signal(syscall.SIGHUP)
@@ -40,5 +40,5 @@
 	}).TOML())
 	require.NoError(t, err)
 	require.NoError(t, pipe.Close())
-	require.Eventually(t, func() bool { return status("http://"+ready+"/ready") == http.StatusOK }, patience, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return getStatus("http://"+ready+"/ready") == http.StatusOK }, waitTimeout, 10*time.Millisecond)
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -17,29 +17,29 @@
 	"github.com/rillreach/rillreach"
 )
 
-// longAnswer asks for an answer that takes about two seconds.
-func longAnswer(stream string) string {
+// longAnswerRequest asks for an answer that takes about two seconds.
+func longAnswerRequest(stream string) string {
 	return `{"model":"m","stream":` + stream + `,"max_tokens":400,"messages":[{"role":"user","content":"wait for me"}]}`
 }
 
-func TestPlannedStopCutsNoStream(t *testing.T) {
+func TestShutdownCompletesStreams(t *testing.T) {
 	f := newFleet(t)
-	_, first := f.engine(rillreach.SideOld, "--engine-token-time", "5ms")
-	key := f.account("kigali", allOld("m"))
-	entry := f.entry()
+	_, first := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
+	key := f.createAccount("kigali", oldSideRow("m"))
+	entry := f.startEntry()
 	url := "http://" + entry.address("callers") + chatPath
-	serves(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) })
+	awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) })
 
 	t.Run("an agent that stops finishes its stream", func(t *testing.T) {
-		resp := open(t, url, key, longAnswer("true"))
+		resp := openStream(t, url, key, longAnswerRequest("true"))
 		first.signal(syscall.SIGTERM)
 		assert.Contains(t, readAll(t, resp), "data: [DONE]")
 		<-first.exited
 	})
 	t.Run("an entry that stops finishes its stream", func(t *testing.T) {
-		f.engine(rillreach.SideOld, "--engine-token-time", "5ms")
-		serves(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) })
-		resp := open(t, url, key, longAnswer("true"))
+		f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
+		awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) })
+		resp := openStream(t, url, key, longAnswerRequest("true"))
 		entry.signal(syscall.SIGTERM)
 		assert.Contains(t, readAll(t, resp), "data: [DONE]")
 		<-entry.exited
@@ -47,8 +47,8 @@
 	})
 }
 
-// leavingCall sends one prompt on a connection of its own; closes says that the entry wants no more on it.
-func leavingCall(url, key, body string) (a answer, closes bool, err error) {
+// sendOnNewConn sends one prompt on a connection of its own; closes says that the entry wants no more on it.
+func sendOnNewConn(url, key, body string) (a answer, closes bool, err error) {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return answer{}, false, err
@@ -65,8 +65,8 @@
 	return answer{status: resp.StatusCode, header: resp.Header, body: string(data)}, resp.Close, err
 }
 
-// halfSent sends a request but for the end of its body, and returns where its answer comes.
-func halfSent(t *testing.T, address, key string) *bufio.Reader {
+// sendPartialRequest sends a request but for the end of its body, and returns where its answer comes.
+func sendPartialRequest(t *testing.T, address, key string) *bufio.Reader {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -76,8 +76,8 @@
 	return bufio.NewReader(conn)
 }
 
-// asksLate asks on the connection, and fails where there is no answer though the process lives on.
-func asksLate(t *testing.T, entry *process, conn net.Conn, key string) {
+// assertAnsweredWhileAlive asks on the connection, and fails where there is no answer though the process lives on.
+func assertAnsweredWhileAlive(t *testing.T, entry *process, conn net.Conn, key string) {
 	t.Helper()
 	_, err := io.WriteString(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+key+"\r\n\r\n")
 	if err == nil {
@@ -88,32 +88,32 @@
 	}
 	select {
 	case <-entry.exited:
-	case <-time.After(lastBreath):
+	case <-time.After(listenerCloseMargin):
 		assert.NoError(t, err, "the entry lives, and drops what it reads")
 	}
 }
 
-// TestEntryLeavesNobodyWithoutAnAnswer stops entries while callers still come, and while an answer takes longer than the
+// TestStoppingEntryAnswersEveryRequest stops entries while callers still come, and while an answer takes longer than the
 // grace.
-func TestEntryLeavesNobodyWithoutAnAnswer(t *testing.T) {
+func TestStoppingEntryAnswersEveryRequest(t *testing.T) {
 	f := newFleet(t)
-	engine, _ := f.engine(rillreach.SideOld, "--engine-token-time", "100ms")
-	key := f.account("kigali", allOld("m"))
-	begin := func(t *testing.T, more ...string) (*process, string) {
+	engine, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "100ms")
+	key := f.createAccount("kigali", oldSideRow("m"))
+	startReadyEntry := func(t *testing.T, more ...string) (*process, string) {
 		t.Helper()
-		entry := f.entry(more...)
+		entry := f.startEntry(more...)
 		url := "http://" + entry.address("callers") + chatPath
-		serves(t, http.StatusOK, func() (answer, error) {
+		awaitStatus(t, http.StatusOK, func() (answer, error) {
 			return trySend(http.MethodPost, url, key, `{"model":"m","max_tokens":1,"messages":[{"role":"user","content":"warm up"}]}`)
 		})
 		return entry, url
 	}
-	left := func(t *testing.T, entry *process) {
+	signalAndAwaitLeaving := func(t *testing.T, entry *process) {
 		t.Helper()
 		entry.signal(syscall.SIGTERM)
-		eventually(t, func() bool { return strings.Contains(entry.text(), `"msg":"leaving"`) }, "entry leaves")
+		eventually(t, func() bool { return strings.Contains(entry.logText(), `"msg":"leaving"`) }, "entry leaves")
 	}
-	refused := func(t *testing.T, a answer, closes bool, err error) {
+	assertLeavingRefusal := func(t *testing.T, a answer, closes bool, err error) {
 		t.Helper()
 		require.NoError(t, err)
 		assert.Equal(t, string(rillreach.OutcomeNotRun), a.header.Get(rillreach.HeaderOutcome), a.body)
@@ -121,36 +121,36 @@
 		assert.True(t, closes, "the caller comes back on another connection")
 	}
 	t.Run("an entry with nothing to do refuses those who still come, until a balancer has noticed", func(t *testing.T) {
-		entry, url := begin(t)
+		entry, url := startReadyEntry(t)
 		ready := "http://" + entry.address("operators") + "/readyz"
-		left(t, entry)
-		eventually(t, func() bool { return status(ready) == http.StatusServiceUnavailable }, "entry says that it is not ready")
-		a, closes, err := leavingCall(url, key, chatBody("late", false))
-		refused(t, a, closes, err)
+		signalAndAwaitLeaving(t, entry)
+		eventually(t, func() bool { return getStatus(ready) == http.StatusServiceUnavailable }, "entry says that it is not ready")
+		a, closes, err := sendOnNewConn(url, key, chatBody("late", false))
+		assertLeavingRefusal(t, a, closes, err)
 		<-entry.exited
 		assert.Zero(t, entry.cmd.ProcessState.ExitCode())
 	})
 	t.Run("what comes late on open connections is answered for as long as the entry lives", func(t *testing.T) {
 		const conns, gap = 12, 100 * time.Millisecond
-		var asks conc.WaitGroup
-		entry, _ := begin(t)
-		left(t, entry)
+		var requests conc.WaitGroup
+		entry, _ := startReadyEntry(t)
+		signalAndAwaitLeaving(t, entry)
 		signalled := time.Now()
 		time.Sleep(2900 * time.Millisecond) // the first of them come just before the entry may end, the others would hold it up
 		for i := range conns {
 			conn, err := net.Dial("tcp", entry.address("callers"))
 			require.NoError(t, err)
 			defer func() { _ = conn.Close() }()
-			asks.Go(func() {
+			requests.Go(func() {
 				time.Sleep(time.Until(signalled.Add(3*time.Second + time.Duration(i)*gap)))
-				asksLate(t, entry, conn, key)
+				assertAnsweredWhileAlive(t, entry, conn, key)
 			})
 		}
-		asks.Wait()
+		requests.Wait()
 		<-entry.exited
 	})
 	t.Run("an answer that cannot be whole within the grace is given up with a final answer", func(t *testing.T) {
-		entry, url := begin(t, "--grace", "4s")
+		entry, url := startReadyEntry(t, "--grace", "4s")
 		type result struct {
 			answer
 			closes bool
@@ -158,21 +158,21 @@
 		}
 		results := make(chan result, 1)
 		go func() {
-			a, closes, err := leavingCall(url, key, longAnswer("false"))
+			a, closes, err := sendOnNewConn(url, key, longAnswerRequest("false"))
 			results <- result{a, closes, err}
 		}()
 		eventually(t, func() bool {
 			var load struct{ Running int }
-			get(t, "http://"+engine.address("standin")+"/load", &load)
+			getJSON(t, "http://"+engine.address("standin")+"/load", &load)
 			return load.Running > 0
 		}, "engine answers")
-		half := halfSent(t, entry.address("callers"), key)
-		left(t, entry)
-		a, closes, err := leavingCall(url, key, chatBody("late", false))
-		refused(t, a, closes, err)
+		half := sendPartialRequest(t, entry.address("callers"), key)
+		signalAndAwaitLeaving(t, entry)
+		a, closes, err := sendOnNewConn(url, key, chatBody("late", false))
+		assertLeavingRefusal(t, a, closes, err)
 		resp, err := http.ReadResponse(half, nil)
 		require.NoError(t, err)
-		refused(t, answer{header: resp.Header, body: readAll(t, resp)}, resp.Close, nil)
+		assertLeavingRefusal(t, answer{header: resp.Header, body: readAll(t, resp)}, resp.Close, nil)
 		r := <-results
 		require.NoError(t, r.err)
 		assert.Equal(t, string(rillreach.OutcomeUnknown), r.header.Get(rillreach.HeaderOutcome), r.body)
@@ -183,13 +183,13 @@
 	})
 }
 
-func TestPlatformOutageStopsNoRequests(t *testing.T) {
+func TestRequestsDuringPlatformOutage(t *testing.T) {
 	f := newFleet(t)
-	f.engine(rillreach.SideOld)
-	key := f.account("kigali", allOld("m"))
-	url := "http://" + f.entry().address("callers") + chatPath
+	f.startEngine(rillreach.SideOld)
+	key := f.createAccount("kigali", oldSideRow("m"))
+	url := "http://" + f.startEntry().address("callers") + chatPath
 	request := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) }
-	serves(t, http.StatusOK, request)
+	awaitStatus(t, http.StatusOK, request)
 	f.setFaults(`{"down":true}`)
 	for range 5 {
 		a, err := request()
@@ -199,17 +199,17 @@
 	f.setFaults(`{}`)
 }
 
-// TestEngineDiesWhileItAnswers kills an engine in the middle of an answer: a streamed answer is cut so that it cannot be
+// TestEngineKilledDuringAnswer kills an engine in the middle of an answer: a streamed answer is cut so that it cannot be
 // taken for whole, and one that is not streamed is had from another engine.
-func TestEngineDiesWhileItAnswers(t *testing.T) {
+func TestEngineKilledDuringAnswer(t *testing.T) {
 	f := newFleet(t)
-	first, _ := f.engine(rillreach.SideOld, "--engine-token-time", "5ms")
-	key := f.account("kigali", allOld("m"))
-	url := "http://" + f.entry().address("callers") + chatPath
+	first, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
+	key := f.createAccount("kigali", oldSideRow("m"))
+	url := "http://" + f.startEntry().address("callers") + chatPath
 	warm := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) }
-	serves(t, http.StatusOK, warm)
+	awaitStatus(t, http.StatusOK, warm)
 	t.Run("a streamed answer is cut", func(t *testing.T) {
-		resp := open(t, url, key, longAnswer("true"))
+		resp := openStream(t, url, key, longAnswerRequest("true"))
 		first.kill()
 		data, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
@@ -218,20 +218,20 @@
 		assert.Contains(t, string(data), `"outcome":"unknown"`)
 	})
 	t.Run("an answer that is not streamed is had from another", func(t *testing.T) {
-		second, _ := f.engine(rillreach.SideOld, "--engine-token-time", "5ms")
-		serves(t, http.StatusOK, warm)
+		second, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
+		awaitStatus(t, http.StatusOK, warm)
 		answers := make(chan answer, 1)
 		go func() {
-			a, _ := trySend(http.MethodPost, url, key, longAnswer("false"))
+			a, _ := trySend(http.MethodPost, url, key, longAnswerRequest("false"))
 			answers <- a
 		}()
 		eventually(t, func() bool {
 			var load struct{ Running int }
-			get(t, "http://"+second.address("standin")+"/load", &load)
+			getJSON(t, "http://"+second.address("standin")+"/load", &load)
 			return load.Running > 0
 		}, "engine answers")
-		f.engine(rillreach.SideOld, "--engine-token-time", "5ms")
-		eventually(t, func() bool { return f.instances() == 4 }, "third engine's agent is listed")
+		f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
+		eventually(t, func() bool { return f.instanceCount() == 4 }, "third engine's agent is listed")
 		second.kill()
 		a := <-answers
 		assert.Equal(t, http.StatusOK, a.status, a.body)
--- a/e2e/stopping_log_test.go
+++ b/e2e/stopping_log_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStopWithLogThatNobodyReads has an entry stop while its log's pipe is full: the log must not keep it beyond its grace.
-func TestStopWithLogThatNobodyReads(t *testing.T) {
+// TestStopWithFullLogPipe has an entry stop while its log's pipe is full: the log must not keep it beyond its grace.
+func TestStopWithFullLogPipe(t *testing.T) {
 	t.Parallel()
 	const refusals = 1500 // whose lines are more than a pipe takes
 	s := newStopSite(t, 1)
-	e := newPlatformEntry(t, "127.0.0.1", s.address)
-	cmd := exec.Command(binary, "platform", "entry", "--settings-file", e.settings)
+	e := newPlatformEntry(t, "127.0.0.1", s.storeAddress)
+	cmd := exec.Command(binary, "platform", "entry", "--settings-file", e.settingsFile)
 	_, err := cmd.StdoutPipe() // nobody reads it
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	e.awaitReady(t)
 	for range refusals {
-		require.NotZero(t, status("http://"+e.callers+"/none"))
+		require.NotZero(t, getStatus("http://"+e.callerAddress+"/none"))
 	}
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	ended := make(chan error, 1)
