--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -44,17 +44,17 @@
 			assertRefused(t, send(t, http.MethodPost, base+chatPath, key, bad.body), bad.status, rillreach.OutcomeNotRun, bad.reason)
 		})
 	}
-	t.Run("a deadline that is no duration is refused", func(t *testing.T) {
+	t.Run("a deadline that is not a duration is refused", func(t *testing.T) {
 		a := send(t, http.MethodPost, base+chatPath, key, chatBody("x", false), rillreach.HeaderDeadline, "soon")
 		assertRefused(t, a, http.StatusBadRequest, rillreach.OutcomeNotRun, rillreach.ReasonBadRequest)
 	})
 	t.Run("an unknown path is refused", func(t *testing.T) {
 		assertRefused(t, send(t, http.MethodPost, base+"/v2/x", key, ""), http.StatusNotFound, rillreach.OutcomeNotRun, rillreach.ReasonUnknownPath)
 	})
-	t.Run("a method that a path does not take is refused", func(t *testing.T) {
+	t.Run("a method that a path does not support is refused", func(t *testing.T) {
 		assertRefused(t, send(t, http.MethodGet, base+chatPath, key, ""), http.StatusMethodNotAllowed, rillreach.OutcomeNotRun, rillreach.ReasonMethodNotAllowed)
 	})
-	t.Run("two lengths that differ are refused", func(t *testing.T) {
+	t.Run("conflicting Content-Length headers are refused", func(t *testing.T) {
 		conn, err := net.Dial("tcp", entry.address("callers"))
 		require.NoError(t, err)
 		defer func() { _ = conn.Close() }()
@@ -64,17 +64,17 @@
 		require.NoError(t, err)
 		assert.Contains(t, status, "400")
 	})
-	assert.Equal(t, before, engineRequests(), "what was refused was run")
+	assert.Equal(t, before, engineRequests(), "a refused request was run")
 	t.Run("the account's models are listed", func(t *testing.T) {
 		a := send(t, http.MethodGet, base+"/v1/models", key, "")
 		assert.Contains(t, a.body, `"id":"m"`)
 	})
-	t.Run("completions are served, and usage is given on request", func(t *testing.T) {
+	t.Run("completions are served, with usage on request", func(t *testing.T) {
 		a := send(t, http.MethodPost, base+"/v1/completions", key, `{"model":"m","prompt":"a b c","stream":true,"stream_options":{"include_usage":true}}`)
 		assert.Contains(t, a.body, `"prompt_tokens":3`)
 		assert.Contains(t, a.body, "data: [DONE]")
 	})
-	t.Run("a caller that hangs up ends the work at the engine", func(t *testing.T) {
+	t.Run("a caller that disconnects cancels its request at the engine", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+chatPath, strings.NewReader(longAnswerRequest("true")))
 		require.NoError(t, err)
@@ -87,6 +87,6 @@
 			var stats struct{ Cancelled int }
 			getJSON(t, "http://"+e.address("standin")+"/stats", &stats)
 			return stats.Cancelled > 0
-		}, "engine sees that the caller has gone")
+		}, "engine cancels the request")
 	})
 }
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clockTicks is how many ticks a second the kernel counts processor time in.
+// clockTicks is the number of ticks per second in which the kernel counts CPU time.
 const clockTicks = 100
 
-// cpuTime is the cpuTime time that a process has used.
+// cpuTime returns the CPU time that the process has used.
 func (p *process) cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
@@ -30,7 +30,7 @@
 	return time.Duration(user+system) * time.Second / clockTicks
 }
 
-// residentKB is the resident residentKB of a process in KB.
+// residentKB returns the resident memory of the process in KB.
 func (p *process) residentKB(b *testing.B) float64 {
 	b.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -43,12 +43,12 @@
 			return float64(kilobytes)
 		}
 	}
-	require.FailNow(b, "no memory in the process's status")
+	require.FailNow(b, "no VmRSS in the status of the process")
 	return 0
 }
 
-// BenchmarkProcesses measures what an entry and an agent use, as separate processes: processor time for a prompt with a
-// streamed answer of 20 tokens, and processor time and memory at rest, for several numbers of agents.
+// BenchmarkProcesses measures an entry and its agents as separate processes, for several numbers of agents: the CPU
+// time for a prompt with a streamed answer of 20 tokens, and the CPU time and memory of idle processes.
 func BenchmarkProcesses(b *testing.B) {
 	for _, agents := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
@@ -100,8 +100,8 @@
 	return sum
 }
 
-// BenchmarkTokens measures the processor time of entry and agent as answers grow, with 5 ms between two tokens, so that
-// each token travels by itself.
+// BenchmarkTokens measures the CPU time of entry and agent for answers of several lengths. Tokens are 5 ms apart, so
+// that each is sent separately.
 func BenchmarkTokens(b *testing.B) {
 	for _, tokens := range []int{20, 100, 400} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// sendLoad sends some requests from 64 callers at once.
+// sendLoad sends count requests from 64 concurrent callers.
 func sendLoad(b *testing.B, count int, request func(int) error) {
 	b.Helper()
 	const callers = 64
@@ -158,7 +158,7 @@
 	return &testFleet{t: b, platform: "http://" + p.address("standin"), digestInterval: "2s"}
 }
 
-// BenchmarkIdleStreams measures an entry's memory for streams that are open and say nothing.
+// BenchmarkIdleStreams measures the memory of entry and agent for open streams that carry no events.
 func BenchmarkIdleStreams(b *testing.B) {
 	for _, streams := range []int{500, 1000, 2000} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -16,7 +16,7 @@
 
 const secret = "a secret of this test fleet"
 
-// testFleet is a fleet of separate processes.
+// testFleet is a fleet of separate processes and the platform that they share.
 type testFleet struct {
 	t              testing.TB
 	platform       string
@@ -42,21 +42,21 @@
 	return start(f.t, append([]string{"agent"}, f.nodeArgs(more...)...)...)
 }
 
-// startEngine starts an startEngine and the agent beside it.
+// startEngine starts an engine and its agent, and returns both.
 func (f *testFleet) startEngine(side rillreach.Side, more ...string) (*process, *process) {
 	e := start(f.t, append([]string{"standin", "engine", "--engine-version", "v1"}, more...)...)
 	a := f.startAgent("--backend", "http://"+e.address("standin"), "--side", string(side), "--model", "m", "--model-version", "v1")
 	return e, a
 }
 
-// startService starts a plain startService and the agent beside it.
+// startService starts a plain service and its agent, and returns both.
 func (f *testFleet) startService(side rillreach.Side, name string, more ...string) (*process, *process) {
 	s := start(f.t, "standin", "service")
 	a := f.startAgent(append([]string{"--backend", "http://" + s.address("standin"), "--side", string(side), "--service", name}, more...)...)
 	return s, a
 }
 
-// createAccount makes a key for an createAccount and writes its rows.
+// createAccount creates an API key for an account, writes the rows of the account and returns the key.
 func (f *testFleet) createAccount(name string, rows ...rillreach.Row) string {
 	f.t.Helper()
 	key, credential, err := rillreach.NewAPIKey(rillreach.AccountID(name))
@@ -90,14 +90,14 @@
 	require.NoError(f.t, resp.Body.Close())
 }
 
-// answer is a whole answer as a caller sees it.
+// answer is a complete answer as a caller receives it.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// send sends one request of a caller.
+// send sends one request as a caller and fails the test if no answer arrives.
 func send(tb testing.TB, method, url, key, body string, headers ...string) answer {
 	tb.Helper()
 	a, err := trySend(method, url, key, body, headers...)
@@ -124,13 +124,13 @@
 	return answer{status: resp.StatusCode, header: resp.Header, body: string(data)}, err
 }
 
-// eventually waits until a condition holds.
+// eventually waits until the condition is true.
 func eventually(tb testing.TB, condition func() bool, what string) {
 	tb.Helper()
 	require.Eventually(tb, condition, waitTimeout, 20*time.Millisecond, what)
 }
 
-// awaitStatus waits until an entry answers a request with a status.
+// awaitStatus repeats a request until it is answered with the given status.
 func awaitStatus(tb testing.TB, status int, request func() (answer, error)) {
 	tb.Helper()
 	var last string
@@ -138,7 +138,7 @@
 		a, err := request()
 		last = fmt.Sprint(a, err)
 		return err == nil && a.status == status
-	}, "entry answers with the status; last: "+last)
+	}, "entry does not answer with the expected status; last: "+last)
 }
 
 func getJSON(tb testing.TB, url string, into any) {
@@ -150,7 +150,7 @@
 	require.NoError(tb, json.NewDecoder(resp.Body).Decode(into))
 }
 
-// openStream sends a prompt and returns as soon as its answer has begun.
+// openStream sends a prompt and returns as soon as the header of the answer arrives.
 func openStream(tb testing.TB, url, key, body string) *http.Response {
 	tb.Helper()
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
@@ -170,7 +170,7 @@
 	return string(data)
 }
 
-// instanceCount is how many instanceCount the platform lists.
+// instanceCount returns the number of instances that the platform lists.
 func (f *testFleet) instanceCount() int {
 	f.t.Helper()
 	var page rillreach.ObjectPage
--- a/e2e/hangup_test.go
+++ b/e2e/hangup_test.go
@@ -12,7 +12,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// TestSIGHUPDoesNotStopProcess sends the daemons of our own interface the signal that asks others to read their settings again.
+// TestSIGHUPDoesNotStopProcess sends SIGHUP to an entry and an agent that read their settings only at the start. On the
+// users' platform the signal asks for a reload of the settings; here the processes must keep running.
 func TestSIGHUPDoesNotStopProcess(t *testing.T) {
 	f := newFleet(t)
 	_, agent := f.startEngine(rillreach.SideOld)
@@ -22,9 +23,9 @@
 	warm := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("x", false)) }
 	awaitStatus(t, http.StatusOK, warm)
 	for name, p := range map[string]*process{"entry": entry, "agent": agent} {
-		t.Run("an "+name+" goes on", func(t *testing.T) {
+		t.Run("an "+name+" keeps running", func(t *testing.T) {
 			p.signal(syscall.SIGHUP)
-			eventually(t, func() bool { return strings.Contains(p.logText(), "settings are read only at the start") }, "it says what the signal does")
+			eventually(t, func() bool { return strings.Contains(p.logText(), "settings are read only at the start") }, "the process logs that the signal has no effect")
 			a, err := warm()
 			require.NoError(t, err)
 			assert.Equal(t, http.StatusOK, a.status)
--- a/e2e/kept_test.go
+++ b/e2e/kept_test.go
@@ -13,7 +13,7 @@
 	"github.com/rillreach/rillreach/internal/standin/store"
 )
 
-// longPrompt is a prompt that is long enough to be kept.
+// longPrompt returns a prompt that is long enough for its KV cache state to be stored.
 func longPrompt(name string) string {
 	var words strings.Builder
 	for i := range 400 {
@@ -22,7 +22,7 @@
 	return strings.TrimSpace(words.String())
 }
 
-// storeFleet is a fleet with one engine and one store on each of some sides.
+// storeFleet is a fleet with one engine and one store on each of the given sides.
 type storeFleet struct {
 	*testFleet
 	url     string
@@ -47,7 +47,7 @@
 	return f
 }
 
-// awaitReady waits until the fleet answers prompts of a key, and knows its stores.
+// awaitReady waits until the fleet answers prompts for an API key and each agent knows all instances.
 func (f *storeFleet) awaitReady(key string) {
 	f.t.Helper()
 	awaitStatus(f.t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, f.url, key, chatBody("warm up", false)) })
@@ -74,16 +74,16 @@
 	return counts
 }
 
-// storeAndEvict asks a prompt, waits until its state is kept, and has the engine forget it.
+// storeAndEvict sends a prompt, waits until its state is stored and clears the engine's cache.
 func (f *storeFleet) storeAndEvict(key, text string, side rillreach.Side) {
 	f.t.Helper()
 	before := f.storeCounts(side).Writes
 	f.sendPrompt(key, text)
-	eventually(f.t, func() bool { return f.storeCounts(side).Writes > before }, "state is kept")
+	eventually(f.t, func() bool { return f.storeCounts(side).Writes > before }, "state is stored")
 	f.clearEngineCache(side)
 }
 
-// clearEngineCache has an engine's cache dropped, and waits until its agent has heard of it.
+// clearEngineCache clears the cache of an engine. awaitCacheEvents waits until its agent knows.
 func (f *storeFleet) clearEngineCache(side rillreach.Side) {
 	f.t.Helper()
 	resp, err := http.Post("http://"+f.engines[side].address("standin")+"/cache/clear", "", nil)
@@ -100,7 +100,7 @@
 	require.NoError(f.t, resp.Body.Close())
 }
 
-// assertReuse asks a prompt again until the agent has heard that the engine forgot it, and checks how much was reused.
+// assertReuse sends a prompt and checks whether cached tokens were reused for it.
 func (f *storeFleet) assertReuse(key, text string, reused bool) {
 	f.t.Helper()
 	cached := f.sendPrompt(key, text).Usage.Details.Cached
@@ -117,7 +117,7 @@
 	assert.Positive(t, f.storeCounts(rillreach.SideOld).Reads)
 }
 
-// awaitCacheEvents waits until the agents have read all of their engines' events so far.
+// awaitCacheEvents waits until the agents have read all cache events that their engines have published so far.
 func (f *storeFleet) awaitCacheEvents() {
 	f.t.Helper()
 	for side, agent := range f.agents {
@@ -125,14 +125,14 @@
 		getJSON(f.t, "http://"+f.engines[side].address("standin")+"/kv/events?from=0", &events)
 		eventually(f.t, func() bool {
 			return events.Next == 0 || strings.Contains(agent.logText(), fmt.Sprintf(`"next":%d}`, events.Next))
-		}, "agent hears of the engine's cache")
+		}, "agent reads the engine's cache events")
 	}
 }
 
 func TestCorruptStateIsNotUsed(t *testing.T) {
 	for name, faults := range map[string]string{
-		"cut short":     `{"cutShort":true}`,
-		"spoiled":       `{"spoil":true}`,
+		"truncated":     `{"cutShort":true}`,
+		"corrupt":       `{"spoil":true}`,
 		"another block": `{"swap":true}`,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 }
 
 func TestStoreFailures(t *testing.T) {
-	t.Run("a store that dies costs time and no answers", func(t *testing.T) {
+	t.Run("prompts are answered after a store is killed", func(t *testing.T) {
 		f := newStoreFleet(t, rillreach.SideOld)
 		key := f.createAccount("kigali", oldSideRow("m"))
 		f.awaitReady(key)
@@ -159,16 +159,16 @@
 		f.stores[rillreach.SideOld].kill()
 		f.assertReuse(key, longPrompt("orders"), false)
 	})
-	t.Run("a store that is full costs nothing but the state", func(t *testing.T) {
+	t.Run("prompts are answered while a store is full", func(t *testing.T) {
 		f := newStoreFleet(t, rillreach.SideOld)
 		key := f.createAccount("kigali", oldSideRow("m"))
 		f.awaitReady(key)
 		f.setStoreFaults(rillreach.SideOld, `{"full":true}`)
 		f.sendPrompt(key, longPrompt("orders"))
-		eventually(t, func() bool { return strings.Contains(f.agents[rillreach.SideOld].logText(), "state not kept") }, "write is refused")
+		eventually(t, func() bool { return strings.Contains(f.agents[rillreach.SideOld].logText(), "state not kept") }, "store refuses the write")
 		f.sendPrompt(key, longPrompt("receipts"))
 	})
-	t.Run("a slow link is given up for recomputing", func(t *testing.T) {
+	t.Run("state is recomputed when the link is slow", func(t *testing.T) {
 		f := newStoreFleet(t, rillreach.SideOld)
 		key := f.createAccount("kigali", oldSideRow("m"))
 		f.awaitReady(key)
@@ -199,7 +199,7 @@
 	shifted := oldSideRow("m")
 	shifted.Weights = rillreach.Weights{New: 100}
 	key = f.createAccount("oja", shifted)
-	eventually(t, func() bool { return f.storeCounts(rillreach.SideNew).Writes > 0 }, "state is copied ahead")
+	eventually(t, func() bool { return f.storeCounts(rillreach.SideNew).Writes > 0 }, "state is copied to the new side")
 	f.stores[rillreach.SideOld].kill()
 	awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, f.url, key, chatBody("warm up", false)) })
 	assert.Positive(t, f.sendPrompt(key, longPrompt("transcript")).Usage.Details.Cached)
@@ -241,7 +241,7 @@
 		var counts store.Counts
 		getJSON(t, "http://"+second.address("standin")+"/counts", &counts)
 		return counts.Writes > 0
-	}, "both stores have a stripe")
+	}, "both stores hold a stripe")
 	f.awaitCacheEvents()
 	f.assertReuse(key, longPrompt("orders"), true)
 	f.clearEngineCache(rillreach.SideOld)
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -12,8 +12,8 @@
 	"github.com/rillreach/rillreach"
 )
 
-// TestAgentLeavesDuringPlatformOutage has an agent leave while the platform is down and a long answer keeps it there: entries hear
-// of it from the agent itself, and send it nothing new.
+// TestAgentLeavesDuringPlatformOutage guards against new requests for an agent that leaves while the platform is down.
+// A long answer keeps the agent running, and entries must learn from the agent itself that it is leaving.
 func TestAgentLeavesDuringPlatformOutage(t *testing.T) {
 	f := newFleet(t)
 	engine, agent := f.startEngine(rillreach.SideOld, "--engine-token-time", "10ms")
@@ -25,11 +25,11 @@
 	f.setFaults(`{"down":true}`)
 	running := openStream(t, url, key, longAnswerRequest("true"))
 	agent.signal(syscall.SIGTERM)
-	eventually(t, func() bool { return strings.Contains(agent.logText(), "leaving") }, "agent leaves")
+	eventually(t, func() bool { return strings.Contains(agent.logText(), "leaving") }, "agent starts leaving")
 	eventually(t, func() bool {
 		a, err := request()
 		return err == nil && a.header.Get(rillreach.HeaderReason) == string(rillreach.ReasonNoBackend)
-	}, "entry knows that the agent leaves")
+	}, "entry knows that the agent is leaving")
 	var before, after struct{ Requests int }
 	getJSON(t, "http://"+engine.address("standin")+"/stats", &before)
 	refused := strings.Count(entry.logText(), `"reason":"leaving"`)
@@ -39,7 +39,7 @@
 		assert.Equal(t, string(rillreach.OutcomeNotRun), a.header.Get(rillreach.HeaderOutcome), a.body)
 	}
 	getJSON(t, "http://"+engine.address("standin")+"/stats", &after)
-	assert.Equal(t, before, after, "a leaving agent was given new work")
+	assert.Equal(t, before, after, "a leaving agent received new work")
 	assert.Equal(t, refused, strings.Count(entry.logText(), `"reason":"leaving"`), "a leaving agent was sent requests")
 	assert.Contains(t, readAll(t, running), "data: [DONE]")
 }
--- a/e2e/limit_test.go
+++ b/e2e/limit_test.go
@@ -49,7 +49,7 @@
 	}
 	wg.Wait()
 	took := time.Since(begin).Seconds()
-	assert.LessOrEqual(t, float64(admitted.Load()), rate*(took+1)+float64(len(urls)), "requests let in")
+	assert.LessOrEqual(t, float64(admitted.Load()), rate*(took+1)+float64(len(urls)), "admitted requests")
 	assert.Positive(t, admitted.Load())
 	assert.Positive(t, rejected.Load())
 }
--- a/e2e/mixed_fleet_test.go
+++ b/e2e/mixed_fleet_test.go
@@ -13,15 +13,15 @@
 	"github.com/rillreach/rillreach"
 )
 
-// processSlot is a place in the fleet whose process is killed, frozen and replaced.
+// processSlot holds a process of the fleet that faults kill, suspend and replace.
 type processSlot struct {
 	mu      sync.Mutex
 	process *process
 	args    []string
 }
 
-// address is where the slot's process listens. One that a fault has killed before it listened is replaced by that fault, and so is waited
-// for; one that ends otherwise is a failure.
+// address returns the address that the process listens on. If a fault kills the process before it listens, the fault
+// also replaces it, so address waits for the new one. Any other problem fails the test.
 func (s *processSlot) address(listener string) string {
 	for deadline := time.Now().Add(waitTimeout); ; {
 		p := s.current()
@@ -42,7 +42,7 @@
 	return s.process
 }
 
-// mixedFleet is a fleet with faults going on.
+// mixedFleet is a fleet into which faults are injected.
 type mixedFleet struct {
 	*testFleet
 	entries  []*processSlot
@@ -96,14 +96,14 @@
 	return &processSlot{process: start(f.t, args...), args: args}
 }
 
-// replace starts a new process in a slot, whose old one is dead.
+// replace starts a new process in a slot whose process has exited.
 func (f *mixedFleet) replace(s *processSlot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.process = start(f.t, s.args...)
 }
 
-// fault is one thing that goes wrong, and is mended before the next of its list.
+// fault is one kind of fault. inject returns after the fault has been repaired.
 type fault struct {
 	name   string
 	inject func()
@@ -113,7 +113,7 @@
 	return slots[random.IntN(len(slots))]
 }
 
-// agentFaults are what happens to agents.
+// agentFaults returns the faults that affect agents.
 func (f *mixedFleet) agentFaults(random *rand.Rand) []fault {
 	return []fault{
 		{"agent killed", func() { s := randomSlot(random, f.agents); s.process.kill(); f.replace(s) }},
@@ -132,7 +132,7 @@
 	}
 }
 
-// otherFaults are what happens to everything else.
+// otherFaults returns the faults that affect entries, stores, the platform and the weights.
 func (f *mixedFleet) otherFaults(random *rand.Rand) []fault {
 	platform := func(faults string, duration time.Duration) func() {
 		return func() { f.setFaults(faults); time.Sleep(duration); f.setFaults(`{}`) }
@@ -147,7 +147,7 @@
 	}
 }
 
-// injectFaults brings about one fault after another until it is told to stop.
+// injectFaults injects random faults one after another until stop is closed, and counts them by name.
 func injectFaults(random *rand.Rand, faults []fault, stop <-chan struct{}) map[string]int {
 	counts := map[string]int{}
 	for {
@@ -162,7 +162,7 @@
 	}
 }
 
-// shiftConcurrently has two operators edit the same rows at once; one of them may lose.
+// shiftConcurrently has two operators edit the same rows at once. One of the edits may be rejected.
 func (f *mixedFleet) shiftConcurrently(random *rand.Rand) {
 	var wg sync.WaitGroup
 	for range 2 {
@@ -184,7 +184,7 @@
 	}
 }
 
-// entryURL is the address of some entry that is up.
+// entryURL returns the URL of an entry, chosen by i, once that entry listens.
 func (f *mixedFleet) entryURL(i int) string {
 	return "http://" + f.entries[i%len(f.entries)].address("callers")
 }
--- a/e2e/mixed_test.go
+++ b/e2e/mixed_test.go
@@ -22,11 +22,11 @@
 	mixedRequests = 20_000
 	mixedCallers  = 32
 	mixedSeed     = 7
-	// callerTimeout is how long a caller goes on trying one request.
+	// callerTimeout is how long a caller keeps retrying one request.
 	callerTimeout = 60 * time.Second
 )
 
-// mixedReport counts what became of the requests, as their callers and the outside systems saw it.
+// mixedReport counts the results of the requests, as seen by their callers and by the services.
 type mixedReport struct {
 	answered, lost, notRun, unknown, retried   atomic.Int64
 	wrongAnswer, wrongAccount, wrongVersion    atomic.Int64
@@ -63,20 +63,20 @@
 	f.compareWithRuns(t, &r, outcomes)
 	r.logSummary(t, agentFaults, otherFaults)
 	assert.Zero(t, r.lost.Load(), "lost")
-	assert.Zero(t, r.ranTwice, "doubled")
-	assert.Zero(t, r.wrongAnswer.Load(), "answers that are not whole or another request's")
-	assert.Zero(t, r.wrongAccount.Load(), "crossed accounts")
-	assert.Zero(t, r.wrongVersion.Load(), "wrong version")
+	assert.Zero(t, r.ranTwice, "run twice")
+	assert.Zero(t, r.wrongAnswer.Load(), "answers that are incomplete or belong to another request")
+	assert.Zero(t, r.wrongAccount.Load(), "answers for another account")
+	assert.Zero(t, r.wrongVersion.Load(), "answers of the wrong model version")
 	assert.Zero(t, r.refusedButRun, "refused as not run, but run")
 	assert.Zero(t, r.answeredButNotRun, "answered, but not run")
 }
 
-// callOutcome is how a call that must not run twice ended for its caller.
+// callOutcome is the result of a call that must not run twice, as its caller saw it.
 type callOutcome struct {
 	body   string
 	ok     bool
 	notRun bool
-	// attempts are how the attempts ended.
+	// attempts describes the result of each failed attempt.
 	attempts []string
 }
 
@@ -117,7 +117,7 @@
 	}
 }
 
-// sendPrompt sends a prompt until it is answered, as a caller of a repeatable request would.
+// sendPrompt retries a prompt until it is answered completely, as a caller of a repeatable request would.
 func (f *mixedFleet) sendPrompt(random *rand.Rand, i int, account string, r *mixedReport) {
 	version := []string{"v1", "v2"}[random.IntN(2)]
 	text := fmt.Sprintf("%s asks %s %d", account, longPrompt("w"), random.IntN(500))
@@ -136,7 +136,7 @@
 	}
 }
 
-// shouldRetry counts an attempt that failed, and says whether the caller tries shouldRetry.
+// shouldRetry counts a failed attempt and reports whether the caller has time for another.
 func (r *mixedReport) shouldRetry(a answer, err error, deadline time.Time) bool {
 	r.countFailure(a, err)
 	if time.Now().After(deadline) {
@@ -208,8 +208,8 @@
 	}
 }
 
-// sendOnce sends a call that must not run twice, with a key or a ticket, and goes on under the same identity until the
-// call is answered or its outcome is final.
+// sendOnce sends a call that must not run twice, with an idempotency key or a ticket. It retries with the same key or
+// ticket until the call is answered or its outcome is final.
 func (f *mixedFleet) sendOnce(random *rand.Rand, i int, account string, r *mixedReport) callOutcome {
 	o := callOutcome{body: fmt.Sprintf("once %d", i)}
 	header, identity := rillreach.HeaderTicket, ""
@@ -247,8 +247,8 @@
 	return o
 }
 
-// isFinal reports an end after which asking again brings nothing: the caller has no identity to ask with, or its owner
-// is gone.
+// isFinal reports whether retrying is pointless, because the caller has neither a key nor a ticket or because the owner
+// of the key is gone.
 func isFinal(a answer, err error, identity string) bool {
 	if err != nil {
 		return identity == ""
@@ -256,7 +256,7 @@
 	return a.header.Get(rillreach.HeaderReason) == string(rillreach.ReasonOwnerGone)
 }
 
-// compareWithRuns holds what callers were told against what the services ran.
+// compareWithRuns compares what the callers were told with what the services ran.
 func (f *mixedFleet) compareWithRuns(t *testing.T, r *mixedReport, outcomes []callOutcome) {
 	t.Helper()
 	runs := map[string]int{}
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -17,10 +17,10 @@
 	"github.com/rillreach/rillreach"
 )
 
-// fastOwnershipArgs are the settings with which a fleet knows its owners of keys after a few seconds.
+// fastOwnershipArgs are flags with which a fleet agrees on the owners of idempotency keys within a few seconds.
 var fastOwnershipArgs = []string{"--owner-lead", "2s", "--watch-wait", "200ms"}
 
-// onceFleet is a fleet with two entries before two agents of one service.
+// onceFleet is a fleet with two entries in front of two agents of one service.
 type onceFleet struct {
 	*testFleet
 	key       string
@@ -62,7 +62,7 @@
 	return parsed.Ticket
 }
 
-// runCount is how often the services ran a body.
+// runCount returns how many times the services have run a request with this body.
 func (f *onceFleet) runCount(body string) int {
 	f.t.Helper()
 	total := 0
@@ -81,7 +81,7 @@
 	return id.String()
 }
 
-// sendConcurrently sends one call to both entries many times at once.
+// sendConcurrently sends the same call ten times to each of the two entries at once.
 func (f *onceFleet) sendConcurrently(body string, headers ...string) []answer {
 	f.t.Helper()
 	const times = 10
@@ -107,7 +107,7 @@
 		}
 		assert.Equal(t, 1, f.runCount("race"))
 	})
-	t.Run("a ticket used for another call is refused", func(t *testing.T) {
+	t.Run("a ticket reused for a different call is refused", func(t *testing.T) {
 		ticket := f.issueTicket()
 		_, err := f.call(0, "first use", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
@@ -116,7 +116,7 @@
 		assertRefused(t, a, http.StatusUnprocessableEntity, rillreach.OutcomeNotRun, rillreach.ReasonKeyReused)
 		assert.Zero(t, f.runCount("second use"))
 	})
-	t.Run("a marked call without a ticket gets one with its answer", func(t *testing.T) {
+	t.Run("a non-repeatable call without a ticket receives one with its answer", func(t *testing.T) {
 		a, err := f.call(0, "marked", rillreach.HeaderRepeat, rillreach.RepeatNever)
 		require.NoError(t, err)
 		again, err := f.call(1, "marked", rillreach.HeaderTicket, a.header.Get(rillreach.HeaderTicket))
@@ -124,7 +124,7 @@
 		assert.Equal(t, a.body, again.body)
 		assert.Equal(t, 1, f.runCount("marked"))
 	})
-	t.Run("a platform outage stops no tickets", func(t *testing.T) {
+	t.Run("tickets work during a platform outage", func(t *testing.T) {
 		f.setFaults(`{"down":true}`)
 		defer f.setFaults(`{}`)
 		a, err := f.call(0, "outage", rillreach.HeaderTicket, f.issueTicket())
@@ -147,17 +147,17 @@
 		}
 		assert.Equal(t, 1, f.runCount("race"))
 	})
-	t.Run("a key that carries no time is refused", func(t *testing.T) {
+	t.Run("a key without a timestamp is refused", func(t *testing.T) {
 		a, err := f.call(0, "plain key", rillreach.HeaderIdempotencyKey, "order 66")
 		require.NoError(t, err)
 		assertRefused(t, a, http.StatusBadRequest, rillreach.OutcomeNotRun, rillreach.ReasonBadRequest)
 	})
-	t.Run("a key of the future is not decided", func(t *testing.T) {
+	t.Run("a key with a future timestamp is answered as unknown", func(t *testing.T) {
 		a, err := f.call(0, "future", rillreach.HeaderIdempotencyKey, "7f8f3c2e-7b5a-7cc1-8a1e-3c5d7f9b1a2b")
 		require.NoError(t, err)
 		assertRefused(t, a, http.StatusServiceUnavailable, rillreach.OutcomeUnknown, rillreach.ReasonStaleView)
 	})
-	t.Run("agents come and go while keys are raced", func(t *testing.T) {
+	t.Run("agents join and leave while keys are sent concurrently", func(t *testing.T) {
 		for round := range 6 {
 			body := "change " + string(rune('a'+round))
 			if round == 1 {
@@ -173,7 +173,7 @@
 }
 
 func TestOwnerFailures(t *testing.T) {
-	t.Run("killed before it runs", func(t *testing.T) {
+	t.Run("killed before the call runs", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
 		ticket := f.issueTicket()
 		f.agents[0].kill()
@@ -183,7 +183,7 @@
 		assert.Equal(t, string(rillreach.OutcomeUnknown), a.header.Get(rillreach.HeaderOutcome), a.body)
 		assert.Zero(t, f.runCount("before"))
 	})
-	t.Run("killed while it runs", func(t *testing.T) {
+	t.Run("killed while the call runs", func(t *testing.T) {
 		f := newOnceFleet(t, "1s")
 		ticket := f.issueTicket()
 		answers := make(chan answer, 1)
@@ -201,7 +201,7 @@
 		assert.Equal(t, string(rillreach.OutcomeUnknown), again.header.Get(rillreach.HeaderOutcome), again.body)
 		assert.Equal(t, 1, f.runCount("while"))
 	})
-	t.Run("killed while it runs a marked call that has no ticket", func(t *testing.T) {
+	t.Run("killed while a non-repeatable call without a ticket runs", func(t *testing.T) {
 		f := newOnceFleet(t, "1s")
 		answers := make(chan answer, 1)
 		go func() {
@@ -220,7 +220,7 @@
 		assert.Equal(t, string(rillreach.OutcomeUnknown), a.header.Get(rillreach.HeaderOutcome), a.body)
 		assert.Equal(t, 1, f.runCount("marked"))
 	})
-	t.Run("frozen past the deadline and thawed", func(t *testing.T) {
+	t.Run("suspended past the deadline and resumed", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
 		ticket := f.issueTicket()
 		for _, agent := range f.agents {
@@ -229,14 +229,14 @@
 		a, err := f.call(0, "frozen", rillreach.HeaderTicket, ticket, rillreach.HeaderDeadline, "1s")
 		require.NoError(t, err)
 		assert.Equal(t, string(rillreach.OutcomeUnknown), a.header.Get(rillreach.HeaderOutcome), a.body)
-		time.Sleep(time.Second) // the freeze has to outlast the deadline
+		time.Sleep(time.Second) // the agents must stay suspended until the deadline has passed
 		for _, agent := range f.agents {
 			agent.signal(syscall.SIGCONT)
 		}
 		awaitStatus(t, http.StatusOK, func() (answer, error) { return f.call(0, "after", rillreach.HeaderTicket, f.issueTicket()) })
 		assert.Zero(t, f.runCount("frozen"))
 	})
-	t.Run("the answer is lost on its way back", func(t *testing.T) {
+	t.Run("the answer is lost between entry and caller", func(t *testing.T) {
 		f := newOnceFleet(t, "500ms")
 		ticket := f.issueTicket()
 		lost := make(chan error, 1)
@@ -252,7 +252,7 @@
 		assert.Equal(t, `/issue ran "lost" time 1`, a.body)
 		assert.Equal(t, 1, f.runCount("lost"))
 	})
-	t.Run("replaced by a new incarnation after it ran", func(t *testing.T) {
+	t.Run("replaced by a new incarnation after the call ran", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
 		ticket := f.issueTicket()
 		a, err := f.call(0, "replaced", rillreach.HeaderTicket, ticket)
@@ -271,7 +271,7 @@
 		assertRefused(t, a, http.StatusBadGateway, rillreach.OutcomeUnknown, rillreach.ReasonOwnerGone)
 		assert.Equal(t, 1, f.runCount("replaced"))
 	})
-	t.Run("two processes believe they have the slot", func(t *testing.T) {
+	t.Run("two processes run under one instance ID", func(t *testing.T) {
 		f := newOnceFleet(t, "0s")
 		args := []string{"--instance", "slot", "--backend", "http://" + f.services[0].address("standin"), "--side", "old", "--service", "receipts"}
 		first := f.startAgent(append(args, fastOwnershipArgs...)...)
@@ -286,8 +286,8 @@
 	})
 }
 
-// TestAgentShutdownAnswersEveryKey has an agent that owns keys stop while calls with fresh keys come: every one of them is
-// answered, and run once.
+// TestAgentShutdownAnswersEveryKey guards against keys that are lost when an agent that owns some of them shuts down.
+// Calls with new keys arrive during the shutdown; each must be answered and run exactly once.
 func TestAgentShutdownAnswersEveryKey(t *testing.T) {
 	f := newOnceFleet(t, "0s")
 	for i := range f.entryURLs {
@@ -317,7 +317,7 @@
 	}
 }
 
-// awaitKeyOwners waits until keys go to some number of agents.
+// awaitKeyOwners waits until keys are owned by the given number of agents.
 func awaitKeyOwners(t *testing.T, f *onceFleet, count int) {
 	t.Helper()
 	eventually(t, func() bool {
@@ -334,5 +334,5 @@
 		}
 		_, err := f.call(0, "probe "+newIdempotencyKey(t), rillreach.HeaderIdempotencyKey, newIdempotencyKey(t))
 		return err == nil && owners == count
-	}, "keys are spread over the agents")
+	}, "keys are distributed over the agents")
 }
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -20,7 +20,7 @@
 	set := func(args ...string) (string, string, int) {
 		return runCommand(t, "", append([]string{"table", "set", "--platform", f.platform, "kigali/m/v1"}, args...)...)
 	}
-	t.Run("an edit shows in the table", func(t *testing.T) {
+	t.Run("an edit appears in the table", func(t *testing.T) {
 		_, errOut, code := set("--new", "30")
 		require.Zero(t, code, errOut)
 		out, _, _ := runCommand(t, "", "table", "get", "--platform", f.platform, "-o", "json", "kigali")
@@ -28,13 +28,13 @@
 		require.NoError(t, json.Unmarshal([]byte(out), &rows))
 		assert.Equal(t, rillreach.Weights{Old: 70, New: 30}, rows[0].Weights)
 	})
-	t.Run("what get prints as YAML can be applied again and changes nothing", func(t *testing.T) {
+	t.Run("applying the YAML output of get changes nothing", func(t *testing.T) {
 		out, _, _ := runCommand(t, "", "table", "get", "--platform", f.platform, "-o", "yaml")
 		applied, errOut, code := runCommand(t, out, "table", "apply", "--platform", f.platform, "-f", "-")
 		require.Zero(t, code, errOut)
 		assert.Contains(t, applied, "unchanged")
 	})
-	t.Run("a row that fails its checks is refused before it is written", func(t *testing.T) {
+	t.Run("an invalid row is rejected before it is written", func(t *testing.T) {
 		_, errOut, code := set("--new", "130")
 		assert.NotZero(t, code)
 		assert.Contains(t, errOut, "a weight is negative")
@@ -43,7 +43,7 @@
 		assert.Contains(t, errOut, "model is empty")
 		assert.Contains(t, errOut, "format 2 is not 1")
 	})
-	t.Run("of two operators who race one wins, and the other is shown both rows", func(t *testing.T) {
+	t.Run("at least one of several concurrent edits succeeds, and the others report both rows", func(t *testing.T) {
 		var wg sync.WaitGroup
 		codes, texts := make([]int, 8), make([]string, 8)
 		for i := range codes {
@@ -66,14 +66,14 @@
 		}
 		assert.Positive(t, succeeded)
 	})
-	t.Run("an edit whose answer is lost is recognised as taken", func(t *testing.T) {
+	t.Run("an edit whose answer is lost is recognised as written", func(t *testing.T) {
 		f.setFaults(`{"loseAnswers":true}`)
 		out, errOut, code := set("--new", "50")
 		f.setFaults(`{}`)
 		require.Zero(t, code, errOut)
 		assert.Contains(t, out, "written as version")
 	})
-	t.Run("an edit during an outage is not taken for done", func(t *testing.T) {
+	t.Run("an edit during an outage fails", func(t *testing.T) {
 		f.setFaults(`{"down":true}`)
 		_, _, code := set("--new", "60")
 		f.setFaults(`{}`)
@@ -110,7 +110,8 @@
 	assert.Contains(t, readAll(t, metrics), "rillreach_members")
 }
 
-// TestInvalidRowIsNotApplied puts a row into the platform that fails its checks: the last good one stays in force.
+// TestInvalidRowIsNotApplied guards against an invalid row that takes effect because it was written to the platform
+// without the command-line tool and its checks. The last valid row must stay in force.
 func TestInvalidRowIsNotApplied(t *testing.T) {
 	f := newFleet(t)
 	f.startEngine(rillreach.SideOld)
@@ -148,7 +149,7 @@
 			return trySend(http.MethodPost, "http://"+entry.address("callers")+chatPath, key, chatBody("x", false))
 		}
 	}
-	t.Run("an entry of the fleet is served", func(t *testing.T) {
+	t.Run("an entry with an entry certificate is served", func(t *testing.T) {
 		entry := f.startEntry(tls("entry")...)
 		t.Cleanup(entry.stop)
 		awaitStatus(t, http.StatusOK, request(entry))
@@ -156,7 +157,7 @@
 	for name, more := range map[string][]string{"without a certificate": nil, "with an agent's certificate": tls("agent")} {
 		t.Run("an entry "+name+" is refused", func(t *testing.T) {
 			entry := f.startEntry(more...)
-			t.Cleanup(entry.stop) // else its record stays, and the next entry leaves the watching to it
+			t.Cleanup(entry.stop) // otherwise its record remains and the next entry relies on it to watch the platform
 			var last answer
 			eventually(t, func() bool {
 				a, err := request(entry)()
@@ -169,20 +170,20 @@
 }
 
 func TestInvalidSettingsAreListedTogether(t *testing.T) {
-	t.Run("all faults are listed at once", func(t *testing.T) {
+	t.Run("all invalid settings are listed at once", func(t *testing.T) {
 		_, errOut, code := runCommand(t, "", "agent", "--platform", "nowhere", "--peer-listen", "x", "--side", "left", "--slots", "0")
 		assert.Equal(t, 2, code)
 		for _, setting := range []string{"--platform", "--peer-listen", "--side", "--slots", "--secret", "--backend", "--model"} {
 			assert.Contains(t, errOut, setting)
 		}
 	})
-	t.Run("an unknown variable is refused", func(t *testing.T) {
+	t.Run("an unknown environment variable is rejected", func(t *testing.T) {
 		t.Setenv("RILLREACH_PLATFORMS", "http://127.0.0.1:1")
 		_, errOut, code := runCommand(t, "", "table", "get")
 		assert.NotZero(t, code)
 		assert.Contains(t, errOut, "RILLREACH_PLATFORMS")
 	})
-	t.Run("a variable sets what a flag would", func(t *testing.T) {
+	t.Run("an environment variable sets a flag", func(t *testing.T) {
 		t.Setenv("RILLREACH_PLATFORM", "nowhere")
 		_, errOut, code := runCommand(t, "", "table", "get")
 		assert.Equal(t, 2, code)
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -32,7 +32,7 @@
 	return string(data)
 }
 
-// expectedAnswer is the answer that the engine stand-in owes to a chat with one message.
+// expectedAnswer returns the answer of the engine stand-in to a chat with one message.
 func expectedAnswer(text string) string {
 	return " " + strings.Join(engine.ResponseWords("v1", userWord+` "`+text+`"`, answerWordCount), " ")
 }
@@ -58,7 +58,7 @@
 	return parsed
 }
 
-// decodeStream joins the events of a streamed answer, and requires the mark that ends it.
+// decodeStream joins the events of a streamed answer and requires the end marker.
 func decodeStream(t *testing.T, a answer) string {
 	t.Helper()
 	require.Equal(t, http.StatusOK, a.status, a.body)
@@ -102,7 +102,7 @@
 		assert.Equal(t, "text/event-stream", a.header.Get("Content-Type"))
 		assert.Equal(t, expectedAnswer("does the vote carry"), decodeStream(t, a))
 	})
-	t.Run("a second prompt of a conversation reuses what the first left", func(t *testing.T) {
+	t.Run("a repeated prompt reuses the KV cache of the first", func(t *testing.T) {
 		first := decodeChat(t, send(t, http.MethodPost, url+chatPath, key, chatBody(longText, false)))
 		second := decodeChat(t, send(t, http.MethodPost, url+chatPath, key, chatBody(longText, false)))
 		assert.Zero(t, first.Usage.Details.Cached)
@@ -115,7 +115,7 @@
 		getJSON(t, "http://"+service.address("standin")+"/runs", &runs)
 		assert.Equal(t, 1, runs["cement"])
 	})
-	t.Run("a refusal says that nothing was run", func(t *testing.T) {
+	t.Run("a refusal reports that nothing was run", func(t *testing.T) {
 		a := send(t, http.MethodPost, url+chatPath, key, strings.Replace(chatBody("x", false), `"m"`, `"other"`, 1))
 		assertRefused(t, a, http.StatusNotFound, rillreach.OutcomeNotRun, rillreach.ReasonUnknownModel)
 	})
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -21,7 +21,7 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// platformEntry is an entry on the users' platform, as a process of its own.
+// platformEntry is an entry on the users' platform that runs as a separate process.
 type platformEntry struct {
 	*process
 	callerAddress    string
@@ -47,7 +47,7 @@
 	return e
 }
 
-// newPlatformEntry settles an entry's addresses and settings, and starts nothing yet.
+// newPlatformEntry chooses the addresses of an entry and writes its settings file, but does not start a process.
 func newPlatformEntry(t *testing.T, host, store string) *platformEntry {
 	t.Helper()
 	e := &platformEntry{
@@ -62,7 +62,7 @@
 	return e
 }
 
-// start starts the entry's process, for the first time or again.
+// start starts or restarts the process of the entry.
 func (e *platformEntry) start(t *testing.T) {
 	t.Helper()
 	_, port, err := net.SplitHostPort(e.metricsAddress)
@@ -80,7 +80,7 @@
 	require.NoError(t, os.WriteFile(e.settingsFile, []byte(text), 0o600))
 }
 
-// getStatus is the getStatus of an answer, zero where there is none.
+// getStatus returns the status code of the answer to a GET request, or zero if there is no answer.
 func getStatus(url string) int {
 	resp, err := http.Get(url)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return resp.StatusCode
 }
 
-// call sends one request on a connection of its own; closes says that the entry wants no more on it.
+// call sends one request on a new connection. closes reports that the entry asked to close the connection.
 func (e *platformEntry) call(t *testing.T) (got int, closes bool) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.callerAddress+"/r/x", http.NoBody)
@@ -123,7 +123,7 @@
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	e := startPlatformEntry(t, strings.TrimPrefix(server.URL, "http://"))
-	// The host of a request carries its port here, so that the route is named by it.
+	// Requests here carry the port in the Host header, so the route must name the host with its port.
 	store.Put("config", "main", map[string]any{
 		"version": 2,
 		"routes": []map[string]any{{
@@ -134,7 +134,7 @@
 	})
 	require.Eventually(t, func() bool { got, _ := e.call(t); return got == http.StatusOK }, waitTimeout, 10*time.Millisecond)
 
-	t.Run("a settings file that is broken leaves the last good one", func(t *testing.T) {
+	t.Run("an invalid settings file leaves the last valid settings in force", func(t *testing.T) {
 		e.writeSettings(t, "= =")
 		e.signal(syscall.SIGHUP)
 		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "settings refused") }, waitTimeout, 10*time.Millisecond)
@@ -145,7 +145,7 @@
 		e.signal(syscall.SIGHUP)
 		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "settings read again") }, waitTimeout, 10*time.Millisecond)
 	})
-	t.Run("the store's outage leaves what is known in force", func(t *testing.T) {
+	t.Run("requests are answered from the known configuration while the store is down", func(t *testing.T) {
 		store.FailWithStatus(http.StatusServiceUnavailable)
 		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "dependency lost") }, waitTimeout, 10*time.Millisecond)
 		got, _ := e.call(t)
@@ -153,7 +153,7 @@
 		store.FailWithStatus(0)
 		require.Eventually(t, func() bool { return strings.Contains(e.logText(), "dependency regained") }, waitTimeout, 10*time.Millisecond)
 	})
-	t.Run("figures are served", func(t *testing.T) {
+	t.Run("metrics are served", func(t *testing.T) {
 		resp, err := http.Get("http://" + e.metricsAddress + "/metrics")
 		require.NoError(t, err)
 		text, err := io.ReadAll(resp.Body)
@@ -163,7 +163,7 @@
 			assert.Contains(t, string(text), name)
 		}
 	})
-	t.Run("a stop says so at once, and answers what still comes", func(t *testing.T) {
+	t.Run("a stopping entry reports not ready at once and still answers requests", func(t *testing.T) {
 		e.signal(syscall.SIGTERM)
 		require.Eventually(t, func() bool { return getStatus("http://"+e.readinessAddress+"/ready") == http.StatusServiceUnavailable }, waitTimeout, 5*time.Millisecond)
 		got, closes := e.call(t)
@@ -172,7 +172,7 @@
 		<-e.exited
 		assert.Zero(t, e.cmd.ProcessState.ExitCode())
 	})
-	t.Run("each line of the log is JSON, and start and stop are told", func(t *testing.T) {
+	t.Run("each log line is JSON, and start and stop are logged", func(t *testing.T) {
 		for line := range strings.Lines(e.logText()) {
 			assert.True(t, json.Valid([]byte(line)), line)
 		}
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -25,7 +25,7 @@
 }
 
 func buildAndRun(m *testing.M) int {
-	// Without this a process built with the race detector waits a second before it exits.
+	// Without this setting, a process built with the race detector waits a second before it exits.
 	if err := os.Setenv("GORACE", "atexit_sleep_ms=0"); err != nil {
 		return 1
 	}
@@ -44,7 +44,7 @@
 	return m.Run()
 }
 
-// process is one process that a test has started.
+// process is a process started by a test, with its log.
 type process struct {
 	t   testing.TB
 	cmd *exec.Cmd
@@ -64,13 +64,13 @@
 	Address string `json:"address"`
 }
 
-// start starts the binary, whose log is on standard error; it is killed at the end of the test.
+// start starts the binary and reads its log from standard error. The process is killed at the end of the test.
 func start(tb testing.TB, args ...string) *process {
 	tb.Helper()
 	return startWithLogPipe(tb, (*exec.Cmd).StderrPipe, args...)
 }
 
-// startWithLogPipe starts the binary and reads its log from one of its outputs.
+// startWithLogPipe starts the binary and reads its log from the output that pipe selects.
 func startWithLogPipe(tb testing.TB, pipe func(*exec.Cmd) (io.ReadCloser, error), args ...string) *process {
 	tb.Helper()
 	p := &process{
@@ -125,7 +125,7 @@
 	return p.log.String()
 }
 
-// address waits for the address that the process listens on for somebody.
+// address waits until the process listens for the given purpose and returns the address.
 func (p *process) address(listener string) string {
 	p.t.Helper()
 	address, problem := p.awaitAddress(listener)
@@ -135,16 +135,17 @@
 	return address
 }
 
-// What may keep a process from listening.
+// Reasons why a process does not listen.
 const (
 	problemExited       = "process ended"
 	problemNotListening = "process does not listen"
 )
 
-// pollInterval is how often somebody who waits for a process looks at it.
+// pollInterval is the time between two checks of a process while a test waits for it.
 const pollInterval = 20 * time.Millisecond
 
-// awaitAddress waits for the address that the process listens on for somebody, and says why there is none.
+// awaitAddress waits until the process listens for the given purpose. It returns the address or the reason why there is
+// none.
 func (p *process) awaitAddress(listener string) (address, problem string) {
 	deadline := time.After(waitTimeout)
 	for {
@@ -156,7 +157,7 @@
 		}
 		select {
 		case <-p.changed:
-		case <-time.After(pollInterval): // another who waits may have taken the change
+		case <-time.After(pollInterval): // another waiter may have received the notification
 		case <-p.exited:
 			return "", problemExited
 		case <-deadline:
@@ -165,7 +166,7 @@
 	}
 }
 
-// instance is the identifier that the process has given itself.
+// instance returns the instance ID that the process has given itself.
 func (p *process) instance() string {
 	p.t.Helper()
 	p.address("peers")
@@ -178,19 +179,19 @@
 	_ = p.cmd.Process.Signal(s)
 }
 
-// kill ends the process at once, thawing it first if it was frozen.
+// kill sends SIGKILL, which also ends a suspended process, and waits until the process has exited.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// stop asks the process to stop, and waits until it has.
+// stop sends SIGTERM and waits until the process has exited.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	<-p.exited
 }
 
-// runCommand runs the binary to its end and returns its output and its exit code.
+// runCommand runs the binary to completion and returns its standard output, its standard error and its exit code.
 func runCommand(tb testing.TB, input string, args ...string) (string, string, int) {
 	tb.Helper()
 	cmd := exec.Command(binary, args...)
--- a/e2e/race_off_test.go
+++ b/e2e/race_off_test.go
@@ -6,6 +6,6 @@
 
 var buildFlags []string
 
-// listenerCloseMargin is how long before its process's end an entry may fail new connections: between the closing of its listener and the
-// end that its parent sees there is always some time.
+// listenerCloseMargin is how long before the exit of its process an entry may fail new connections. Some time always
+// passes between the closing of the listener and the exit that the parent process observes.
 const listenerCloseMargin = 50 * time.Millisecond
--- a/e2e/race_on_test.go
+++ b/e2e/race_on_test.go
@@ -6,7 +6,7 @@
 
 var buildFlags = []string{"-race"}
 
-// listenerCloseMargin is how long before its process's end an entry may fail new connections: between the closing of its listener and the
-// end that its parent sees there is always some time, which the race detector
-// makes longer.
+// listenerCloseMargin is how long before the exit of its process an entry may fail new connections. Some time always
+// passes between the closing of the listener and the exit that the parent process observes, and the race detector makes
+// it longer.
 const listenerCloseMargin = 250 * time.Millisecond
--- a/e2e/reload_test.go
+++ b/e2e/reload_test.go
@@ -18,8 +18,8 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// TestSIGHUPDuringStart: the platform may say that the settings have changed while a process is only starting. The settings file
-// is a pipe here, so that the process waits in its start for as long as the test likes.
+// TestSIGHUPDuringStart guards against a process that ends because the platform reports changed settings with SIGHUP
+// while it is still starting. The settings file is a pipe, so that the test controls how long the start takes.
 func TestSIGHUPDuringStart(t *testing.T) {
 	store := site.NewStore()
 	server := httptest.NewServer(store)
@@ -31,7 +31,7 @@
 	_, port, err := net.SplitHostPort(freeAddress(t, "127.0.0.1"))
 	require.NoError(t, err)
 	p := startWithLogPipe(t, (*exec.Cmd).StdoutPipe, "platform", "entry", "--settings-file", file, "--metrics-port", port)
-	pipe, err := os.OpenFile(file, os.O_WRONLY, 0) // returns once the process has begun to read
+	pipe, err := os.OpenFile(file, os.O_WRONLY, 0) // returns once the process has opened the file
 	require.NoError(t, err)
 	p.signal(syscall.SIGHUP)
 	_, err = pipe.WriteString((&site.Settings{
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -17,7 +17,7 @@
 	"github.com/rillreach/rillreach"
 )
 
-// longAnswerRequest asks for an answer that takes about two seconds.
+// longAnswerRequest returns a request body whose answer takes about two seconds.
 func longAnswerRequest(stream string) string {
 	return `{"model":"m","stream":` + stream + `,"max_tokens":400,"messages":[{"role":"user","content":"wait for me"}]}`
 }
@@ -30,13 +30,13 @@
 	url := "http://" + entry.address("callers") + chatPath
 	awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) })
 
-	t.Run("an agent that stops finishes its stream", func(t *testing.T) {
+	t.Run("a stopping agent completes its stream", func(t *testing.T) {
 		resp := openStream(t, url, key, longAnswerRequest("true"))
 		first.signal(syscall.SIGTERM)
 		assert.Contains(t, readAll(t, resp), "data: [DONE]")
 		<-first.exited
 	})
-	t.Run("an entry that stops finishes its stream", func(t *testing.T) {
+	t.Run("a stopping entry completes its stream", func(t *testing.T) {
 		f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
 		awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) })
 		resp := openStream(t, url, key, longAnswerRequest("true"))
@@ -47,7 +47,7 @@
 	})
 }
 
-// sendOnNewConn sends one prompt on a connection of its own; closes says that the entry wants no more on it.
+// sendOnNewConn sends one prompt on a new connection. closes reports that the entry asked to close the connection.
 func sendOnNewConn(url, key, body string) (a answer, closes bool, err error) {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -65,7 +65,7 @@
 	return answer{status: resp.StatusCode, header: resp.Header, body: string(data)}, resp.Close, err
 }
 
-// sendPartialRequest sends a request but for the end of its body, and returns where its answer comes.
+// sendPartialRequest sends a request without the end of its body and returns the reader for the answer.
 func sendPartialRequest(t *testing.T, address, key string) *bufio.Reader {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -76,7 +76,7 @@
 	return bufio.NewReader(conn)
 }
 
-// assertAnsweredWhileAlive asks on the connection, and fails where there is no answer though the process lives on.
+// assertAnsweredWhileAlive sends a request on conn and fails if the process gives no answer but keeps running.
 func assertAnsweredWhileAlive(t *testing.T, entry *process, conn net.Conn, key string) {
 	t.Helper()
 	_, err := io.WriteString(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+key+"\r\n\r\n")
@@ -89,12 +89,12 @@
 	select {
 	case <-entry.exited:
 	case <-time.After(listenerCloseMargin):
-		assert.NoError(t, err, "the entry lives, and drops what it reads")
+		assert.NoError(t, err, "a running entry dropped a request that it had read")
 	}
 }
 
-// TestStoppingEntryAnswersEveryRequest stops entries while callers still come, and while an answer takes longer than the
-// grace.
+// TestStoppingEntryAnswersEveryRequest guards against requests that a stopping entry drops without an answer. Callers
+// send requests during the shutdown, and one answer takes longer than the grace period.
 func TestStoppingEntryAnswersEveryRequest(t *testing.T) {
 	f := newFleet(t)
 	engine, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "100ms")
@@ -111,32 +111,32 @@
 	signalAndAwaitLeaving := func(t *testing.T, entry *process) {
 		t.Helper()
 		entry.signal(syscall.SIGTERM)
-		eventually(t, func() bool { return strings.Contains(entry.logText(), `"msg":"leaving"`) }, "entry leaves")
+		eventually(t, func() bool { return strings.Contains(entry.logText(), `"msg":"leaving"`) }, "entry starts leaving")
 	}
 	assertLeavingRefusal := func(t *testing.T, a answer, closes bool, err error) {
 		t.Helper()
 		require.NoError(t, err)
 		assert.Equal(t, string(rillreach.OutcomeNotRun), a.header.Get(rillreach.HeaderOutcome), a.body)
 		assert.Equal(t, string(rillreach.ReasonLeaving), a.header.Get(rillreach.HeaderReason), a.body)
-		assert.True(t, closes, "the caller comes back on another connection")
+		assert.True(t, closes, "the entry closes the connection")
 	}
-	t.Run("an entry with nothing to do refuses those who still come, until a balancer has noticed", func(t *testing.T) {
+	t.Run("an idle entry refuses new requests until a load balancer can have noticed the stop", func(t *testing.T) {
 		entry, url := startReadyEntry(t)
 		ready := "http://" + entry.address("operators") + "/readyz"
 		signalAndAwaitLeaving(t, entry)
-		eventually(t, func() bool { return getStatus(ready) == http.StatusServiceUnavailable }, "entry says that it is not ready")
+		eventually(t, func() bool { return getStatus(ready) == http.StatusServiceUnavailable }, "entry reports that it is not ready")
 		a, closes, err := sendOnNewConn(url, key, chatBody("late", false))
 		assertLeavingRefusal(t, a, closes, err)
 		<-entry.exited
 		assert.Zero(t, entry.cmd.ProcessState.ExitCode())
 	})
-	t.Run("what comes late on open connections is answered for as long as the entry lives", func(t *testing.T) {
+	t.Run("late requests on open connections are answered until the process exits", func(t *testing.T) {
 		const conns, gap = 12, 100 * time.Millisecond
 		var requests conc.WaitGroup
 		entry, _ := startReadyEntry(t)
 		signalAndAwaitLeaving(t, entry)
 		signalled := time.Now()
-		time.Sleep(2900 * time.Millisecond) // the first of them come just before the entry may end, the others would hold it up
+		time.Sleep(2900 * time.Millisecond) // the first arrive just before the entry may exit, the others while it could be delayed by them
 		for i := range conns {
 			conn, err := net.Dial("tcp", entry.address("callers"))
 			require.NoError(t, err)
@@ -149,7 +149,7 @@
 		requests.Wait()
 		<-entry.exited
 	})
-	t.Run("an answer that cannot be whole within the grace is given up with a final answer", func(t *testing.T) {
+	t.Run("an answer that cannot be completed within the grace period is replaced by an error", func(t *testing.T) {
 		entry, url := startReadyEntry(t, "--grace", "4s")
 		type result struct {
 			answer
@@ -199,8 +199,8 @@
 	f.setFaults(`{}`)
 }
 
-// TestEngineKilledDuringAnswer kills an engine in the middle of an answer: a streamed answer is cut so that it cannot be
-// taken for whole, and one that is not streamed is had from another engine.
+// TestEngineKilledDuringAnswer kills an engine while it answers. A streamed answer must end in a way that callers
+// cannot mistake for a complete one; an answer that is not streamed must come from another engine.
 func TestEngineKilledDuringAnswer(t *testing.T) {
 	f := newFleet(t)
 	first, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
@@ -208,7 +208,7 @@
 	url := "http://" + f.startEntry().address("callers") + chatPath
 	warm := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) }
 	awaitStatus(t, http.StatusOK, warm)
-	t.Run("a streamed answer is cut", func(t *testing.T) {
+	t.Run("a streamed answer ends with an error", func(t *testing.T) {
 		resp := openStream(t, url, key, longAnswerRequest("true"))
 		first.kill()
 		data, err := io.ReadAll(resp.Body)
@@ -217,7 +217,7 @@
 		assert.NotContains(t, string(data), "data: [DONE]")
 		assert.Contains(t, string(data), `"outcome":"unknown"`)
 	})
-	t.Run("an answer that is not streamed is had from another", func(t *testing.T) {
+	t.Run("an answer that is not streamed comes from another engine", func(t *testing.T) {
 		second, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
 		awaitStatus(t, http.StatusOK, warm)
 		answers := make(chan answer, 1)
--- a/e2e/stopping_callers_test.go
+++ b/e2e/stopping_callers_test.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// stopHost, plainRoute and streamRoute are what callers ask while entries stop.
+	// stopHost, plainRoute and streamRoute are the host and the routes that callers use while entries stop.
 	stopHost    = "shop.example"
 	plainRoute  = "plain"
 	streamRoute = "flow"
 	plainAnswer = "r1 says hello"
-	// dialTimeout is how long a new connection may take, wholeFor when a caller gives an answer up; no test gets there.
+	// dialTimeout and requestTimeout bound a connection attempt and a whole request. No passing test reaches them.
 	dialTimeout    = time.Second
 	requestTimeout = 20 * time.Second
-	// resetDelay is how long the reset of a connection that was closed with bytes unread may take on the loopback.
+	// resetDelay is how long the reset of a connection that was closed with unread bytes may take on the loopback.
 	resetDelay = 50 * time.Millisecond
 )
 
-// requestResult is what became of one request, as its caller saw it.
+// requestResult is the result of one request as its caller saw it.
 type requestResult string
 
 const (
 	complete          requestResult = "whole"
-	refused           requestResult = "refused"        // 503 with Retry-After, which promises that it has not run
-	truncated         requestResult = "cut"            // the head of an answer came, and not all of the rest
-	unexpectedAnswer  requestResult = "without a word" // a whole answer of the entry that is neither the runner's nor a promise
-	unanswered        requestResult = "unanswered"     // a connection was had and ended before any answer
+	refused           requestResult = "refused"           // 503 with Retry-After: the request has not run
+	truncated         requestResult = "cut"               // the header arrived, but not the complete body
+	unexpectedAnswer  requestResult = "unexpected answer" // a complete answer that is neither the runner's nor a refusal with Retry-After
+	unanswered        requestResult = "unanswered"        // the connection ended before any answer
 	dialFailed        requestResult = "unconnected"
-	cancelledByCaller requestResult = "hung up" // the caller gave up by itself, as the test told it to
+	cancelledByCaller requestResult = "hung up" // the test closed hangUp
 )
 
 // attempt is one request of one caller.
@@ -48,21 +48,21 @@
 	id    string
 	entry *stopEntry
 	route string
-	// reusedConn says that the connection had carried another request before.
+	// reusedConn reports that the connection had carried an earlier request.
 	reusedConn bool
-	// requestRead says that the entry had read the request when it closed the connection without a word.
+	// requestRead reports that the entry had read the request when it closed the connection without an answer.
 	requestRead        bool
 	began, sent, ended time.Time
 	result             requestResult
 	detail             string
 }
 
-// attemptLog holds the attempts of a test, and its callers that still run.
+// attemptLog records the attempts of a test and tracks its running callers.
 type attemptLog struct {
-	// events are how many make a stream whole.
+	// events is the number of events in a complete stream.
 	events int
-	// stopSending is closed when callers begin nothing more, hangUp when they hang up also on what runs; testOver ends them with a
-	// test that has failed before.
+	// Closing stopSending keeps callers from starting requests. Closing hangUp also makes them abandon running
+	// requests. testDone ends the callers of a test that failed earlier.
 	stopSending, hangUp chan struct{}
 	testDone            <-chan struct{}
 
@@ -83,7 +83,7 @@
 	l.attempts = append(l.attempts, a)
 }
 
-// filter are the attempts of which something holds.
+// filter returns the attempts that match.
 func (l *attemptLog) filter(match func(*attempt) bool) []attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +96,8 @@
 	return found
 }
 
-// callerConn is one connection of a caller. There is no client of package http between, which would repeat on its own what failed.
+// callerConn is one connection of a caller. It does not use the client of net/http, which would retry some failed
+// requests by itself.
 type callerConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -111,9 +112,10 @@
 	return &callerConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// peerReadAll reports that the other side had read all that was sent when it closed the connection. Its system resets a connection
-// that is closed with bytes unread, and one that gets bytes after it was closed; only after neither can more be written. A
-// reset may come a moment after the end that the reader saw.
+// peerReadAll reports whether the peer had read everything that was sent when it closed the connection. The operating
+// system of the peer resets a connection that is closed with unread bytes or that receives bytes after it was closed. A
+// write therefore still succeeds only if neither has happened. The reset may arrive shortly after the reader sees the
+// end of the stream.
 func (c *callerConn) peerReadAll(err error) bool {
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
 		return false
@@ -123,7 +125,7 @@
 	return err == nil
 }
 
-// sendRequest sends one request and takes its answer; it reports whether the connection may carry another.
+// sendRequest sends one request, reads its answer and reports whether the connection can be reused.
 func (l *attemptLog) sendRequest(c *callerConn, a *attempt) (reusable bool) {
 	_ = c.SetDeadline(time.Now().Add(requestTimeout))
 	done := make(chan struct{})
@@ -158,7 +160,7 @@
 	return !resp.Close
 }
 
-// recordFailure records a connection that ended too early, unless the caller ended it.
+// recordFailure records a connection that ended early, as cancelled if the caller hung up.
 func (l *attemptLog) recordFailure(a *attempt, how requestResult, err error) {
 	a.result, a.detail, a.ended = how, err.Error(), time.Now()
 	select {
@@ -168,7 +170,7 @@
 	}
 }
 
-// classify says what a complete answer is.
+// classify returns the result that a complete answer stands for.
 func (l *attemptLog) classify(resp *http.Response, body string, a *attempt) (requestResult, string) {
 	detail := fmt.Sprintf("status %d, %d bytes", resp.StatusCode, len(body))
 	if resp.StatusCode == http.StatusServiceUnavailable {
@@ -189,7 +191,7 @@
 	}
 }
 
-// expectedBody is the whole answer of a route.
+// expectedBody returns the complete answer of a route.
 func (l *attemptLog) expectedBody(route string) string {
 	if route == plainRoute {
 		return plainAnswer
@@ -205,7 +207,7 @@
 	return attempt{id: fmt.Sprintf("%s-%d", route, l.lastID.Add(1)), entry: to, route: route, began: time.Now()}
 }
 
-// sendOnNewConn sends a request on a new connection, a pause after it was taken.
+// sendOnNewConn opens a connection, waits for pause and then sends a request on it.
 func (l *attemptLog) sendOnNewConn(to *stopEntry, route string, pause time.Duration) {
 	a := l.newAttempt(to, route)
 	if c := l.connect(&a); c != nil {
@@ -216,7 +218,7 @@
 	l.add(a)
 }
 
-// connect opens a connection for an attempt, or records that there was none.
+// connect opens a connection for an attempt, or records the failure.
 func (l *attemptLog) connect(a *attempt) *callerConn {
 	c, err := dial(a.entry.callerAddress)
 	if err != nil {
@@ -226,7 +228,7 @@
 	return c
 }
 
-// sendOnNewConns begins a request on a new connection at each tick, and sends it a pause later, until callers begin nothing more.
+// sendOnNewConns opens a connection at each tick and sends a request on it after pause, until stopSending is closed.
 func (l *attemptLog) sendOnNewConns(tick, pause time.Duration, route string, pick func() *stopEntry) {
 	l.callers.Go(func() {
 		l.onEachTick(tick, func() {
@@ -235,7 +237,7 @@
 	})
 }
 
-// sendOnKeepAliveConn sends requests on one connection for as long as the entry leaves it open, and then on the next.
+// sendOnKeepAliveConn sends requests on one connection for as long as the entry keeps it open, and then on a new one.
 func (l *attemptLog) sendOnKeepAliveConn(tick time.Duration, route string, pick func() *stopEntry) {
 	var c *callerConn
 	var to *stopEntry
@@ -275,7 +277,7 @@
 	}
 }
 
-// finish lets callers begin nothing more, and waits for what runs.
+// finish keeps callers from starting requests and waits for the running ones.
 func (l *attemptLog) finish() {
 	close(l.stopSending)
 	l.callers.Wait()
--- a/e2e/stopping_judge_test.go
+++ b/e2e/stopping_judge_test.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// stopGrace is what the settings file gives as grace: the platform kills what has not ended by then.
+	// stopGrace is the grace period in the settings file. The platform kills a process that has not exited by then.
 	stopGrace = 8 * time.Second
-	// maxRefusalDelay bounds a refusal. What an entry cannot end in time is known when it is read, so that no run of any request lies
-	// between; all runs of streams in these tests take several times as long.
+	// maxRefusalDelay bounds the time to a refusal. An entry knows when it reads a request whether it can complete it
+	// in time, so a refusal must not wait for another request. Streams in these tests run several times as long.
 	maxRefusalDelay = time.Second
-	// maxListedAttempts is how many attempts a failure lists.
+	// maxListedAttempts limits how many attempts a failure message lists.
 	maxListedAttempts = 6
-	// eventInterval is the pause between the events of a stream.
+	// eventInterval is the time between two events of a stream.
 	eventInterval = 100 * time.Millisecond
 )
 
-// stopSite is a deployment's outside: its store, and one runner for plain answers and long streams.
+// stopSite is the environment of the entries: an object store, and one runner for plain answers and long streams.
 type stopSite struct {
 	store  *site.Store
 	runner *site.Runner
-	// storeAddress is the store's.
+	// storeAddress is the address of the object store.
 	storeAddress string
 }
 
@@ -56,7 +56,8 @@
 	return s
 }
 
-// putConfig puts a version of the configuration in force; each has a route of its own beside those that callers ask.
+// putConfig publishes a version of the configuration. Each version has one route of its own besides those that callers
+// use.
 func (s *stopSite) putConfig(version int) {
 	route := func(name, kind string, timeout int) map[string]any {
 		return map[string]any{
@@ -73,7 +74,7 @@
 	})
 }
 
-// stopEntry is an entry and its processes, one after another.
+// stopEntry is an entry and its successive processes.
 type stopEntry struct {
 	*platformEntry
 
@@ -92,7 +93,7 @@
 	return e
 }
 
-// terminate sends SIGTERM and notes when the process has ended; it tells through what it returns.
+// terminate sends SIGTERM, records when the process exits and then closes the returned channel.
 func (e *stopEntry) terminate() (ended <-chan struct{}) {
 	exited, process := make(chan struct{}), e.process
 	e.signalledAt = time.Now()
@@ -107,15 +108,16 @@
 	return exited
 }
 
-// unavailableDuring reports that there was, at some time of the attempt, no process at the entry's address.
+// unavailableDuring reports whether at any time during the attempt no process was listening at the address of the
+// entry.
 func (e *stopEntry) unavailableDuring(a *attempt) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.exitedAt.IsZero() && a.ended.After(e.exitedAt.Add(-listenerCloseMargin)) && (e.restartedAt.IsZero() || a.began.Before(e.restartedAt))
 }
 
-// hasRead reports that one of the entry's processes had hasRead the attempt's request: its connection shows it, its log names it, or
-// it ran.
+// hasRead reports whether a process of the entry had read the request of the attempt: its connection shows it, the log
+// contains its ID, or the runner received it.
 func (e *stopEntry) hasRead(a *attempt, ran map[string]bool) bool {
 	if a.requestRead || ran[a.id] {
 		return true
@@ -128,7 +130,7 @@
 	return false
 }
 
-// receivedRequests are the requests that came to the runner.
+// receivedRequests returns the attempt IDs of the requests that reached the runner.
 func (s *stopSite) receivedRequests() map[string]bool {
 	ids := map[string]bool{}
 	for _, run := range s.runner.ReceivedRequests() {
@@ -137,7 +139,7 @@
 	return ids
 }
 
-// assertNone fails with what became of some of the attempts that must not be there.
+// assertNone fails if there are bad attempts, and lists some of them.
 func assertNone(t *testing.T, bad []attempt, what string) {
 	t.Helper()
 	if len(bad) == 0 {
@@ -151,26 +153,26 @@
 	assert.Failf(t, what, "%d of them, such as%s", len(bad), text.String())
 }
 
-// assertStopGuarantees runs the checks that hold for every stop: what an entry reads gets a whole answer, or at once a refusal that
-// keeps its promise.
+// assertStopGuarantees checks what holds for every stop: each request that an entry has read gets either a complete
+// answer or a prompt refusal, and a refused request has not run.
 func assertStopGuarantees(t *testing.T, s *stopSite, l *attemptLog) {
 	t.Helper()
 	ran := s.receivedRequests()
-	t.Run("no answer is cut", func(t *testing.T) {
-		assertNone(t, l.filter(func(a *attempt) bool { return a.result == truncated }), "cut")
+	t.Run("no answer is truncated", func(t *testing.T) {
+		assertNone(t, l.filter(func(a *attempt) bool { return a.result == truncated }), "truncated")
 	})
-	t.Run("what is read is answered or refused", func(t *testing.T) {
+	t.Run("every request that was read is answered or refused", func(t *testing.T) {
 		assertNone(t, l.filter(func(a *attempt) bool {
 			return a.result == unexpectedAnswer || a.result == unanswered && a.entry.hasRead(a, ran)
-		}), "read, and neither answered nor refused")
+		}), "read, but neither answered nor refused")
 	})
-	t.Run("what is refused has not run", func(t *testing.T) {
-		assertNone(t, l.filter(func(a *attempt) bool { return a.result == refused && ran[a.id] }), "refused, and run")
+	t.Run("refused requests have not run", func(t *testing.T) {
+		assertNone(t, l.filter(func(a *attempt) bool { return a.result == refused && ran[a.id] }), "refused, but run")
 	})
-	t.Run("a refusal comes at once", func(t *testing.T) {
+	t.Run("refusals are prompt", func(t *testing.T) {
 		assertNone(t, l.filter(func(a *attempt) bool { return a.result == refused && a.ended.Sub(a.sent) > maxRefusalDelay }), "refused late")
 	})
-	t.Run("what is short is still answered after the signal", func(t *testing.T) {
+	t.Run("short requests are still answered after the signal", func(t *testing.T) {
 		answered := l.filter(func(a *attempt) bool {
 			return a.result == complete && a.route == plainRoute && a.began.After(a.entry.signalledAt) && a.ended.Before(a.entry.exitedAt)
 		})
@@ -178,15 +180,15 @@
 	})
 }
 
-// assertAcceptsConnections checks that a new connection fails only while there is no process.
+// assertAcceptsConnections checks that new connections fail only while no process is running.
 func assertAcceptsConnections(t *testing.T, l *attemptLog) {
 	t.Helper()
 	assertNone(t, l.filter(func(a *attempt) bool {
 		return (a.result == dialFailed || a.result == unanswered && !a.reusedConn) && !a.entry.unavailableDuring(a)
-	}), "no connection, while the entry's process lived")
+	}), "connection failed while the process was running")
 }
 
-// assertExitedInGrace checks that the entry's stopped process ended by itself and in time.
+// assertExitedInGrace checks that the stopped process exited by itself with status 0 within the grace period.
 func assertExitedInGrace(t *testing.T, e *stopEntry) {
 	t.Helper()
 	require.False(t, e.exitedAt.IsZero())
--- a/e2e/stopping_log_test.go
+++ b/e2e/stopping_log_test.go
@@ -9,14 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStopWithFullLogPipe has an entry stop while its log's pipe is full: the log must not keep it beyond its grace.
+// TestStopWithFullLogPipe guards against an entry that exceeds its grace period because the pipe of its log is full and
+// never read.
 func TestStopWithFullLogPipe(t *testing.T) {
 	t.Parallel()
-	const refusals = 1500 // whose lines are more than a pipe takes
+	const refusals = 1500 // their log lines exceed the capacity of a pipe
 	s := newStopSite(t, 1)
 	e := newPlatformEntry(t, "127.0.0.1", s.storeAddress)
 	cmd := exec.Command(binary, "platform", "entry", "--settings-file", e.settingsFile)
-	_, err := cmd.StdoutPipe() // nobody reads it
+	_, err := cmd.StdoutPipe() // never read
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
@@ -34,6 +35,6 @@
 	case err := <-ended:
 		require.NoError(t, err)
 	case <-time.After(stopGrace):
-		require.Fail(t, "the process has not ended within its grace")
+		require.Fail(t, "the process has not exited within its grace period")
 	}
 }
--- a/e2e/stopping_series_test.go
+++ b/e2e/stopping_series_test.go
@@ -16,19 +16,22 @@
 
 const (
 	seriesEntryCount = 4
-	// signalInterval is what lies between two signals, as in issue 17.
+	// signalInterval is the time between the signals to two entries.
 	signalInterval = 730 * time.Millisecond
-	// minRequestsBeforeStop is how many requests run before the first signal, streams at each entry among them.
+	// minRequestsBeforeStop is the number of requests that must reach the runner before the first signal, so that
+	// streams run at each entry.
 	minRequestsBeforeStop = 60
-	// readinessInterval and missesOut are the users' balancer's.
+	// readinessInterval and maxMisses are the settings of the users' load balancer.
 	readinessInterval = time.Second
 	maxMisses         = 2
-	// maxFailedShare is the share of requests that may find no process, of which one of four at a time starts again.
+	// maxFailedShare bounds the share of requests that may find no process, since one entry of four may be restarting
+	// at a time.
 	maxFailedShare = 0.1
 )
 
-// balancer deals new connections to entries as the users' platform does: it asks each every second whether it is ready, takes
-// it out after two misses in a row until it says so again, and uses all when under half are in.
+// balancer distributes new connections to entries as the load balancer of the users' platform does. It checks the
+// readiness of each entry once a second, removes an entry after two failed checks in a row until a check succeeds, and
+// uses all entries if fewer than half are available.
 type balancer struct {
 	entries []*stopEntry
 
@@ -72,7 +75,7 @@
 	}
 }
 
-// pick chooses the entry of a new connection.
+// pick returns the entry for a new connection.
 func (b *balancer) pick() *stopEntry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +92,7 @@
 	return available[b.next%len(available)]
 }
 
-// restart starts the entry's next process, and notes when it is there.
+// restart starts the next process of the entry and records when it answers.
 func (e *stopEntry) restart(t *testing.T, ready *sync.WaitGroup) {
 	t.Helper()
 	e.start(t)
@@ -102,8 +105,8 @@
 	})
 }
 
-// stopInSeries sends SIGTERM to all entries, one after another, starts each again when it has ended, and changes the
-// configuration and sends SIGHUP in between.
+// stopInSeries sends SIGTERM to all entries one after another and restarts them as they exit. Halfway it changes the
+// configuration and sends SIGHUP to all entries.
 func stopInSeries(t *testing.T, s *stopSite, entries []*stopEntry) {
 	t.Helper()
 	ended := make(chan *stopEntry, len(entries))
@@ -130,14 +133,15 @@
 	ready.Wait()
 }
 
-// TestStopAllEntriesInSeries stops all four entries of a zone within 2.2 s while callers come all the time.
+// TestStopAllEntriesInSeries guards against requests lost when all four entries of an availability zone are stopped
+// within 2.2 s under constant load.
 func TestStopAllEntriesInSeries(t *testing.T) {
 	t.Parallel()
 	const events = 44 // 4.4 s
 	s := newStopSite(t, events)
 	var entries []*stopEntry
 	for i := range seriesEntryCount {
-		// Each has a host of its own, so that no connection of the test can have taken its port when it starts again.
+		// Each entry has its own IP address, so that no connection of the test can occupy its port when it restarts.
 		entries = append(entries, s.startEntry(t, fmt.Sprintf("127.0.0.%d", 11+i)))
 	}
 	b := newBalancer(t.Context(), entries)
@@ -147,25 +151,25 @@
 	for range seriesEntryCount {
 		l.sendOnKeepAliveConn(40*time.Millisecond, plainRoute, b.pick)
 	}
-	require.Eventually(t, func() bool { return len(s.receivedRequests()) >= minRequestsBeforeStop }, waitTimeout, 5*time.Millisecond, "requests run at all entries")
+	require.Eventually(t, func() bool { return len(s.receivedRequests()) >= minRequestsBeforeStop }, waitTimeout, 5*time.Millisecond, "requests are running at all entries")
 	stopInSeries(t, s, entries)
-	close(l.hangUp) // what runs now runs at entries that don't stop
+	close(l.hangUp) // requests that still run are at entries that are not stopping
 	l.finish()
 
 	assertStopGuarantees(t, s, l)
-	t.Run("every connection is taken while there is a process", func(t *testing.T) { assertAcceptsConnections(t, l) })
+	t.Run("every connection is accepted while a process is running", func(t *testing.T) { assertAcceptsConnections(t, l) })
 	t.Run("few requests find no process", func(t *testing.T) {
 		all := l.filter(func(*attempt) bool { return true })
 		failed := l.filter(func(a *attempt) bool { return a.result == dialFailed || a.result == unanswered && !a.reusedConn })
 		assert.LessOrEqual(t, float64(len(failed))/float64(len(all)), maxFailedShare, "%d of %d", len(failed), len(all))
 	})
-	t.Run("each process ends by itself within its grace, and the next one serves", func(t *testing.T) {
+	t.Run("each process exits within its grace period, and the next one serves", func(t *testing.T) {
 		for _, e := range entries {
 			assertExitedInGrace(t, e)
 			e.awaitReady(t)
 		}
 	})
-	t.Run("the configuration changed and settings were read again while they stopped", func(t *testing.T) {
+	t.Run("stopping entries apply a new configuration and reload their settings", func(t *testing.T) {
 		for _, e := range entries[:seriesEntryCount/2] {
 			_, stopping, _ := strings.Cut(e.processes[0].logText(), `"msg":"stopping"`)
 			assert.Contains(t, stopping, `"version":2`)
