--- a/e2e/callers_test.go
+++ b/e2e/callers_test.go
@@ -19,7 +19,7 @@
 	f := newFleet(t)
 	e, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
 	key := f.createAccount("kigali", oldSideRow("m"))
-	entry := f.startEntry("--max-body", "100000")
+	entry := f.entry("--max-body", "100000")
 	base := "http://" + entry.address("callers")
 	awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, base+chatPath, key, chatBody("x", false)) })
 	engineRequests := func() int {
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -60,7 +60,7 @@
 					"--model-version", "v1", "--log-level", "info"))
 			}
 			key := f.createAccount("kigali", oldSideRow("m"))
-			entry := f.startEntry()
+			entry := f.entry()
 			url := "http://" + entry.address("callers") + chatPath
 			request := func(i int) error {
 				body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"prompt %d"}]}`, i)
@@ -109,7 +109,7 @@
 			engine := start(b, "standin", "engine", "--engine-version", "v1", "--engine-token-time", "5ms", "--engine-prefill", "100000000")
 			agent := f.startAgent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1", "--slots", "1000")
 			key := f.createAccount("kigali", oldSideRow("m"))
-			entry := f.startEntry()
+			entry := f.entry()
 			url := "http://" + entry.address("callers") + chatPath
 			request := func(i int) error {
 				a, err := trySend(http.MethodPost, url, key,
@@ -166,7 +166,7 @@
 			engine := start(b, "standin", "engine", "--engine-version", "v1", "--engine-token-time", "1h")
 			agent := f.startAgent("--backend", "http://"+engine.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1", "--slots", "100000")
 			key := f.createAccount("kigali", oldSideRow("m"))
-			entry := f.startEntry()
+			entry := f.entry()
 			url := "http://" + entry.address("callers") + chatPath
 			require.Eventually(b, func() bool {
 				a, err := trySend(http.MethodPost, url, key, `{"model":"m","max_tokens":1,"messages":[{"role":"user","content":"x"}],"stream":true}`)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -33,7 +33,8 @@
 	return append([]string{"--platform", f.platform, "--secret", secret, "--digest-every", f.digestInterval}, more...)
 }
 
-func (f *testFleet) startEntry(more ...string) *process {
+// entry starts an entry and returns its process.
+func (f *testFleet) entry(more ...string) *process {
 	args := append([]string{"entry", "--listen", "127.0.0.1:0"}, f.nodeArgs(more...)...)
 	return start(f.t, args...)
 }
--- a/e2e/hangup_test.go
+++ b/e2e/hangup_test.go
@@ -18,7 +18,7 @@
 	f := newFleet(t)
 	_, agent := f.startEngine(rillreach.SideOld)
 	key := f.createAccount("kigali", oldSideRow("m"))
-	entry := f.startEntry()
+	entry := f.entry()
 	url := "http://" + entry.address("callers") + chatPath
 	warm := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("x", false)) }
 	awaitStatus(t, http.StatusOK, warm)
--- a/e2e/kept_test.go
+++ b/e2e/kept_test.go
@@ -43,7 +43,7 @@
 		f.stores[side] = start(t, "standin", "store", "--platform", f.platform, "--side", string(side))
 		f.engines[side], f.agents[side] = f.startEngine(side)
 	}
-	f.url = "http://" + f.startEntry().address("callers") + chatPath
+	f.url = "http://" + f.entry().address("callers") + chatPath
 	return f
 }
 
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -18,7 +18,7 @@
 	f := newFleet(t)
 	engine, agent := f.startEngine(rillreach.SideOld, "--engine-token-time", "10ms")
 	key := f.createAccount("kigali", oldSideRow("m"))
-	entry := f.startEntry()
+	entry := f.entry()
 	url := "http://" + entry.address("callers") + chatPath
 	request := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) }
 	awaitStatus(t, http.StatusOK, request)
--- a/e2e/limit_test.go
+++ b/e2e/limit_test.go
@@ -19,7 +19,7 @@
 	limited := oldSideRow("catalogue")
 	limited.Limits.RequestsPerSecond = rate
 	key := f.createAccount("kigali", limited)
-	urls := []string{"http://" + f.startEntry().address("callers"), "http://" + f.startEntry().address("callers")}
+	urls := []string{"http://" + f.entry().address("callers"), "http://" + f.entry().address("callers")}
 	request := func(url string) func() (answer, error) {
 		return func() (answer, error) { return trySend(http.MethodGet, url+"/services/catalogue/prices", key, "") }
 	}
--- a/e2e/mixed_test.go
+++ b/e2e/mixed_test.go
@@ -282,9 +282,9 @@
 
 func (r *mixedReport) logSummary(t *testing.T, faults ...map[string]int) {
 	t.Helper()
-	t.Logf("requests %d: whole %d, lost %d, not run %d, unknown %d; attempts tried again %d", mixedRequests, r.answered.Load(),
+	t.Logf("requests %d: answered %d, lost %d, not run %d, unknown %d; retries %d", mixedRequests, r.answered.Load(),
 		r.lost.Load(), r.notRun.Load(), r.unknown.Load(), r.retried.Load())
-	t.Logf("wrong answers %d, crossed accounts %d, wrong version %d, doubled %d, refused but run %d, answered but not run %d",
+	t.Logf("wrong answers %d, wrong account %d, wrong version %d, run twice %d, refused but run %d, answered but not run %d",
 		r.wrongAnswer.Load(), r.wrongAccount.Load(), r.wrongVersion.Load(), r.ranTwice, r.refusedButRun, r.answeredButNotRun)
 	t.Logf("faults: %v", faults)
 	r.causes.Range(func(name, count any) bool {
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -27,7 +27,7 @@
 	entryURLs [2]string
 	services  [2]*process
 	agents    [2]*process
-	entries   [2]*process
+	entry     [2]*process
 }
 
 func newOnceFleet(t *testing.T, delay string) *onceFleet {
@@ -40,8 +40,8 @@
 	}
 	f.key = f.createAccount("oja", oldSideRow("receipts"))
 	for i := range f.entryURLs {
-		f.entries[i] = f.testFleet.startEntry(append([]string{"--ack-timeout", "500ms"}, fastOwnershipArgs...)...)
-		f.entryURLs[i] = "http://" + f.entries[i].address("callers")
+		f.entry[i] = f.testFleet.entry(append([]string{"--ack-timeout", "500ms"}, fastOwnershipArgs...)...)
+		f.entryURLs[i] = "http://" + f.entry[i].address("callers")
 	}
 	for _, url := range f.entryURLs {
 		awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodGet, url+"/services/receipts/ready", f.key, "") })
@@ -245,7 +245,7 @@
 			lost <- err
 		}()
 		eventually(t, func() bool { return f.runCount("lost") == 1 }, "service runs")
-		f.entries[0].kill()
+		f.entry[0].kill()
 		require.Error(t, <-lost)
 		a, err := f.call(1, "lost", rillreach.HeaderTicket, ticket)
 		require.NoError(t, err)
--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -86,7 +86,7 @@
 	f.startEngine(rillreach.SideOld)
 	f.startEngine(rillreach.SideNew)
 	f.createAccount("kigali", oldSideRow("m"))
-	entry := f.startEntry()
+	entry := f.entry()
 	operators := "http://" + entry.address("operators")
 	eventually(t, func() bool {
 		resp, err := http.Get(operators + "/status")
@@ -116,7 +116,7 @@
 	f := newFleet(t)
 	f.startEngine(rillreach.SideOld)
 	key := f.createAccount("kigali", oldSideRow("m"))
-	entry := f.startEntry()
+	entry := f.entry()
 	url := "http://" + entry.address("callers") + chatPath
 	request := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("x", false)) }
 	awaitStatus(t, http.StatusOK, request)
@@ -150,13 +150,13 @@
 		}
 	}
 	t.Run("an entry with an entry certificate is served", func(t *testing.T) {
-		entry := f.startEntry(tls("entry")...)
+		entry := f.entry(tls("entry")...)
 		t.Cleanup(entry.stop)
 		awaitStatus(t, http.StatusOK, request(entry))
 	})
 	for name, more := range map[string][]string{"without a certificate": nil, "with an agent's certificate": tls("agent")} {
 		t.Run("an entry "+name+" is refused", func(t *testing.T) {
-			entry := f.startEntry(more...)
+			entry := f.entry(more...)
 			t.Cleanup(entry.stop) // otherwise its record remains and the next entry relies on it to watch the platform
 			var last answer
 			eventually(t, func() bool {
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -84,7 +84,7 @@
 	f.startEngine(rillreach.SideOld)
 	service, _ := f.startService(rillreach.SideOld, "catalogue")
 	key := f.createAccount("kigali", oldSideRow("m"), oldSideRow("catalogue"))
-	url := "http://" + f.startEntry().address("callers")
+	url := "http://" + f.entry().address("callers")
 	chat := func(text string, stream bool) func() (answer, error) {
 		return func() (answer, error) { return trySend(http.MethodPost, url+chatPath, key, chatBody(text, stream)) }
 	}
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -26,7 +26,7 @@
 	f := newFleet(t)
 	_, first := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
 	key := f.createAccount("kigali", oldSideRow("m"))
-	entry := f.startEntry()
+	entry := f.entry()
 	url := "http://" + entry.address("callers") + chatPath
 	awaitStatus(t, http.StatusOK, func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) })
 
@@ -101,7 +101,7 @@
 	key := f.createAccount("kigali", oldSideRow("m"))
 	startReadyEntry := func(t *testing.T, more ...string) (*process, string) {
 		t.Helper()
-		entry := f.startEntry(more...)
+		entry := f.entry(more...)
 		url := "http://" + entry.address("callers") + chatPath
 		awaitStatus(t, http.StatusOK, func() (answer, error) {
 			return trySend(http.MethodPost, url, key, `{"model":"m","max_tokens":1,"messages":[{"role":"user","content":"warm up"}]}`)
@@ -136,7 +136,7 @@
 		entry, _ := startReadyEntry(t)
 		signalAndAwaitLeaving(t, entry)
 		signalled := time.Now()
-		time.Sleep(2900 * time.Millisecond) // the first arrive just before the entry may exit, the others while it could be delayed by them
+		time.Sleep(2900 * time.Millisecond) // the first arrive just before the exit, the others could delay it
 		for i := range conns {
 			conn, err := net.Dial("tcp", entry.address("callers"))
 			require.NoError(t, err)
@@ -187,7 +187,7 @@
 	f := newFleet(t)
 	f.startEngine(rillreach.SideOld)
 	key := f.createAccount("kigali", oldSideRow("m"))
-	url := "http://" + f.startEntry().address("callers") + chatPath
+	url := "http://" + f.entry().address("callers") + chatPath
 	request := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) }
 	awaitStatus(t, http.StatusOK, request)
 	f.setFaults(`{"down":true}`)
@@ -205,7 +205,7 @@
 	f := newFleet(t)
 	first, _ := f.startEngine(rillreach.SideOld, "--engine-token-time", "5ms")
 	key := f.createAccount("kigali", oldSideRow("m"))
-	url := "http://" + f.startEntry().address("callers") + chatPath
+	url := "http://" + f.entry().address("callers") + chatPath
 	warm := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("warm up", false)) }
 	awaitStatus(t, http.StatusOK, warm)
 	t.Run("a streamed answer ends with an error", func(t *testing.T) {
--- a/e2e/stopping_callers_test.go
+++ b/e2e/stopping_callers_test.go
@@ -34,13 +34,13 @@
 type requestResult string
 
 const (
-	complete          requestResult = "whole"
+	complete          requestResult = "complete"
 	refused           requestResult = "refused"           // 503 with Retry-After: the request has not run
-	truncated         requestResult = "cut"               // the header arrived, but not the complete body
-	unexpectedAnswer  requestResult = "unexpected answer" // a complete answer that is neither the runner's nor a refusal with Retry-After
+	truncated         requestResult = "truncated"         // the header arrived, but not the complete body
+	unexpectedAnswer  requestResult = "unexpected answer" // neither the runner's answer nor a refusal with Retry-After
 	unanswered        requestResult = "unanswered"        // the connection ended before any answer
-	dialFailed        requestResult = "unconnected"
-	cancelledByCaller requestResult = "hung up" // the test closed hangUp
+	dialFailed        requestResult = "connection failed"
+	cancelledByCaller requestResult = "cancelled" // the test closed hangUp
 )
 
 // attempt is one request of one caller.
