--- a/e2e/operators_test.go
+++ b/e2e/operators_test.go
@@ -14,13 +14,13 @@
 	"github.com/rillreach/rillreach/objectstore"
 )
 
-func TestOperatorsTable(t *testing.T) {
+func TestTableCommands(t *testing.T) {
 	f := newFleet(t)
-	f.account("kigali", allOld("m"))
+	f.createAccount("kigali", oldSideRow("m"))
 	set := func(args ...string) (string, string, int) {
 		return runCommand(t, "", append([]string{"table", "set", "--platform", f.platform, "kigali/m/v1"}, args...)...)
 	}
-	t.Run("an edit shows in the table", func(t *testing.T) {
+	t.Run("an edit appears in the table", func(t *testing.T) {
 		_, errOut, code := set("--new", "30")
 		require.Zero(t, code, errOut)
 		out, _, _ := runCommand(t, "", "table", "get", "--platform", f.platform, "-o", "json", "kigali")
@@ -28,13 +28,13 @@
 		require.NoError(t, json.Unmarshal([]byte(out), &rows))
 		assert.Equal(t, rillreach.Weights{Old: 70, New: 30}, rows[0].Weights)
 	})
-	t.Run("what get prints as YAML can be applied again and changes nothing", func(t *testing.T) {
+	t.Run("applying the YAML output of get changes nothing", func(t *testing.T) {
 		out, _, _ := runCommand(t, "", "table", "get", "--platform", f.platform, "-o", "yaml")
 		applied, errOut, code := runCommand(t, out, "table", "apply", "--platform", f.platform, "-f", "-")
 		require.Zero(t, code, errOut)
 		assert.Contains(t, applied, "unchanged")
 	})
-	t.Run("a row that fails its checks is refused before it is written", func(t *testing.T) {
+	t.Run("an invalid row is rejected before it is written", func(t *testing.T) {
 		_, errOut, code := set("--new", "130")
 		assert.NotZero(t, code)
 		assert.Contains(t, errOut, "a weight is negative")
@@ -43,7 +43,7 @@
 		assert.Contains(t, errOut, "model is empty")
 		assert.Contains(t, errOut, "format 2 is not 1")
 	})
-	t.Run("of two operators who race one wins, and the other is shown both rows", func(t *testing.T) {
+	t.Run("at least one of several concurrent edits succeeds, and the others report both rows", func(t *testing.T) {
 		var wg sync.WaitGroup
 		codes, texts := make([]int, 8), make([]string, 8)
 		for i := range codes {
@@ -54,26 +54,26 @@
 			}()
 		}
 		wg.Wait()
-		won := 0
+		succeeded := 0
 		for i, code := range codes {
 			if code == 0 {
-				won++
+				succeeded++
 				continue
 			}
 			assert.Equal(t, 3, code, texts[i])
 			assert.Contains(t, texts[i], "ours:")
 			assert.Contains(t, texts[i], "theirs:")
 		}
-		assert.Positive(t, won)
+		assert.Positive(t, succeeded)
 	})
-	t.Run("an edit whose answer is lost is recognised as taken", func(t *testing.T) {
+	t.Run("an edit whose answer is lost is recognised as written", func(t *testing.T) {
 		f.setFaults(`{"loseAnswers":true}`)
 		out, errOut, code := set("--new", "50")
 		f.setFaults(`{}`)
 		require.Zero(t, code, errOut)
 		assert.Contains(t, out, "written as version")
 	})
-	t.Run("an edit during an outage is not taken for done", func(t *testing.T) {
+	t.Run("an edit during an outage fails", func(t *testing.T) {
 		f.setFaults(`{"down":true}`)
 		_, _, code := set("--new", "60")
 		f.setFaults(`{}`)
@@ -81,11 +81,11 @@
 	})
 }
 
-func TestShiftStepByStep(t *testing.T) {
+func TestShiftInSteps(t *testing.T) {
 	f := newFleet(t)
-	f.engine(rillreach.SideOld)
-	f.engine(rillreach.SideNew)
-	f.account("kigali", allOld("m"))
+	f.startEngine(rillreach.SideOld)
+	f.startEngine(rillreach.SideNew)
+	f.createAccount("kigali", oldSideRow("m"))
 	entry := f.entry()
 	operators := "http://" + entry.address("operators")
 	eventually(t, func() bool {
@@ -110,28 +110,29 @@
 	assert.Contains(t, readAll(t, metrics), "rillreach_members")
 }
 
-// TestRowWrittenAroundTheTool puts a row into the platform that fails its checks: the last good one stays in force.
-func TestRowWrittenAroundTheTool(t *testing.T) {
+// TestInvalidRowIsNotApplied guards against an invalid row that takes effect because it was written to the platform
+// without the command-line tool and its checks. The last valid row must stay in force.
+func TestInvalidRowIsNotApplied(t *testing.T) {
 	f := newFleet(t)
-	f.engine(rillreach.SideOld)
-	key := f.account("kigali", allOld("m"))
+	f.startEngine(rillreach.SideOld)
+	key := f.createAccount("kigali", oldSideRow("m"))
 	entry := f.entry()
 	url := "http://" + entry.address("callers") + chatPath
 	request := func() (answer, error) { return trySend(http.MethodPost, url, key, chatBody("x", false)) }
-	serves(t, http.StatusOK, request)
+	awaitStatus(t, http.StatusOK, request)
 	client := &objectstore.Client{BaseURL: f.platform}
 	name := rillreach.RowName("kigali", "m", "v1")
 	object, err := client.Get(t.Context(), rillreach.KindRow, name)
 	require.NoError(t, err)
 	_, err = client.Put(t.Context(), rillreach.KindRow, name, object.Version, []byte(`{"format":1,"account":"kigali","weights":{"old":5}}`))
 	require.NoError(t, err)
-	eventually(t, func() bool { return strings.Contains(entry.text(), "row not applied") }, "entry rejects the row")
+	eventually(t, func() bool { return strings.Contains(entry.logText(), "row not applied") }, "entry rejects the row")
 	a, err := request()
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, a.status, a.body)
 }
 
-func TestPeersNeedACertificate(t *testing.T) {
+func TestPeersRequireCertificate(t *testing.T) {
 	f := newFleet(t)
 	dir := t.TempDir()
 	_, errOut, code := runCommand(t, "", "certs", "--dir", dir)
@@ -141,22 +142,22 @@
 	}
 	e := start(t, "standin", "engine", "--engine-version", "v1")
 	args := []string{"--backend", "http://" + e.address("standin"), "--side", "old", "--model", "m", "--model-version", "v1"}
-	f.agent(append(args, tls("agent")...)...)
-	key := f.account("kigali", allOld("m"))
+	f.startAgent(append(args, tls("agent")...)...)
+	key := f.createAccount("kigali", oldSideRow("m"))
 	request := func(entry *process) func() (answer, error) {
 		return func() (answer, error) {
 			return trySend(http.MethodPost, "http://"+entry.address("callers")+chatPath, key, chatBody("x", false))
 		}
 	}
-	t.Run("an entry of the fleet is served", func(t *testing.T) {
+	t.Run("an entry with an entry certificate is served", func(t *testing.T) {
 		entry := f.entry(tls("entry")...)
 		t.Cleanup(entry.stop)
-		serves(t, http.StatusOK, request(entry))
+		awaitStatus(t, http.StatusOK, request(entry))
 	})
 	for name, more := range map[string][]string{"without a certificate": nil, "with an agent's certificate": tls("agent")} {
 		t.Run("an entry "+name+" is refused", func(t *testing.T) {
 			entry := f.entry(more...)
-			t.Cleanup(entry.stop) // else its record stays, and the next entry leaves the watching to it
+			t.Cleanup(entry.stop) // otherwise its record remains and the next entry relies on it to watch the platform
 			var last answer
 			eventually(t, func() bool {
 				a, err := request(entry)()
@@ -168,21 +169,21 @@
 	}
 }
 
-func TestSettingsAreCheckedTogether(t *testing.T) {
-	t.Run("all faults are listed at once", func(t *testing.T) {
+func TestInvalidSettingsAreListedTogether(t *testing.T) {
+	t.Run("all invalid settings are listed at once", func(t *testing.T) {
 		_, errOut, code := runCommand(t, "", "agent", "--platform", "nowhere", "--peer-listen", "x", "--side", "left", "--slots", "0")
 		assert.Equal(t, 2, code)
 		for _, setting := range []string{"--platform", "--peer-listen", "--side", "--slots", "--secret", "--backend", "--model"} {
 			assert.Contains(t, errOut, setting)
 		}
 	})
-	t.Run("an unknown variable is refused", func(t *testing.T) {
+	t.Run("an unknown environment variable is rejected", func(t *testing.T) {
 		t.Setenv("RILLREACH_PLATFORMS", "http://127.0.0.1:1")
 		_, errOut, code := runCommand(t, "", "table", "get")
 		assert.NotZero(t, code)
 		assert.Contains(t, errOut, "RILLREACH_PLATFORMS")
 	})
-	t.Run("a variable sets what a flag would", func(t *testing.T) {
+	t.Run("an environment variable sets a flag", func(t *testing.T) {
 		t.Setenv("RILLREACH_PLATFORM", "nowhere")
 		_, errOut, code := runCommand(t, "", "table", "get")
 		assert.Equal(t, 2, code)
@@ -190,7 +191,7 @@
 	})
 }
 
-func TestDemoEndsByItself(t *testing.T) {
+func TestDemoExits(t *testing.T) {
 	out, errOut, code := runCommand(t, "", "demo", "-o", "json")
 	require.Zero(t, code, errOut)
 	var summary map[string]any
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 var binary string
 
@@ -25,7 +25,7 @@
 }
 
 func buildAndRun(m *testing.M) int {
-	// Without this a process built with the race detector waits a second before it exits.
+	// Without this setting, a process built with the race detector waits a second before it exits.
 	if err := os.Setenv("GORACE", "atexit_sleep_ms=0"); err != nil {
 		return 1
 	}
@@ -44,17 +44,17 @@
 	return m.Run()
 }
 
-// process is one process that a test has started.
+// process is a process started by a test, with its log.
 type process struct {
 	t   testing.TB
 	cmd *exec.Cmd
 
-	mu        sync.Mutex
-	log       bytes.Buffer
-	addresses map[string]string
-	id        string
-	changed   chan struct{}
-	exited    chan struct{}
+	mu         sync.Mutex
+	log        bytes.Buffer
+	addresses  map[string]string
+	instanceID string
+	changed    chan struct{}
+	exited     chan struct{}
 }
 
 type logLine struct {
@@ -64,14 +64,14 @@
 	Address string `json:"address"`
 }
 
-// start starts the binary, whose log is on standard error; it is killed at the end of the test.
+// start starts the binary and reads its log from standard error. The process is killed at the end of the test.
 func start(tb testing.TB, args ...string) *process {
 	tb.Helper()
-	return startReading(tb, (*exec.Cmd).StderrPipe, args...)
+	return startWithLogPipe(tb, (*exec.Cmd).StderrPipe, args...)
 }
 
-// startReading starts the binary and reads its log from one of its outputs.
-func startReading(tb testing.TB, pipe func(*exec.Cmd) (io.ReadCloser, error), args ...string) *process {
+// startWithLogPipe starts the binary and reads its log from the output that pipe selects.
+func startWithLogPipe(tb testing.TB, pipe func(*exec.Cmd) (io.ReadCloser, error), args ...string) *process {
 	tb.Helper()
 	p := &process{
 		t:         tb,
@@ -83,27 +83,27 @@
 	output, err := pipe(p.cmd)
 	require.NoError(tb, err)
 	require.NoError(tb, p.cmd.Start())
-	go p.read(output)
+	go p.readLog(output)
 	tb.Cleanup(func() {
 		p.kill()
 		if tb.Failed() {
-			tb.Logf("log of %v:\n%s", args, p.text())
+			tb.Logf("log of %v:\n%s", args, p.logText())
 		}
 	})
 	return p
 }
 
-func (p *process) read(output io.Reader) {
+func (p *process) readLog(output io.Reader) {
 	defer close(p.exited)
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		p.take(scanner.Bytes())
+		p.recordLine(scanner.Bytes())
 	}
 	_ = p.cmd.Wait()
 }
 
-func (p *process) take(line []byte) {
+func (p *process) recordLine(line []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.log.Write(line)
@@ -111,7 +111,7 @@
 	var parsed logLine
 	if json.Unmarshal(line, &parsed) == nil && parsed.Message == "listening" {
 		p.addresses[parsed.For] = parsed.Address
-		p.id = parsed.ID
+		p.instanceID = parsed.ID
 	}
 	select {
 	case p.changed <- struct{}{}:
@@ -119,78 +119,79 @@
 	}
 }
 
-func (p *process) text() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// address waits for the address that the process listens on for somebody.
-func (p *process) address(who string) string {
+// address waits until the process listens for the given purpose and returns the address.
+func (p *process) address(listener string) string {
 	p.t.Helper()
-	address, problem := p.awaitAddress(who)
+	address, problem := p.awaitAddress(listener)
 	if problem != "" {
-		require.FailNow(p.t, problem, p.text())
+		require.FailNow(p.t, problem, p.logText())
 	}
 	return address
 }
 
-// What may keep a process from listening.
+// Reasons why a process does not listen.
 const (
-	problemEnded = "process ended"
-	problemLate  = "process does not listen"
+	problemExited       = "process ended"
+	problemNotListening = "process does not listen"
 )
 
-// lookAgain is how often somebody who waits for a process looks at it.
-const lookAgain = 20 * time.Millisecond
+// pollInterval is the time between two checks of a process while a test waits for it.
+const pollInterval = 20 * time.Millisecond
 
-// awaitAddress waits for the address that the process listens on for somebody, and says why there is none.
-func (p *process) awaitAddress(who string) (address, problem string) {
-	deadline := time.After(patience)
+// awaitAddress waits until the process listens for the given purpose. It returns the address or the reason why there is
+// none.
+func (p *process) awaitAddress(listener string) (address, problem string) {
+	deadline := time.After(waitTimeout)
 	for {
 		p.mu.Lock()
-		address := p.addresses[who]
+		address := p.addresses[listener]
 		p.mu.Unlock()
 		if address != "" {
 			return address, ""
 		}
 		select {
 		case <-p.changed:
-		case <-time.After(lookAgain): // another who waits may have taken the change
+		case <-time.After(pollInterval): // another waiter may have received the notification
 		case <-p.exited:
-			return "", problemEnded
+			return "", problemExited
 		case <-deadline:
-			return "", problemLate
+			return "", problemNotListening
 		}
 	}
 }
 
-// instance is the identifier that the process has given itself.
+// instance returns the instance ID that the process has given itself.
 func (p *process) instance() string {
 	p.t.Helper()
 	p.address("peers")
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.id
+	return p.instanceID
 }
 
 func (p *process) signal(s syscall.Signal) {
 	_ = p.cmd.Process.Signal(s)
 }
 
-// kill ends the process at once, thawing it first if it was frozen.
+// kill sends SIGKILL, which also ends a suspended process, and waits until the process has exited.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// stop asks the process to stop, and waits until it has.
+// stop sends SIGTERM and waits until the process has exited.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	<-p.exited
 }
 
-// runCommand runs the binary to its end and returns its output and its exit code.
+// runCommand runs the binary to completion and returns its standard output, its standard error and its exit code.
 func runCommand(tb testing.TB, input string, args ...string) (string, string, int) {
 	tb.Helper()
 	cmd := exec.Command(binary, args...)
--- a/e2e/stopping_judge_test.go
+++ b/e2e/stopping_judge_test.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// stopGrace is what the settings file gives as grace: the platform kills what has not ended by then.
+	// stopGrace is the grace period in the settings file. The platform kills a process that has not exited by then.
 	stopGrace = 8 * time.Second
-	// atOnce bounds a refusal. What an entry cannot end in time is known when it is read, so that no run of any request lies
-	// between; all runs of streams in these tests take several times as long.
-	atOnce = time.Second
-	// mostShown is how many attempts a failure lists.
-	mostShown = 6
-	// streamTick is the pause between the events of a stream.
-	streamTick = 100 * time.Millisecond
+	// maxRefusalDelay bounds the time to a refusal. An entry knows when it reads a request whether it can complete it
+	// in time, so a refusal must not wait for another request. Streams in these tests run several times as long.
+	maxRefusalDelay = time.Second
+	// maxListedAttempts limits how many attempts a failure message lists.
+	maxListedAttempts = 6
+	// eventInterval is the time between two events of a stream.
+	eventInterval = 100 * time.Millisecond
 )
 
-// stopSite is a deployment's outside: its store, and one runner for plain answers and long streams.
+// stopSite is the environment of the entries: an object store, and one runner for plain answers and long streams.
 type stopSite struct {
 	store  *site.Store
 	runner *site.Runner
-	// address is the store's.
-	address string
+	// storeAddress is the address of the object store.
+	storeAddress string
 }
 
 func newStopSite(t *testing.T, events int) *stopSite {
@@ -41,23 +41,24 @@
 	s := &stopSite{store: site.NewStore(), runner: &site.Runner{ID: "r1"}}
 	s.runner.Handle = func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/"+streamRoute+"/") {
-			site.StreamEventsAtInterval(w, r, events, streamTick)
+			site.StreamEventsAtInterval(w, r, events, eventInterval)
 			return
 		}
 		site.WriteResponse(w, r, plainAnswer)
 	}
 	s.runner.Start()
 	t.Cleanup(s.runner.Stop)
-	s.configure(1)
+	s.putConfig(1)
 	s.store.Put("servers", "r1", site.NewRunnerRecord(s.runner.Address(), "ready"))
 	server := httptest.NewServer(s.store)
 	t.Cleanup(server.Close)
-	s.address = strings.TrimPrefix(server.URL, "http://")
+	s.storeAddress = strings.TrimPrefix(server.URL, "http://")
 	return s
 }
 
-// configure puts a version of the configuration in force; each has a route of its own beside those that callers ask.
-func (s *stopSite) configure(version int) {
+// putConfig publishes a version of the configuration. Each version has one route of its own besides those that callers
+// use.
+func (s *stopSite) putConfig(version int) {
 	route := func(name, kind string, timeout int) map[string]any {
 		return map[string]any{
 			"name": name, "host": stopHost, "path_prefix": "/" + name + "/", "kind": kind, "timeout_ms": timeout, "service": "s", "max_attempts": 1,
@@ -73,63 +74,64 @@
 	})
 }
 
-// stopEntry is an entry and its processes, one after another.
+// stopEntry is an entry and its successive processes.
 type stopEntry struct {
 	*platformEntry
 
-	mu         sync.Mutex
-	lives      []*process
-	signalled  time.Time
-	gone, back time.Time
+	mu                    sync.Mutex
+	processes             []*process
+	signalledAt           time.Time
+	exitedAt, restartedAt time.Time
 }
 
-func (s *stopSite) entry(t *testing.T, host string) *stopEntry {
+func (s *stopSite) startEntry(t *testing.T, host string) *stopEntry {
 	t.Helper()
-	e := &stopEntry{platformEntry: newPlatformEntry(t, host, s.address)}
+	e := &stopEntry{platformEntry: newPlatformEntry(t, host, s.storeAddress)}
 	e.start(t)
 	e.awaitReady(t)
-	e.lives = append(e.lives, e.process)
+	e.processes = append(e.processes, e.process)
 	return e
 }
 
-// terminate sends SIGTERM and notes when the process has ended; it tells through what it returns.
+// terminate sends SIGTERM, records when the process exits and then closes the returned channel.
 func (e *stopEntry) terminate() (ended <-chan struct{}) {
-	told, first := make(chan struct{}), e.process
-	e.signalled = time.Now()
-	first.signal(syscall.SIGTERM)
+	exited, process := make(chan struct{}), e.process
+	e.signalledAt = time.Now()
+	process.signal(syscall.SIGTERM)
 	go func() {
-		<-first.exited
+		<-process.exited
 		e.mu.Lock()
-		e.gone = time.Now()
+		e.exitedAt = time.Now()
 		e.mu.Unlock()
-		close(told)
+		close(exited)
 	}()
-	return told
+	return exited
 }
 
-// away reports that there was, at some time of the attempt, no process at the entry's address.
-func (e *stopEntry) away(a *attempt) bool {
+// unavailableDuring reports whether at any time during the attempt no process was listening at the address of the
+// entry.
+func (e *stopEntry) unavailableDuring(a *attempt) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.gone.IsZero() && a.ended.After(e.gone.Add(-lastBreath)) && (e.back.IsZero() || a.began.Before(e.back))
+	return !e.exitedAt.IsZero() && a.ended.After(e.exitedAt.Add(-listenerCloseMargin)) && (e.restartedAt.IsZero() || a.began.Before(e.restartedAt))
 }
 
-// read reports that one of the entry's processes had read the attempt's request: its connection shows it, its log names it, or
-// it ran.
-func (e *stopEntry) read(a *attempt, ran map[string]bool) bool {
-	if a.taken || ran[a.id] {
+// hasRead reports whether a process of the entry had read the request of the attempt: its connection shows it, the log
+// contains its ID, or the runner received it.
+func (e *stopEntry) hasRead(a *attempt, ran map[string]bool) bool {
+	if a.requestRead || ran[a.id] {
 		return true
 	}
-	for _, p := range e.lives {
-		if strings.Contains(p.text(), fmt.Sprintf("%q", a.id)) {
+	for _, p := range e.processes {
+		if strings.Contains(p.logText(), fmt.Sprintf("%q", a.id)) {
 			return true
 		}
 	}
 	return false
 }
 
-// ran are the requests that came to the runner.
-func (s *stopSite) ran() map[string]bool {
+// receivedRequests returns the attempt IDs of the requests that reached the runner.
+func (s *stopSite) receivedRequests() map[string]bool {
 	ids := map[string]bool{}
 	for _, run := range s.runner.ReceivedRequests() {
 		ids[run.Header.Get("X-Rillreach-Attempt-Id")] = true
@@ -137,59 +139,59 @@
 	return ids
 }
 
-// assertNone fails with what became of some of the attempts that must not be there.
+// assertNone fails if there are bad attempts, and lists some of them.
 func assertNone(t *testing.T, bad []attempt, what string) {
 	t.Helper()
 	if len(bad) == 0 {
 		return
 	}
 	var text strings.Builder
-	for _, a := range bad[:min(len(bad), mostShown)] {
-		since := func(at time.Time) float64 { return at.Sub(a.entry.signalled).Seconds() }
-		fmt.Fprintf(&text, "\n  %s, sent to %s %.3f s after its SIGTERM: %s at %.3f s (%s)", a.id, a.entry.callers, since(a.began), a.how, since(a.ended), a.detail)
+	for _, a := range bad[:min(len(bad), maxListedAttempts)] {
+		since := func(at time.Time) float64 { return at.Sub(a.entry.signalledAt).Seconds() }
+		fmt.Fprintf(&text, "\n  %s, sent to %s %.3f s after its SIGTERM: %s at %.3f s (%s)", a.id, a.entry.callerAddress, since(a.began), a.result, since(a.ended), a.detail)
 	}
 	assert.Failf(t, what, "%d of them, such as%s", len(bad), text.String())
 }
 
-// assertKept runs the checks that hold for every stop: what an entry reads gets a whole answer, or at once a refusal that
-// keeps its promise.
-func assertKept(t *testing.T, s *stopSite, l *ledger) {
+// assertStopGuarantees checks what holds for every stop: each request that an entry has read gets either a complete
+// answer or a prompt refusal, and a refused request has not run.
+func assertStopGuarantees(t *testing.T, s *stopSite, l *attemptLog) {
 	t.Helper()
-	ran := s.ran()
-	t.Run("no answer is cut", func(t *testing.T) {
-		assertNone(t, l.those(func(a *attempt) bool { return a.how == cutOff }), "cut")
+	ran := s.receivedRequests()
+	t.Run("no answer is truncated", func(t *testing.T) {
+		assertNone(t, l.filter(func(a *attempt) bool { return a.result == truncated }), "truncated")
 	})
-	t.Run("what is read is answered or refused", func(t *testing.T) {
-		assertNone(t, l.those(func(a *attempt) bool {
-			return a.how == noPromise || a.how == unanswered && a.entry.read(a, ran)
-		}), "read, and neither answered nor refused")
+	t.Run("every request that was read is answered or refused", func(t *testing.T) {
+		assertNone(t, l.filter(func(a *attempt) bool {
+			return a.result == unexpectedAnswer || a.result == unanswered && a.entry.hasRead(a, ran)
+		}), "read, but neither answered nor refused")
 	})
-	t.Run("what is refused has not run", func(t *testing.T) {
-		assertNone(t, l.those(func(a *attempt) bool { return a.how == refused && ran[a.id] }), "refused, and run")
+	t.Run("refused requests have not run", func(t *testing.T) {
+		assertNone(t, l.filter(func(a *attempt) bool { return a.result == refused && ran[a.id] }), "refused, but run")
 	})
-	t.Run("a refusal comes at once", func(t *testing.T) {
-		assertNone(t, l.those(func(a *attempt) bool { return a.how == refused && a.ended.Sub(a.sent) > atOnce }), "refused late")
+	t.Run("refusals are prompt", func(t *testing.T) {
+		assertNone(t, l.filter(func(a *attempt) bool { return a.result == refused && a.ended.Sub(a.sent) > maxRefusalDelay }), "refused late")
 	})
-	t.Run("what is short is still answered after the signal", func(t *testing.T) {
-		answered := l.those(func(a *attempt) bool {
-			return a.how == whole && a.route == plainRoute && a.began.After(a.entry.signalled) && a.ended.Before(a.entry.gone)
+	t.Run("short requests are still answered after the signal", func(t *testing.T) {
+		answered := l.filter(func(a *attempt) bool {
+			return a.result == complete && a.route == plainRoute && a.began.After(a.entry.signalledAt) && a.ended.Before(a.entry.exitedAt)
 		})
 		assert.NotEmpty(t, answered)
 	})
 }
 
-// assertDoorOpen checks that a new connection fails only while there is no process.
-func assertDoorOpen(t *testing.T, l *ledger) {
+// assertAcceptsConnections checks that new connections fail only while no process is running.
+func assertAcceptsConnections(t *testing.T, l *attemptLog) {
 	t.Helper()
-	assertNone(t, l.those(func(a *attempt) bool {
-		return (a.how == unconnected || a.how == unanswered && !a.again) && !a.entry.away(a)
-	}), "no connection, while the entry's process lived")
+	assertNone(t, l.filter(func(a *attempt) bool {
+		return (a.result == dialFailed || a.result == unanswered && !a.reusedConn) && !a.entry.unavailableDuring(a)
+	}), "connection failed while the process was running")
 }
 
-// assertEnded checks that the entry's stopped process ended by itself and in time.
-func assertEnded(t *testing.T, e *stopEntry) {
+// assertExitedInGrace checks that the stopped process exited by itself with status 0 within the grace period.
+func assertExitedInGrace(t *testing.T, e *stopEntry) {
 	t.Helper()
-	require.False(t, e.gone.IsZero())
-	assert.Zero(t, e.lives[0].cmd.ProcessState.ExitCode())
-	assert.Less(t, e.gone.Sub(e.signalled), stopGrace)
+	require.False(t, e.exitedAt.IsZero())
+	assert.Zero(t, e.processes[0].cmd.ProcessState.ExitCode())
+	assert.Less(t, e.exitedAt.Sub(e.signalledAt), stopGrace)
 }
