--- a/cmd/ops.go
+++ b/cmd/ops.go
@@ -45,7 +45,7 @@
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			log.Info("SIGHUP ignored: settings are read only at startup", "decision", "reload")
+			log.Info("SIGHUP is ignored: settings are read only at the start", "decision", "reload")
 		}
 	}
 }
--- a/deployment/settings.go
+++ b/deployment/settings.go
@@ -13,11 +13,11 @@
 type Bounds struct {
 	// Recovery is the time after the end of a failure, of an instance or of the object store, within which the instance
 	// must meet the other bounds again.
-	Recovery time.Duration
+	Recovery time.Duration `json:"Contact"`
 	// RunnerDrainDelay is how long requests may still be sent to a runner after it has announced that it is leaving.
-	RunnerDrainDelay time.Duration
+	RunnerDrainDelay time.Duration `json:"RunnerStop"`
 	// GracePeriod is the time from the termination signal until the process must have exited.
-	GracePeriod time.Duration
+	GracePeriod time.Duration `json:"Grace"`
 	// RetryRatio, RetryWindow and RetrySlack limit retries, summed over all entries: within RetryWindow, there are at
 	// most RetryRatio times the number of requests, plus RetrySlack.
 	RetryRatio  float64
@@ -25,16 +25,17 @@
 	RetrySlack  float64
 	// ZoneEvacuation is the time after which an evacuated zone receives no more requests. It is zero if the deployment
 	// does not support evacuations.
-	ZoneEvacuation time.Duration
+	ZoneEvacuation time.Duration `json:"Evacuation"`
 	// SlowStartFactor and SlowStartSlack limit the requests that a cold runner receives from all entries in any second
 	// to its SlowStart.RequestsPerSecond times SlowStartFactor, plus SlowStartSlack.
-	SlowStartFactor float64
+	SlowStartFactor float64 `json:"SlowStartOver"`
 	SlowStartSlack  float64
 	// WeightsRollout is the time within which newly requested weights are in use.
-	WeightsRollout time.Duration
+	WeightsRollout time.Duration `json:"Weights"`
 }
 
-// Settings are the settings that the platform gives a process at its start.
+// Settings are the settings that the platform gives a process at its start. Operators read them, and the bounds, as JSON
+// from the command that checks a settings file, so that the JSON names must not change.
 type Settings struct {
 	Name string
 	Zone rillreach.ZoneID
@@ -43,14 +44,14 @@
 	Regions map[rillreach.ZoneID]rillreach.RegionID
 	Bounds  Bounds
 	// ObjectStoreAddress is the address of the platform's object store.
-	ObjectStoreAddress netip.AddrPort
+	ObjectStoreAddress netip.AddrPort `json:"Store"`
 	// CallerAddress is the address on which an entry accepts requests from callers.
-	CallerAddress netip.AddrPort
+	CallerAddress netip.AddrPort `json:"Callers"`
 	// ReadinessAddress is the address on which an entry answers the load balancer's readiness probes.
-	ReadinessAddress netip.AddrPort
+	ReadinessAddress netip.AddrPort `json:"Readiness"`
 	// RunnerAddress and Service are the address and the service of the runner on the same instance. They are set only
 	// for agents.
-	RunnerAddress netip.AddrPort
+	RunnerAddress netip.AddrPort `json:"Runner"`
 	Service       rillreach.ServiceID
 	// FirstPort and LastPort are the range of ports for internal traffic. It is the same for all processes.
 	FirstPort uint16
