--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -11,36 +11,40 @@
 )
 
 const (
-	// askedLimit is the limit that runners name, in requests a second, and limitAtLeast for how long they do at the least.
-	askedLimit   = 2.0
-	limitAtLeast = 5 * time.Second
+	// announcedLimit is the limit that runners name, in requests a second, and limitAtLeast for how long they do at the least.
+	announcedLimit   = 2.0
+	minLimitDuration = 5 * time.Second
 	// limitWindow, limitOver and limitSlack bound what comes within a limit: in any such time so many times what it allows, and a few more.
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
-	// askedRest is the rest that runners ask for, mostInRest how many requests may still come in it.
-	askedRest  = 2 * time.Second
-	mostInRest = 2
-	// toldBefore is how long before a request its entry must have been told of a limit or a rest for it to count.
-	toldBefore = 500 * time.Millisecond
+	// retryAfter is the rest that runners ask for, mostInRest how many requests may still come in it.
+	retryAfter          = 2 * time.Second
+	maxDuringRetryAfter = 2
+	// noticeDelay is how long before a request its entry must have been told of a limit or a rest for it to count.
+	noticeDelay = 500 * time.Millisecond
 )
 
-// pressure is what a runner asks for in its answers, and in nothing else.
-type pressure struct {
-	mu      sync.Mutex
-	limited time.Time
-	refuses time.Time
-	leaving string
+// backpressureControl is what a runner asks for in its answers, and in nothing else.
+type backpressureControl struct {
+	mu            sync.Mutex
+	limitedUntil  time.Time
+	refusingUntil time.Time
+	leavingRunner string
 }
 
-// limit has the runner name a limit for a time, refuse has it turn requests away and ask for rest, and leave has one run of it say that it leaves.
-func (p *pressure) limit(d time.Duration) { p.set(func() { p.limited = time.Now().Add(d) }) }
+// limitFor has the runner name a limitFor for a time, refuse has it turn requests away and ask for rest, and leave has one run of it say that it leaves.
+func (p *backpressureControl) limitFor(d time.Duration) {
+	p.update(func() { p.limitedUntil = time.Now().Add(d) })
+}
 
-func (p *pressure) refuse(d time.Duration) { p.set(func() { p.refuses = time.Now().Add(d) }) }
+func (p *backpressureControl) refuseFor(d time.Duration) {
+	p.update(func() { p.refusingUntil = time.Now().Add(d) })
+}
 
-func (p *pressure) leave(run string) { p.set(func() { p.leaving = run }) }
+func (p *backpressureControl) leave(run string) { p.update(func() { p.leavingRunner = run }) }
 
-func (p *pressure) set(do func()) {
+func (p *backpressureControl) update(do func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	do()
@@ -57,60 +61,60 @@
 	Refused bool
 }
 
-// take notes a request that came to a run of the runner, has its answer ask for what is asked for now, and reports whether it was turned away.
-func (p *pressure) take(l *ledger, label string, w http.ResponseWriter, r *http.Request) (refused bool) {
+// handle notes a request that came to a run of the runner, has its answer ask for what is asked for now, and reports whether it was turned away.
+func (p *backpressureControl) handle(l *eventLog, label string, w http.ResponseWriter, r *http.Request) (refused bool) {
 	p.mu.Lock()
 	now := time.Now()
-	a := arrival{ID: site.RequestID(r), Runner: label, At: now, Limited: now.Before(p.limited), Leaving: p.leaving == label, Refused: now.Before(p.refuses)}
+	a := arrival{ID: site.RequestID(r), Runner: label, At: now, Limited: now.Before(p.limitedUntil), Leaving: p.leavingRunner == label, Refused: now.Before(p.refusingUntil)}
 	p.mu.Unlock()
-	l.arrive(a)
+	l.recordArrival(a)
 	if a.Limited {
-		w.Header().Set("Server-Limit", fmt.Sprint(askedLimit))
+		w.Header().Set("Server-Limit", fmt.Sprint(announcedLimit))
 	}
 	if a.Leaving {
 		w.Header().Set("Server-Leaving", "1")
 	}
 	if a.Refused {
-		w.Header().Set("Retry-After", strconv.FormatFloat(askedRest.Seconds(), 'f', -1, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 		site.Refuse(w, r)
 	}
 	return a.Refused
 }
 
-func (l *ledger) arrive(a arrival) {
+func (l *eventLog) recordArrival(a arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals = append(l.arrivals, a)
 }
 
-// injectPressure has a plain runner or an engine ask for less in its answers.
-func (w *world) injectPressure(a action, p *place, n *engine) {
-	asks := &p.pressure
-	if a.Which%2 == 1 {
-		asks = &n.pressure
+// injectBackpressure has a plain runner or an engine ask for less in its answers.
+func (w *cluster) injectBackpressure(a action, p *runnerSlot, n *engine) {
+	asks := &p.backpressure
+	if a.Target%2 == 1 {
+		asks = &n.backpressure
 	}
 	switch a.Fault {
-	case faultLimit:
-		asks.limit(limitAtLeast + a.For)
-		w.later(limitAtLeast+a.For, func() {})
-	case faultRest:
-		asks.refuse(a.For)
-		w.later(a.For+askedRest, func() {})
-	case faultLeaveUntold:
-		w.leaveUntold(a, p, n)
+	case faultRateLimit:
+		asks.limitFor(minLimitDuration + a.Duration)
+		w.schedule(minLimitDuration+a.Duration, func() {})
+	case faultRetryAfter:
+		asks.refuseFor(a.Duration)
+		w.schedule(a.Duration+retryAfter, func() {})
+	case faultLeaveInResponses:
+		w.injectLeaveInResponses(a, p, n)
 	}
 }
 
-// leaveUntold has a runner say in its answers alone that it leaves, and ends it some time later.
-func (w *world) leaveUntold(a action, p *place, n *engine) {
-	ends := leaveWithin + time.Second + a.For
-	if a.Which%2 == 1 {
-		n.replacing.Lock()
-		n.pressure.leave(n.label())
-		w.later(ends, func() { w.replaceEngine(n) })
+// injectLeaveInResponses has a runner say in its answers alone that it leaves, and ends it some time later.
+func (w *cluster) injectLeaveInResponses(a action, p *runnerSlot, n *engine) {
+	ends := leaveWithin + time.Second + a.Duration
+	if a.Target%2 == 1 {
+		n.replaceMu.Lock()
+		n.backpressure.leave(n.label())
+		w.schedule(ends, func() { w.replaceEngine(n) })
 		return
 	}
-	p.replacing.Lock()
-	p.pressure.leave(p.id())
-	w.later(ends, func() { w.replacePlace(p) })
+	p.replaceMu.Lock()
+	p.backpressure.leave(p.id())
+	w.schedule(ends, func() { w.replaceRunner(p) })
 }
--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// probeEvery is how often the balancer asks each entry, probeTimeout how long it waits for the answer.
-	probeEvery   = time.Second
-	probeTimeout = time.Second
-	// mostMisses is how many probes in a row may fail before an entry gets no new connections.
-	mostMisses = 2
+	// probeInterval is how often the balancer asks each entry, probeTimeout how long it waits for the answer.
+	probeInterval = time.Second
+	probeTimeout  = time.Second
+	// maxFailedProbes is how many probes in a row may fail before an entry gets no new connections.
+	maxFailedProbes = 2
 	// dialTimeout is how long a new connection may take to come up.
 	dialTimeout = time.Second
 )
@@ -23,12 +23,12 @@
 type balancer struct {
 	entries []*entry
 
-	mu     sync.Mutex
-	misses []int
+	mu           sync.Mutex
+	failedProbes []int
 }
 
 func newBalancer(entries []*entry) *balancer {
-	return &balancer{entries: entries, misses: make([]int, len(entries))}
+	return &balancer{entries: entries, failedProbes: make([]int, len(entries))}
 }
 
 // run probes the entries until it is told to stop.
@@ -36,7 +36,7 @@
 	var wg sync.WaitGroup
 	for i := range b.entries {
 		wg.Go(func() {
-			ticker := time.NewTicker(probeEvery)
+			ticker := time.NewTicker(probeInterval)
 			defer ticker.Stop()
 			for {
 				b.probe(i)
@@ -53,18 +53,18 @@
 
 func (b *balancer) probe(i int) {
 	e := b.entries[i]
-	current := e.life()
-	ready := isReady(e)
+	current := e.currentLifetime()
+	ready := probeReady(e)
 	if ready {
-		e.noteReady(current)
+		e.recordReady(current)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ready {
-		b.misses[i] = 0
+		b.failedProbes[i] = 0
 		return
 	}
-	b.misses[i]++
+	b.failedProbes[i]++
 }
 
 // pick chooses among the entries that are in, or among all of them when under half are.
@@ -73,7 +73,7 @@
 	defer b.mu.Unlock()
 	var in []*entry
 	for i, e := range b.entries {
-		if b.misses[i] < mostMisses {
+		if b.failedProbes[i] < maxFailedProbes {
 			in = append(in, e)
 		}
 	}
@@ -86,14 +86,14 @@
 // dial opens a connection to an entry of the balancer's choice.
 func (b *balancer) dial(ctx context.Context) (net.Conn, *entry, error) {
 	e := b.pick()
-	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", e.callers)
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", e.callerAddress)
 	return conn, e, err
 }
 
-func isReady(e *entry) bool {
+func probeReady(e *entry) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.ready+"/ready", http.NoBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.readinessAddress+"/ready", http.NoBody)
 	if err != nil {
 		return false
 	}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -21,26 +21,26 @@
 // callers send requests through the balancer until they are told to stop: half of them open a connection for each request,
 // the others go on using theirs until it is closed.
 type callers struct {
-	balancer *balancer
-	host     string
-	keys     []string
-	count    int
+	balancer    *balancer
+	host        string
+	keys        []string
+	callerCount int
 
-	next  atomic.Int64
-	mu    sync.Mutex
-	calls []call
+	nextID atomic.Int64
+	mu     sync.Mutex
+	calls  []callRecord
 }
 
 const (
-	thinkTime = 25 * time.Millisecond
-	giveUp    = 10 * time.Second
+	thinkTime   = 25 * time.Millisecond
+	callTimeout = 10 * time.Second
 )
 
 var kinds = []kind{kindRepeat, kindOnce, kindStream, kindFlow, kindPrompt, kindChat}
 
 func (c *callers) run(stop <-chan struct{}) {
 	var wg sync.WaitGroup
-	for i := range c.count {
+	for i := range c.callerCount {
 		one := &caller{callers: c}
 		wg.Go(func() { one.run(i, stop) })
 	}
@@ -52,12 +52,12 @@
 	callers *callers
 	client  *http.Client
 	// entry is the one that the latest connection leads to; fresh says that no request has used it yet.
-	entry *entry
-	fresh bool
+	entry         *entry
+	newConnection bool
 }
 
 func (c *caller) run(number int, stop <-chan struct{}) {
-	c.client = &http.Client{Timeout: giveUp, Transport: &http.Transport{
+	c.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{
 		DisableCompression: true, DisableKeepAlives: number%2 == 0, DialContext: c.dial,
 	}}
 	defer c.client.CloseIdleConnections()
@@ -67,23 +67,23 @@
 			return
 		case <-time.After(thinkTime):
 		}
-		c.one(kinds[n%len(kinds)], c.callers.keys[n/len(kinds)%len(c.callers.keys)], "")
+		c.call(kinds[n%len(kinds)], c.callers.keys[n/len(kinds)%len(c.callers.keys)], "")
 	}
 }
 
 // dial connects to whichever entry the balancer gives, since the URL names none.
 func (c *caller) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	conn, e, err := c.callers.balancer.dial(ctx)
-	c.entry, c.fresh = e, true
+	c.entry, c.newConnection = e, true
 	return conn, err
 }
 
-// one sends a request of the kind, which is a fatal one where that is named.
-func (c *caller) one(k kind, key, fatal string) {
-	seen := call{ID: fmt.Sprintf("%s-%d", k, c.callers.next.Add(1)), Kind: k, Key: key, Fatal: fatal, Sent: time.Now()}
-	c.fresh = false
+// call sends a request of the kind, which is a fatal call where that is named.
+func (c *caller) call(k kind, key, fatal string) {
+	seen := callRecord{ID: fmt.Sprintf("%s-%d", k, c.callers.nextID.Add(1)), Kind: k, Key: key, Fatal: fatal, SentAt: time.Now()}
+	c.newConnection = false
 	c.send(&seen)
-	seen.Ended, seen.Fresh = time.Now(), c.fresh
+	seen.EndedAt, seen.NewConnection = time.Now(), c.newConnection
 	if c.entry != nil {
 		seen.Entry = c.entry.number
 	}
@@ -92,7 +92,7 @@
 	c.callers.calls = append(c.callers.calls, seen)
 }
 
-func (c *caller) send(seen *call) {
+func (c *caller) send(seen *callRecord) {
 	var written atomic.Pointer[time.Time]
 	ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		if now := time.Now(); info.Err == nil {
@@ -102,7 +102,7 @@
 	// A POST without a way to make its body anew is sent once by the client, whatever happens to the connection.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%s", c.callers.host, seen.Kind, cmp.Or(seen.Fatal, "x")), io.LimitReader(zeros{}, 10))
 	if err != nil {
-		seen.Cut = true
+		seen.Truncated = true
 		return
 	}
 	site.SetRequestID(req, seen.ID)
@@ -117,9 +117,9 @@
 		body, err = io.ReadAll(resp.Body)
 		seen.Status, seen.Body = resp.StatusCode, string(body)
 	}
-	seen.Cut, seen.Refused = err != nil, errors.Is(err, syscall.ECONNREFUSED)
+	seen.Truncated, seen.Refused = err != nil, errors.Is(err, syscall.ECONNREFUSED)
 	if at := written.Load(); at != nil {
-		seen.Written = *at
+		seen.WrittenAt = *at
 	}
 }
 
--- a/soak/engine.go
+++ b/soak/engine.go
@@ -10,8 +10,8 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// given is an order as an engine got it.
-type given struct {
+// receivedOrder is an order as an engine got it.
+type receivedOrder struct {
 	Engine string
 	Order  site.Order
 }
@@ -20,28 +20,28 @@
 type engine struct {
 	agent  *agent
 	proxy  *proxy
-	ledger *ledger
+	events *eventLog
 	number int
-	// pressure is what the engine asks for in its answers.
-	pressure pressure
-	// fatal ends the run and starts another soon, unless that is being done; it reports whether it ended it.
-	fatal func() bool
+	// backpressure is what the engine asks for in its answers.
+	backpressure backpressureControl
+	// crashAndReplace ends the run and starts another soon, unless that is being done; it reports whether it ended it.
+	crashAndReplace func() bool
 
-	// replacing is held while the run, or its record, is being replaced.
-	replacing sync.Mutex
+	// replaceMu is held while the run, or its record, is being replaced.
+	replaceMu sync.Mutex
 
-	mu       sync.Mutex
-	runs     int
-	born     int64
-	losing   time.Time
-	refusing time.Time
-	slow     time.Time
-	queue    time.Duration
-	current  *site.Engine
+	mu                 sync.Mutex
+	starts             int
+	startedAt          int64
+	ordersDelayedUntil time.Time
+	refusingUntil      time.Time
+	slowUntil          time.Time
+	queueDelay         time.Duration
+	current            *site.Engine
 }
 
-// slowBy is how many times as long an engine that runs slow takes for each event.
-const slowBy = 2
+// slowFactor is how many times as long an engine that runs slow takes for each event.
+const slowFactor = 2
 
 // loadTime is how long an engine of the soak takes for new weights.
 const loadTime = 300 * time.Millisecond
@@ -59,61 +59,61 @@
 func (e *engine) start(weights uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.begin(fmt.Sprintf("%s-%d", e.name(), e.runs+1), weights, true)
+	e.startLocked(fmt.Sprintf("%s-%d", e.name(), e.starts+1), weights, true)
 }
 
-// startAgain begins a new run under the id and with the weights of the last, and tells its start or does not.
-func (e *engine) startAgain(told bool) {
+// restart begins a new run under the id and with the weights of the last, and tells its start or does not.
+func (e *engine) restart(told bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.begin(e.current.ID, e.current.Weights(), told)
+	e.startLocked(e.current.ID, e.current.Weights(), told)
 }
 
-// begin begins a new run; e.mu is held.
-func (e *engine) begin(id string, weights uint64, told bool) {
-	e.runs++
-	label := e.labelOf(e.runs)
-	e.born = max(e.born+1, time.Now().UnixMilli())
-	one := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, Queue: e.queueing, Refuses: e.refuses}
+// startLocked begins a new run; e.mu is held.
+func (e *engine) startLocked(id string, weights uint64, told bool) {
+	e.starts++
+	label := e.startLabel(e.starts)
+	e.startedAt = max(e.startedAt+1, time.Now().UnixMilli())
+	one := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, Queue: e.currentQueueDelay, Refuses: e.refusing}
 	one.ID = id
 	if told {
-		one.Born = e.born
+		one.Born = e.startedAt
 	}
 	one.Handle = func(w http.ResponseWriter, r *http.Request) {
-		begun := run{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), At: time.Now(), Weights: one.Weights(), Fatal: fatalOf(r)}
+		begun := execution{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), StartedAt: time.Now(), Weights: one.Weights(), Fatal: fatalName(r)}
 		if begun.Fatal != "" {
-			e.ledger.endUnder(begun, e.fatal)
+			e.events.crashRunner(begun, e.crashAndReplace)
 		}
-		if e.pressure.take(e.ledger, label, w, r) {
+		if e.backpressure.handle(e.events, label, w, r) {
 			return
 		}
-		open := e.ledger.begin(begun)
-		streamPieces(w, r, open, e.pause(r))
+		open := e.events.beginExecution(begun)
+		streamPieces(w, r, open, e.eventInterval(r))
 	}
 	one.Ordered = func(o site.Order) bool {
-		e.ledger.order(given{Engine: label, Order: o})
-		return e.loses()
+		e.events.recordOrder(receivedOrder{Engine: label, Order: o})
+		return e.delaysOrders()
 	}
-	one.CarryOut = func(o site.Order) { e.carryOut(id, o) }
+	one.CarryOut = func(o site.Order) { e.applyOrder(id, o) }
 	one.Start()
 	e.current = one
-	if err := e.proxy.open(one.Address()); err != nil {
+	if err := e.proxy.listenFor(one.Address()); err != nil {
 		panic(err) // nothing else takes the engine's address
 	}
 }
 
-// labelOf names one of the runs that lived here, also among those with the same id.
-func (e *engine) labelOf(run int) string { return fmt.Sprintf("%s-%d", e.name(), run) }
+// startLabel names one of the runs that lived here, also among those with the same id.
+func (e *engine) startLabel(run int) string { return fmt.Sprintf("%s-%d", e.name(), run) }
 
 // label names the run that lives here now.
 func (e *engine) label() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.labelOf(e.runs)
+	return e.startLabel(e.starts)
 }
 
-// carryOut gives a late order to the run with the id, which may have started again meanwhile.
-func (e *engine) carryOut(id string, o site.Order) {
+// applyOrder gives a late order to the run with the id, which may have started again meanwhile.
+func (e *engine) applyOrder(id string, o site.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.current.ID == id {
@@ -121,8 +121,8 @@
 	}
 }
 
-// record is what the run that lives here now records in the object store.
-func (e *engine) record() (id string, spec map[string]any) {
+// storeRecord is what the run that lives here now records in the object store.
+func (e *engine) storeRecord() (id string, spec map[string]any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	spec = e.current.RecordAt(e.proxy.address(), "ready")
@@ -130,66 +130,66 @@
 	return e.current.ID, spec
 }
 
-// pause is how long the engine takes for each event of a request.
-func (e *engine) pause(r *http.Request) time.Duration {
+// eventInterval is how long the engine takes for each event of a request.
+func (e *engine) eventInterval(r *http.Request) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	pause := lasts(kindOf(r), site.RequestID(r)) / pieces
-	if time.Now().Before(e.slow) {
-		return slowBy * pause
+	pause := streamDuration(requestKind(r), site.RequestID(r)) / streamEvents
+	if time.Now().Before(e.slowUntil) {
+		return slowFactor * pause
 	}
 	return pause
 }
 
-// slowDown has what begins within a time run slow.
-func (e *engine) slowDown(d time.Duration) {
+// slowFor has what begins within a time run slow.
+func (e *engine) slowFor(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = time.Now().Add(d)
+	e.slowUntil = time.Now().Add(d)
 }
 
-// refuse has the engine refuse what has not begun for a time, whatever its report says.
-func (e *engine) refuse(d time.Duration) {
+// startRefusing has the engine startRefusing what has not begun for a time, whatever its report says.
+func (e *engine) startRefusing(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.refusing = time.Now().Add(d)
+	e.refusingUntil = time.Now().Add(d)
 }
 
-func (e *engine) refuses() bool {
+func (e *engine) refusing() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Now().Before(e.refusing)
+	return time.Now().Before(e.refusingUntil)
 }
 
-// loses reports whether orders get no answer now.
-func (e *engine) loses() bool {
+// delaysOrders reports whether orders get no answer now.
+func (e *engine) delaysOrders() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Now().Before(e.losing)
+	return time.Now().Before(e.ordersDelayedUntil)
 }
 
-// lose has orders get no answer for a time, and be carried out late.
-func (e *engine) lose(d time.Duration) {
+// delayOrders has orders get no answer for a time, and be carried out late.
+func (e *engine) delayOrders(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.losing = time.Now().Add(d)
+	e.ordersDelayedUntil = time.Now().Add(d)
 }
 
-// setQueue has each request wait for the time before it begins.
-func (e *engine) setQueue(d time.Duration) {
+// setQueueDelay has each request wait for the time before it begins.
+func (e *engine) setQueueDelay(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.queue = d
+	e.queueDelay = d
 }
 
-func (e *engine) queueing() time.Duration {
+func (e *engine) currentQueueDelay() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.queue
+	return e.queueDelay
 }
 
-// run names the run that lives here now, and its weights.
-func (e *engine) run() (id string, weights uint64) {
+// idAndWeights names the idAndWeights that lives here now, and its weights.
+func (e *engine) idAndWeights() (id string, weights uint64) {
 	e.mu.Lock()
 	current := e.current
 	e.mu.Unlock()
@@ -202,5 +202,5 @@
 	current := e.current
 	e.mu.Unlock()
 	current.End()
-	e.proxy.shut()
+	e.proxy.stopListening()
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -8,36 +8,36 @@
 )
 
 // inject does one fault, and sees to it that it ends.
-func (w *world) inject(a action) {
-	e, p, n := w.entries[a.Which%len(w.entries)], w.places[a.Which%len(w.places)], w.engines[a.Which%len(w.engines)]
+func (w *cluster) inject(a action) {
+	e, p, n := w.entries[a.Target%len(w.entries)], w.runnerSlots[a.Target%len(w.runnerSlots)], w.engines[a.Target%len(w.engines)]
 	switch a.Fault {
 	case faultPause, faultKill, faultStop, faultReload, faultBadReload:
 		w.injectEntry(a, e)
 	case faultStopAll, faultAgentsStop:
-		w.injectSeries(a)
-	case faultAgentPause, faultAgentKill, faultAgentStop, faultAgentMute:
+		w.injectRollingRestart(a)
+	case faultAgentPause, faultAgentKill, faultAgentStop, faultAgentStoreSilent:
 		w.injectAgent(a, n.agent)
-	case faultEngine, faultEngineLink, faultLoseOrders:
+	case faultEngineCrash, faultEngineReset, faultDelayOrders:
 		w.injectEngine(a, n)
 	case faultCrash, faultLeave:
 		w.injectRunner(a, p)
-	case faultDelay, faultReset, faultSilence, faultOneWay:
-		w.injectLink(a, p)
-	case faultStoreDown, faultStoreMute, faultForget:
+	case faultDelay, faultReset, faultSilence, faultDropResponses:
+		w.injectNetwork(a, p)
+	case faultStoreDown, faultStoreSilent, faultStoreForget:
 		w.injectStore(a, e)
 	case faultRemoveKey, faultNewVersion, faultWeights:
-		w.operate(a)
+		w.injectOperatorChange(a)
 	case faultRollout:
 		w.injectRollout(a)
-	case faultFatal, faultEvacuate, faultRestore, faultLimit, faultRest, faultLeaveUntold:
-		w.injectSeparate(a, p, n)
+	case faultFatal, faultEvacuate, faultRestore, faultRateLimit, faultRetryAfter, faultLeaveInResponses:
+		w.injectDedicated(a, p, n)
 	default:
-		w.injectAtEngine(a, n)
+		w.injectEngineOrStore(a, n)
 	}
 }
 
-// injectSeparate does one of the faults that are drawn by themselves.
-func (w *world) injectSeparate(a action, p *place, n *engine) {
+// injectDedicated does one of the faults that are drawn by themselves.
+func (w *cluster) injectDedicated(a action, p *runnerSlot, n *engine) {
 	switch a.Fault {
 	case faultFatal:
 		w.injectFatal(a)
@@ -46,30 +46,30 @@
 	case faultRestore:
 		w.injectRestore(a)
 	default:
-		w.injectPressure(a, p, n)
+		w.injectBackpressure(a, p, n)
 	}
 }
 
 const (
-	// agentsAway is how long agents stand still in a rollout: until their engines' old weights may be used no longer.
-	agentsAway = weightsWithin + time.Second
-	// queueFrom and queueFor are when in a rollout requests begin to wait at engines, and for how long.
-	queueFrom = 5 * time.Second
-	queueFor  = weightsWithin
+	// agentPauseDuration is how long agents stand still in a rollout: until their engines' old weights may be used no longer.
+	agentPauseDuration = weightsWithin + time.Second
+	// queueDelayAfter and queueFor are when in a rollout requests begin to wait at engines, and for how long.
+	queueDelayAfter    = 5 * time.Second
+	queueDelayDuration = weightsWithin
 )
 
 // injectRollout names weights which no agent has its engine load in time, while requests wait at the engines.
-func (w *world) injectRollout(a action) {
-	w.nameWeights()
+func (w *cluster) injectRollout(a action) {
+	w.publishWeights()
 	for _, n := range w.engines {
-		w.pause(action{For: agentsAway}, &n.agent.process)
-		w.later(queueFrom, func() { n.setQueue(a.For) })
-		w.later(queueFrom+queueFor, func() { n.setQueue(0) })
+		w.pause(action{Duration: agentPauseDuration}, &n.agent.process)
+		w.schedule(queueDelayAfter, func() { n.setQueueDelay(a.Duration) })
+		w.schedule(queueDelayAfter+queueDelayDuration, func() { n.setQueueDelay(0) })
 	}
 }
 
-// injectSeries stops all entries or all agents, one soon after another, and starts each again when it has ended.
-func (w *world) injectSeries(a action) {
+// injectRollingRestart stops all entries or all agents, one soon after another, and starts each again when it has ended.
+func (w *cluster) injectRollingRestart(a action) {
 	var all []*process
 	for _, e := range w.entries {
 		all = append(all, &e.process)
@@ -81,108 +81,110 @@
 		}
 	}
 	for i, p := range all {
-		w.later(time.Duration(i)*a.gap(), func() { w.restart(p, syscall.SIGTERM) })
+		w.schedule(time.Duration(i)*a.signalInterval(), func() { w.restart(p, syscall.SIGTERM) })
 	}
 }
 
-// operate changes what the operator writes.
-func (w *world) operate(a action) {
+// injectOperatorChange changes what the operator writes.
+func (w *cluster) injectOperatorChange(a action) {
 	switch a.Fault {
 	case faultRemoveKey:
-		w.removeKey(a.Which)
+		w.removeKey(a.Target)
 	case faultNewVersion:
-		w.configure()
+		w.publishConfig()
 	case faultWeights:
-		w.nameWeights()
+		w.publishWeights()
 	}
 }
 
-func (w *world) injectEntry(a action, e *entry) {
+func (w *cluster) injectEntry(a action, e *entry) {
 	switch a.Fault {
 	case faultPause:
 		w.pause(a, &e.process)
 	case faultKill:
-		w.later(0, func() { w.restart(&e.process, syscall.SIGKILL) })
+		w.schedule(0, func() { w.restart(&e.process, syscall.SIGKILL) })
 	case faultStop:
-		w.later(0, func() { w.restart(&e.process, syscall.SIGTERM) })
+		w.schedule(0, func() { w.restart(&e.process, syscall.SIGTERM) })
 	case faultReload:
-		w.later(0, func() { w.reload(e, e.settings.Text()) })
+		w.schedule(0, func() { w.reload(e, e.settings.Text()) })
 	case faultBadReload:
-		w.later(0, func() { w.reload(e, "= =") })
-		w.later(a.For, func() { w.reload(e, e.settings.Text()) })
+		w.schedule(0, func() { w.reload(e, "= =") })
+		w.schedule(a.Duration, func() { w.reload(e, e.settings.Text()) })
 	}
 }
 
-func (w *world) pause(a action, p *process) {
-	p.change(func(h *history) { h.Outages = append(h.Outages, span{From: time.Now(), To: time.Now().Add(a.For)}) })
+func (w *cluster) pause(a action, p *process) {
+	p.updateHistory(func(h *processHistory) {
+		h.Outages = append(h.Outages, interval{From: time.Now(), To: time.Now().Add(a.Duration)})
+	})
 	p.signal(syscall.SIGSTOP)
-	w.later(a.For, func() { p.signal(syscall.SIGCONT) })
+	w.schedule(a.Duration, func() { p.signal(syscall.SIGCONT) })
 }
 
-func (w *world) injectAgent(a action, g *agent) {
+func (w *cluster) injectAgent(a action, g *agent) {
 	switch a.Fault {
 	case faultAgentPause:
 		w.pause(a, &g.process)
 	case faultAgentKill:
-		w.later(0, func() { w.restart(&g.process, syscall.SIGKILL) })
+		w.schedule(0, func() { w.restart(&g.process, syscall.SIGKILL) })
 	case faultAgentStop:
-		w.later(0, func() { w.restart(&g.process, syscall.SIGTERM) })
-	case faultAgentMute:
-		w.mute(a, &g.process)
+		w.schedule(0, func() { w.restart(&g.process, syscall.SIGTERM) })
+	case faultAgentStoreSilent:
+		w.silenceStore(a, &g.process)
 	}
 }
 
-// mute has the store be silent for one process.
-func (w *world) mute(a action, p *process) {
-	p.store.set(func(x *proxy) { x.silent = true })
-	w.later(a.For, func() { p.store.set(func(x *proxy) { x.silent = false }) })
+// silenceStore has the store be silent for one process.
+func (w *cluster) silenceStore(a action, p *process) {
+	p.storeProxy.update(func(x *proxy) { x.silent = true })
+	w.schedule(a.Duration, func() { p.storeProxy.update(func(x *proxy) { x.silent = false }) })
 }
 
-func (w *world) injectEngine(a action, n *engine) {
+func (w *cluster) injectEngine(a action, n *engine) {
 	switch a.Fault {
-	case faultLoseOrders:
-		n.lose(a.For)
-		w.later(a.For, func() {})
-	case faultEngineLink:
-		w.harm(n.name(), 0)
+	case faultDelayOrders:
+		n.delayOrders(a.Duration)
+		w.schedule(a.Duration, func() {})
+	case faultEngineReset:
+		w.recordRunnerFault(n.name(), 0)
 		n.proxy.reset()
-		w.later(0, func() {})
-	case faultEngine:
-		n.replacing.Lock()
+		w.schedule(0, func() {})
+	case faultEngineCrash:
+		n.replaceMu.Lock()
 		w.replaceEngine(n)
 	}
 }
 
 // replaceEngine ends an engine's run and starts another under a new id; n.replacing is held, and given back once that is done.
-func (w *world) replaceEngine(n *engine) bool {
-	old, weights := n.run()
-	w.harm(n.name(), 0)
+func (w *cluster) replaceEngine(n *engine) bool {
+	old, weights := n.idAndWeights()
+	w.recordRunnerFault(n.name(), 0)
 	n.crash()
-	w.later(restartAfter, func() {
-		defer n.replacing.Unlock()
+	w.schedule(restartDelay, func() {
+		defer n.replaceMu.Unlock()
 		n.start(weights)
-		w.listEngine(n)
+		w.registerEngine(n)
 		w.store.Remove("servers", old)
 	})
 	return true
 }
 
-// nameWeights names the next version of the weights.
-func (w *world) nameWeights() {
+// publishWeights names the next version of the weights.
+func (w *cluster) publishWeights() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.weights++
-	w.store.Put("versions", site.Model, site.WeightsOf(w.weights))
-	w.named[w.weights] = time.Now()
+	w.weightsVersion++
+	w.store.Put("versions", site.Model, site.WeightsOf(w.weightsVersion))
+	w.weightsPublished[w.weightsVersion] = time.Now()
 }
 
-func (w *world) restart(p *process, sig syscall.Signal) {
-	p.restarts.Lock()
-	defer p.restarts.Unlock()
-	p.end(sig)
-	time.Sleep(restartAfter)
-	p.files.Lock()
-	defer p.files.Unlock()
+func (w *cluster) restart(p *process, sig syscall.Signal) {
+	p.restartMu.Lock()
+	defer p.restartMu.Unlock()
+	p.terminate(sig)
+	time.Sleep(restartDelay)
+	p.settingsMu.Lock()
+	defer p.settingsMu.Unlock()
 	begun := time.Now()
 	if err := p.write(p.settings.Text()); err != nil {
 		w.report("settings not written: %v", err)
@@ -190,20 +192,20 @@
 	if err := p.start(); err != nil {
 		w.report("%s not started: %v", p.settings.Name, err)
 	}
-	if took := time.Since(begun); took > slowStart {
+	if took := time.Since(begun); took > slowStartThreshold {
 		w.report("the machine took %s to start %s", took, p.settings.Name)
 	}
 }
 
-// slowStart is how long writing the settings and starting a process may take before it is reported, for whoever traces a
+// slowStartThreshold is how long writing the settings and starting a process may take before it is reported, for whoever traces a
 // promise that is bound in time.
-const slowStart = time.Second
+const slowStartThreshold = time.Second
 
 // reload changes the settings of an entry that runs, since one that starts with broken ones rightly ends.
-func (w *world) reload(e *entry, text string) {
-	e.files.Lock()
-	defer e.files.Unlock()
-	if h := e.past(); text != e.settings.Text() && h.Lives[len(h.Lives)-1].Ready.IsZero() {
+func (w *cluster) reload(e *entry, text string) {
+	e.settingsMu.Lock()
+	defer e.settingsMu.Unlock()
+	if h := e.historySnapshot(); text != e.settings.Text() && h.Lifetimes[len(h.Lifetimes)-1].Ready.IsZero() {
 		return
 	}
 	if err := e.write(text); err != nil {
@@ -212,52 +214,52 @@
 	e.signal(syscall.SIGHUP)
 }
 
-func (w *world) injectRunner(a action, p *place) {
-	p.replacing.Lock()
+func (w *cluster) injectRunner(a action, p *runnerSlot) {
+	p.replaceMu.Lock()
 	if a.Fault == faultCrash {
-		w.replacePlace(p)
+		w.replaceRunner(p)
 		return
 	}
 	old := p.id()
-	w.list(p, old, "draining")
+	w.register(p, old, "draining")
 	w.mu.Lock()
-	w.left[old] = time.Now()
+	w.leavingSince[old] = time.Now()
 	w.mu.Unlock()
-	w.later(gracePause, func() {
-		defer p.replacing.Unlock()
-		w.harm(p.name(), 0)
+	w.schedule(leaveDuration, func() {
+		defer p.replaceMu.Unlock()
+		w.recordRunnerFault(p.name(), 0)
 		p.crash()
 		w.store.Remove("servers", old)
-		w.list(p, p.start(), "ready")
+		w.register(p, p.start(), "ready")
 	})
 }
 
-// replacePlace ends a runner and starts another under a new id; p.replacing is held, and given back once that is done.
-func (w *world) replacePlace(p *place) bool {
+// replaceRunner ends a runner and starts another under a new id; p.replacing is held, and given back once that is done.
+func (w *cluster) replaceRunner(p *runnerSlot) bool {
 	old := p.id()
-	w.harm(p.name(), 0)
+	w.recordRunnerFault(p.name(), 0)
 	p.crash()
-	w.later(restartAfter, func() {
-		defer p.replacing.Unlock()
-		w.list(p, p.start(), "ready")
+	w.schedule(restartDelay, func() {
+		defer p.replaceMu.Unlock()
+		w.register(p, p.start(), "ready")
 		w.store.Remove("servers", old)
 	})
 	return true
 }
 
-func (w *world) removeKey(which int) {
+func (w *cluster) removeKey(which int) {
 	key := w.keys()[1+which%keyCount]
 	w.mu.Lock()
-	_, gone := w.removed[key]
+	_, gone := w.keysRemoved[key]
 	if !gone {
-		w.removed[key] = time.Now()
+		w.keysRemoved[key] = time.Now()
 	}
 	w.mu.Unlock()
 	if gone {
 		return
 	}
-	w.configure()
+	w.publishConfig()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.removed[key] = time.Now()
+	w.keysRemoved[key] = time.Now()
 }
--- a/soak/main.go
+++ b/soak/main.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	defaultLength  = 20 * time.Second
-	defaultEntries = 3
-	defaultRunners = 4
-	defaultCallers = 48
-	// mostShown is how many broken promises are printed.
-	mostShown = 20
+	defaultDuration = 20 * time.Second
+	defaultEntries  = 3
+	defaultRunners  = 4
+	defaultCallers  = 48
+	// maxPrinted is how many broken promises are printed.
+	maxPrinted = 20
 )
 
 func main() {
@@ -27,7 +27,7 @@
 		Usage: "run real entries under faults, and check what callers and runners see",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "what the schedule of faults follows from"},
-			&cli.DurationFlag{Name: "for", Value: defaultLength, Usage: "how long faults and callers go on"},
+			&cli.DurationFlag{Name: "for", Value: defaultDuration, Usage: "how long faults and callers go on"},
 			&cli.IntFlag{Name: "entries", Value: defaultEntries, Usage: "how many entries"},
 			&cli.IntFlag{Name: "runners", Value: defaultRunners, Usage: "how many runners, and as many engines with an agent each (at most 250)"},
 			&cli.IntFlag{Name: "callers", Value: defaultCallers, Usage: "how many callers"},
@@ -59,16 +59,16 @@
 			return errors.Wrapf(err, "build: %s", out)
 		}
 	}
-	n := size{Entries: c.Int("entries"), Runners: c.Int("runners"), Callers: c.Int("callers")}
-	actions := drawActions(c, c.Uint64("seed"), c.Duration("for"))
-	broken, err := playSeed(binary, dir, c.Uint64("seed"), actions, c.Duration("for"), n, printf)
+	n := clusterSize{Entries: c.Int("entries"), Runners: c.Int("runners"), Callers: c.Int("callers")}
+	actions := buildSchedule(c, c.Uint64("seed"), c.Duration("for"))
+	broken, err := runSeed(binary, dir, c.Uint64("seed"), actions, c.Duration("for"), n, printf)
 	if err != nil {
 		return err
 	}
 	if len(broken) == 0 {
 		return errors.Wrap(os.RemoveAll(dir), "remove folder")
 	}
-	for _, one := range broken[:min(len(broken), mostShown)] {
+	for _, one := range broken[:min(len(broken), maxPrinted)] {
 		printf("BROKEN: %s", one)
 	}
 	if keep := c.String("keep"); keep != "" {
@@ -79,36 +79,36 @@
 	return errors.Newf("seed %d: %d promises broken; logs in %s", c.Uint64("seed"), len(broken), dir)
 }
 
-// drawActions draws the faults that the flags ask for.
-func drawActions(c *cli.Command, seed uint64, length time.Duration) []action {
-	actions := inOrder(append(schedule(seed, length), engineSchedule(seed, length, engineFaults)...))
-	for flag, from := range map[string][]fault{"fatal": fatalFaults, "evacuate": evacuationFaults, "backpressure": pressureFaults, "restore": restoreFaults} {
+// buildSchedule draws the faults that the flags ask for.
+func buildSchedule(c *cli.Command, seed uint64, length time.Duration) []action {
+	actions := sortByTime(append(schedule(seed, length), engineSchedule(seed, length, engineFaults)...))
+	for flag, from := range map[string][]fault{"fatal": fatalFaults, "evacuate": evacuationFaults, "backpressure": backpressureFaults, "restore": restoreFaults} {
 		if c.Bool(flag) {
 			actions = engineSchedule(seed, length, from)
 		}
 	}
 	if c.Bool("rollout") {
-		actions = inOrder(append(actions, rollout(seed)))
+		actions = sortByTime(append(actions, drawRollout(seed)))
 	}
 	return actions
 }
 
 func printf(format string, args ...any) { _, _ = fmt.Printf(format+"\n", args...) }
 
-// playSeed plays one schedule and returns the promises that were broken.
-func playSeed(binary, dir string, seed uint64, actions []action, length time.Duration, n size, report func(string, ...any)) ([]string, error) {
-	w, err := newWorld(binary, dir, n, report)
+// runSeed plays one schedule and returns the promises that were broken.
+func runSeed(binary, dir string, seed uint64, actions []action, length time.Duration, n clusterSize, report func(string, ...any)) ([]string, error) {
+	w, err := newCluster(binary, dir, n, report)
 	if err != nil {
 		return nil, err
 	}
 	defer w.close()
-	r := w.play(actions, length)
+	r := w.run(actions, length)
 	served := 0
 	for i := range r.Calls {
-		if r.Calls[i].Status == 200 && !r.Calls[i].Cut {
+		if r.Calls[i].Status == 200 && !r.Calls[i].Truncated {
 			served++
 		}
 	}
-	report("seed %d: %d requests, %d served, %d runs", seed, len(r.Calls), served, len(r.Runs))
-	return judge(r, true), nil
+	report("seed %d: %d requests, %d served, %d runs", seed, len(r.Calls), served, len(r.Executions))
+	return checkGuarantees(r, true), nil
 }
--- a/soak/network_faults.go
+++ b/soak/network_faults.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// injectLink harms the connections to a runner.
-func (w *world) injectLink(a action, p *place) {
-	w.harm(p.name(), a.For)
+// injectNetwork harms the connections to a runner.
+func (w *cluster) injectNetwork(a action, p *runnerSlot) {
+	w.recordRunnerFault(p.name(), a.Duration)
 	if a.Fault == faultReset {
-		w.harm(p.name(), 0)
+		w.recordRunnerFault(p.name(), 0)
 		p.proxy.reset()
-		w.later(0, func() {})
+		w.schedule(0, func() {})
 		return
 	}
-	w.disturbAll(a.For) // a runner that is out of reach makes no entry late by its own fault
+	w.recordDisturbanceForAll(a.Duration) // a runner that is out of reach makes no entry late by its own fault
 	set := func(on bool) func(x *proxy) {
 		return func(x *proxy) {
 			switch a.Fault {
 			case faultDelay:
 				x.delay = 0
 				if on {
-					x.delay = a.For / 20
+					x.delay = a.Duration / 20
 				}
 			case faultSilence:
 				x.silent = on
-			case faultOneWay:
-				x.oneWay = on
+			case faultDropResponses:
+				x.dropsResponses = on
 			}
 		}
 	}
-	p.proxy.set(set(true))
-	w.later(a.For, func() { p.proxy.set(set(false)) })
+	p.proxy.update(set(true))
+	w.schedule(a.Duration, func() { p.proxy.update(set(false)) })
 }
 
 // injectStore has the object store refuse, forget its history, or be silent for one entry.
-func (w *world) injectStore(a action, e *entry) {
+func (w *cluster) injectStore(a action, e *entry) {
 	switch a.Fault {
-	case faultForget:
+	case faultStoreForget:
 		w.store.Forget()
 	case faultStoreDown:
-		w.disturbAll(a.For)
+		w.recordDisturbanceForAll(a.Duration)
 		for _, one := range w.entries {
-			w.cutOff(one, a.For)
+			w.recordStoreOutage(one, a.Duration)
 		}
 		w.store.Fail(http.StatusServiceUnavailable)
-		w.later(a.For, func() { w.store.Fail(0) })
-	case faultStoreMute:
-		w.disturb(e, a.For)
-		w.cutOff(e, a.For)
-		w.mute(a, &e.process)
+		w.schedule(a.Duration, func() { w.store.Fail(0) })
+	case faultStoreSilent:
+		w.recordDisturbance(e, a.Duration)
+		w.recordStoreOutage(e, a.Duration)
+		w.silenceStore(a, &e.process)
 	}
 }
 
-// disturbAll notes that every entry is under a fault for a time.
-func (w *world) disturbAll(d time.Duration) {
+// recordDisturbanceForAll notes that every entry is under a fault for a time.
+func (w *cluster) recordDisturbanceForAll(d time.Duration) {
 	for _, e := range w.entries {
-		w.disturb(e, d)
+		w.recordDisturbance(e, d)
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -17,44 +17,44 @@
 
 // process is one of the system's processes, which is started again whenever it ends.
 type process struct {
-	role     string
-	binary   string
-	dir      string
-	metrics  string
-	settings site.Settings
-	// store is the way to the object store.
-	store *proxy
+	role           string
+	binary         string
+	dir            string
+	metricsAddress string
+	settings       site.Settings
+	// storeProxy is the way to the object storeProxy.
+	storeProxy *proxy
 
-	// restarts keeps two ends of the process from overlapping.
-	restarts sync.Mutex
-	// files keeps the settings from being changed while the process is started with them.
-	files sync.Mutex
+	// restartMu keeps two ends of the process from overlapping.
+	restartMu sync.Mutex
+	// settingsMu keeps the settings from being changed while the process is started with them.
+	settingsMu sync.Mutex
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	ended   chan struct{}
-	history history
+	exited  chan struct{}
+	history processHistory
 }
 
 // entry is a process before the runners.
 type entry struct {
 	process
-	number  int
-	callers string
-	ready   string
+	number           int
+	callerAddress    string
+	readinessAddress string
 }
 
 // agent is a process beside an engine.
 type agent struct{ process }
 
-// prepare gives the process its way to the store, and writes its settings.
-func (p *process) prepare(store netip.AddrPort) error {
+// configure gives the process its way to the store, and writes its settings.
+func (p *process) configure(store netip.AddrPort) error {
 	var err error
-	if p.store, err = newProxy(loopback, store); err != nil {
+	if p.storeProxy, err = newProxy(loopback, store); err != nil {
 		return err
 	}
-	p.settings.Store = p.store.address()
-	if p.metrics, err = freeAddress(); err != nil {
+	p.settings.Store = p.storeProxy.address()
+	if p.metricsAddress, err = freeAddress(); err != nil {
 		return err
 	}
 	return p.write(p.settings.Text())
@@ -63,21 +63,21 @@
 func newEntry(number int, binary, dir string, store netip.AddrPort, peerPort uint16) (*entry, error) {
 	e := &entry{number: number, process: process{role: "entry", binary: binary, dir: dir}}
 	var err error
-	for _, address := range []*string{&e.callers, &e.ready} {
+	for _, address := range []*string{&e.callerAddress, &e.readinessAddress} {
 		if *address, err = freeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	e.settings = site.Settings{
-		Name: "entry-" + strconv.Itoa(number), Host: loopback, PeerPort: peerPort, Callers: e.callers, Readiness: e.ready,
+		Name: "entry-" + strconv.Itoa(number), Host: loopback, PeerPort: peerPort, Callers: e.callerAddress, Readiness: e.readinessAddress,
 	}
-	return e, e.prepare(store)
+	return e, e.configure(store)
 }
 
 func newAgent(number int, binary, dir string, store, engine netip.AddrPort, peerPort uint16) (*agent, error) {
 	a := &agent{process{role: "agent", binary: binary, dir: dir}}
 	a.settings = site.Settings{Name: "agent-" + strconv.Itoa(number), Host: engine.Addr(), PeerPort: peerPort, Runner: engine}
-	return a, a.prepare(store)
+	return a, a.configure(store)
 }
 
 func (p *process) path() string { return filepath.Join(p.dir, p.settings.Name+".toml") }
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	_, port, err := net.SplitHostPort(p.metrics)
+	_, port, err := net.SplitHostPort(p.metricsAddress)
 	if err != nil {
 		return err
 	}
@@ -113,14 +113,14 @@
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	p.ended = make(chan struct{})
-	p.history.Lives = append(p.history.Lives, life{Started: time.Now()})
+	p.exited = make(chan struct{})
+	p.history.Lifetimes = append(p.history.Lifetimes, processLifetime{Started: time.Now()})
 	go func(cmd *exec.Cmd, ended chan struct{}, current int) {
 		_ = cmd.Wait()
 		_ = log.Close()
-		p.change(func(h *history) { h.Lives[current].Ended = time.Now() })
+		p.updateHistory(func(h *processHistory) { h.Lifetimes[current].Ended = time.Now() })
 		close(ended)
-	}(p.cmd, p.ended, len(p.history.Lives)-1)
+	}(p.cmd, p.exited, len(p.history.Lifetimes)-1)
 	return nil
 }
 
@@ -130,17 +130,17 @@
 	_ = p.cmd.Process.Signal(s) // a process that has ended takes no signal, and is started again by whoever ended it
 }
 
-// end ends the process by a signal and waits until it has, at the longest for its grace.
-func (p *process) end(s syscall.Signal) {
+// terminate ends the process by a signal and waits until it has, at the longest for its grace.
+func (p *process) terminate(s syscall.Signal) {
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
-	p.change(func(h *history) { h.end(s, time.Now()) })
+	p.updateHistory(func(h *processHistory) { h.recordSignal(s, time.Now()) })
 	p.signal(syscall.SIGCONT)
 	p.signal(s)
 	select {
 	case <-ended:
-	case <-time.After(endWithin):
+	case <-time.After(killAfter):
 		p.signal(syscall.SIGKILL)
 		<-ended
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -13,18 +13,18 @@
 
 // proxy stands between two processes on loopback and spoils what passes.
 type proxy struct {
-	at netip.AddrPort
+	listenAddress netip.AddrPort
 
 	mu       sync.Mutex
 	listener net.Listener
-	// shuts says that nobody listens.
-	shuts   bool
-	to      netip.AddrPort
-	conns   map[net.Conn]bool
-	delay   time.Duration
-	silent  bool
-	oneWay  bool
-	changed chan struct{}
+	// closed says that nobody listens.
+	closed         bool
+	target         netip.AddrPort
+	conns          map[net.Conn]bool
+	delay          time.Duration
+	silent         bool
+	dropsResponses bool
+	updated        chan struct{}
 }
 
 func newProxy(host netip.Addr, to netip.AddrPort) (*proxy, error) {
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	at := netip.MustParseAddrPort(l.Addr().String())
-	p := &proxy{at: at, listener: l, to: to, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
+	p := &proxy{listenAddress: at, listener: l, target: to, conns: map[net.Conn]bool{}, updated: make(chan struct{})}
 	go p.accept(l)
 	return p, nil
 }
@@ -47,36 +47,36 @@
 	return l, errors.Wrap(err, "listen on loopback")
 }
 
-func (p *proxy) address() netip.AddrPort { return p.at }
+func (p *proxy) address() netip.AddrPort { return p.listenAddress }
 
-// shut has new connections refused and breaks all others, as where the process behind it has ended.
-func (p *proxy) shut() {
-	p.set(func(p *proxy) {
+// stopListening has new connections refused and breaks all others, as where the process behind it has ended.
+func (p *proxy) stopListening() {
+	p.update(func(p *proxy) {
 		_ = p.listener.Close()
-		p.shuts = true
+		p.closed = true
 	})
 	p.reset()
 }
 
-// open takes connections for a process that has started.
-func (p *proxy) open(to netip.AddrPort) error {
-	p.set(func(p *proxy) { p.to = to })
-	if !p.isShut() {
+// listenFor takes connections for a process that has started.
+func (p *proxy) listenFor(to netip.AddrPort) error {
+	p.update(func(p *proxy) { p.target = to })
+	if !p.isClosed() {
 		return nil
 	}
-	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", p.at.String())
+	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", p.listenAddress.String())
 	if err != nil {
 		return errors.Wrap(err, "listen again")
 	}
-	p.set(func(p *proxy) { p.listener, p.shuts = l, false })
+	p.update(func(p *proxy) { p.listener, p.closed = l, false })
 	go p.accept(l)
 	return nil
 }
 
-func (p *proxy) isShut() bool {
+func (p *proxy) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.shuts
+	return p.closed
 }
 
 func (p *proxy) accept(l net.Listener) {
@@ -85,14 +85,14 @@
 		if err != nil {
 			return
 		}
-		go p.join(c)
+		go p.relay(c)
 	}
 }
 
-func (p *proxy) join(near net.Conn) {
+func (p *proxy) relay(near net.Conn) {
 	defer p.close(near)
 	p.mu.Lock()
-	to := p.to
+	to := p.target
 	p.mu.Unlock()
 	if !to.IsValid() {
 		_ = near.(*net.TCPConn).SetLinger(0)
@@ -118,7 +118,7 @@
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		p.hold(answers)
+		p.waitUntilOpen(answers)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
@@ -136,11 +136,11 @@
 	}
 }
 
-// hold waits while nothing may pass.
-func (p *proxy) hold(answers bool) {
+// waitUntilOpen waits while nothing may pass.
+func (p *proxy) waitUntilOpen(answers bool) {
 	for {
 		p.mu.Lock()
-		held, delay, changed := p.silent || p.oneWay && answers, p.delay, p.changed
+		held, delay, changed := p.silent || p.dropsResponses && answers, p.delay, p.updated
 		p.mu.Unlock()
 		if !held {
 			time.Sleep(delay)
@@ -150,13 +150,13 @@
 	}
 }
 
-// set changes the faults.
-func (p *proxy) set(change func(p *proxy)) {
+// update changes the faults.
+func (p *proxy) update(change func(p *proxy)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(p)
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(p.updated)
+	p.updated = make(chan struct{})
 }
 
 // reset breaks every connection.
--- a/soak/runner.go
+++ b/soak/runner.go
@@ -12,93 +12,95 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// ledger is what all runners have run.
-type ledger struct {
-	mu     sync.Mutex
-	runs   []run
-	orders []given
+// eventLog is what all runners have run.
+type eventLog struct {
+	mu         sync.Mutex
+	executions []execution
+	orders     []receivedOrder
 	// arrivals are what runners that ask for less get, and others.
 	arrivals []arrival
 }
 
-// begin notes that a run has begun, and returns where the rest of it is noted.
-func (l *ledger) begin(r run) *openRun {
+// beginExecution notes that a run has begun, and returns where the rest of it is noted.
+func (l *eventLog) beginExecution(r execution) *openExecution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs = append(l.runs, r)
-	return &openRun{ledger: l, number: len(l.runs) - 1}
+	l.executions = append(l.executions, r)
+	return &openExecution{log: l, index: len(l.executions) - 1}
 }
 
-// openRun is a run that has begun, of which the rest is noted later.
-type openRun struct {
-	ledger *ledger
-	number int
+// openExecution is a run that has begun, of which the rest is noted later.
+type openExecution struct {
+	log   *eventLog
+	index int
 }
 
-func (o *openRun) change(do func(r *run)) {
-	o.ledger.mu.Lock()
-	defer o.ledger.mu.Unlock()
-	do(&o.ledger.runs[o.number])
+func (o *openExecution) update(do func(r *execution)) {
+	o.log.mu.Lock()
+	defer o.log.mu.Unlock()
+	do(&o.log.executions[o.index])
 }
 
-// first notes the first event, end the end of the run, and whether its answer was whole then.
-func (o *openRun) first() { o.change(func(r *run) { r.First = time.Now() }) }
+// recordFirstEvent notes the recordFirstEvent event, end the end of the run, and whether its answer was whole then.
+func (o *openExecution) recordFirstEvent() {
+	o.update(func(r *execution) { r.FirstEventAt = time.Now() })
+}
 
-func (o *openRun) end(whole bool) {
-	o.change(func(r *run) { r.Until, r.Whole = time.Now(), whole })
+func (o *openExecution) end(whole bool) {
+	o.update(func(r *execution) { r.EndedAt, r.Complete = time.Now(), whole })
 }
 
-func (l *ledger) order(o given) {
+func (l *eventLog) recordOrder(o receivedOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.orders = append(l.orders, o)
 }
 
-// place is where a runner lives: one run after another, behind one proxy.
-type place struct {
+// runnerSlot is where a runner lives: one run after another, behind one proxy.
+type runnerSlot struct {
 	proxy  *proxy
-	ledger *ledger
+	events *eventLog
 	number int
-	// pressure is what the runner asks for in its answers.
-	pressure pressure
-	// fatal ends the run and starts another soon, unless that is being done; it reports whether it ended it.
-	fatal func() bool
+	// backpressure is what the runner asks for in its answers.
+	backpressure backpressureControl
+	// crashAndReplace ends the run and starts another soon, unless that is being done; it reports whether it ended it.
+	crashAndReplace func() bool
 
-	// replacing is held while the place's run is being replaced.
-	replacing sync.Mutex
+	// replaceMu is held while the place's run is being replaced.
+	replaceMu sync.Mutex
 
 	mu     sync.Mutex
-	runs   int
+	starts int
 	runner *site.Runner
 }
 
 // id names the run that lives here now.
-func (p *place) id() string {
+func (p *runnerSlot) id() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runner.ID
 }
 
 // name names the place, in whatever runs there.
-func (p *place) name() string { return fmt.Sprintf("i-%d", p.number) }
+func (p *runnerSlot) name() string { return fmt.Sprintf("i-%d", p.number) }
 
 const (
 	workTime = 15 * time.Millisecond
 	// shortStream, middleStream and longStream bound how long streams last; a stream of the last tenths outlasts the time that
 	// the balancer takes to notice a stop.
 	shortStream  = 200 * time.Millisecond
-	middleStream = 3200 * time.Millisecond
+	mediumStream = 3200 * time.Millisecond
 	longStream   = 5500 * time.Millisecond
-	// shortTenths and middleTenths are the shares of streams that last up to the first two.
-	shortTenths  = 7
-	middleTenths = 1
+	// shortStreamTenths and middleTenths are the shares of streams that last up to the first two.
+	shortStreamTenths  = 7
+	mediumStreamTenths = 1
 	// shortChat and longChat bound the streams that last long enough for loads to meet them.
 	shortChat = time.Second
 	longChat  = 3 * time.Second
 )
 
-// lasts is how long the stream of a request lasts, which follows from its id.
-func lasts(k kind, id string) time.Duration {
+// streamDuration is how long the stream of a request streamDuration, which follows from its id.
+func streamDuration(k kind, id string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
 	sum := hash.Sum64()
@@ -106,66 +108,66 @@
 	switch tenth := sum % 10; {
 	case k == kindChat:
 		return within(shortChat, longChat)
-	case tenth < shortTenths:
+	case tenth < shortStreamTenths:
 		return shortStream
-	case tenth < shortTenths+middleTenths:
-		return within(shortStream, middleStream)
+	case tenth < shortStreamTenths+mediumStreamTenths:
+		return within(shortStream, mediumStream)
 	default:
-		return within(middleStream, longStream)
+		return within(mediumStream, longStream)
 	}
 }
 
 // start begins a new run, and returns its name.
-func (p *place) start() string {
+func (p *runnerSlot) start() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.runs++
-	id := fmt.Sprintf("%s-%d", p.name(), p.runs)
+	p.starts++
+	id := fmt.Sprintf("%s-%d", p.name(), p.starts)
 	p.runner = &site.Runner{ID: id}
 	p.runner.Handle = func(w http.ResponseWriter, r *http.Request) { p.handle(id, w, r) }
 	p.runner.Start()
-	if err := p.proxy.open(p.runner.Address()); err != nil {
+	if err := p.proxy.listenFor(p.runner.Address()); err != nil {
 		panic(err) // nothing else takes the runner's address
 	}
 	return id
 }
 
 // crash ends the run and every connection of it.
-func (p *place) crash() {
+func (p *runnerSlot) crash() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.runner.End()
-	p.proxy.shut()
+	p.proxy.stopListening()
 }
 
-func (p *place) handle(id string, w http.ResponseWriter, r *http.Request) {
-	one := run{ID: site.RequestID(r), Runner: id, Zone: zoneOf(p.number), At: time.Now(), Fatal: fatalOf(r)}
+func (p *runnerSlot) handle(id string, w http.ResponseWriter, r *http.Request) {
+	one := execution{ID: site.RequestID(r), Runner: id, Zone: zoneOf(p.number), StartedAt: time.Now(), Fatal: fatalName(r)}
 	if one.Fatal != "" {
-		p.ledger.endUnder(one, p.fatal)
+		p.events.crashRunner(one, p.crashAndReplace)
 	}
-	if p.pressure.take(p.ledger, id, w, r) {
+	if p.backpressure.handle(p.events, id, w, r) {
 		return
 	}
-	if k := kindOf(r); k.streams() {
-		streamPieces(w, r, p.ledger.begin(one), lasts(k, one.ID)/pieces)
+	if k := requestKind(r); k.streams() {
+		streamPieces(w, r, p.events.beginExecution(one), streamDuration(k, one.ID)/streamEvents)
 		return
 	}
-	open := p.ledger.begin(one)
-	wanted := wait(r, workTime)
+	open := p.events.beginExecution(one)
+	wanted := waitOrCanceled(r, workTime)
 	if wanted {
 		site.Answer(w, r, expected(one.ID, kindOnce))
 	}
 	open.end(wanted)
 }
 
-// kindOf is the kind of a request, which its path begins with.
-func kindOf(r *http.Request) kind {
+// requestKind is the kind of a request, which its path begins with.
+func requestKind(r *http.Request) kind {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return kind(first)
 }
 
-// wait takes the time of some work; it reports whether the request is still wanted.
-func wait(r *http.Request, d time.Duration) bool {
+// waitOrCanceled takes the time of some work; it reports whether the request is still wanted.
+func waitOrCanceled(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -175,10 +177,10 @@
 }
 
 // streamPieces runs a request that is answered by events, one after each pause.
-func streamPieces(w http.ResponseWriter, r *http.Request, open *openRun, pause time.Duration) {
+func streamPieces(w http.ResponseWriter, r *http.Request, open *openExecution, pause time.Duration) {
 	whole := false
 	defer func() { open.end(whole) }()
-	if !wait(r, workTime) {
+	if !waitOrCanceled(r, workTime) {
 		return
 	}
 	site.Seal(w, r)
@@ -187,10 +189,10 @@
 	if err != nil {
 		from = 0
 	}
-	open.first()
-	for i := from + 1; i <= pieces; i++ {
+	open.recordFirstEvent()
+	for i := from + 1; i <= streamEvents; i++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s %d\n\n", i, site.RequestID(r), i)
-		if http.NewResponseController(w).Flush() != nil || !wait(r, pause) {
+		if http.NewResponseController(w).Flush() != nil || !waitOrCanceled(r, pause) {
 			return
 		}
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -17,54 +17,54 @@
 )
 
 const (
-	host    = "shop.example"
-	keptKey = "key-that-stays"
-	// restartAfter is how long after its end a process or runner is started again.
-	restartAfter = 300 * time.Millisecond
-	// gracePause is how long a leaving runner goes on.
-	gracePause = 3 * time.Second
-	keyCount   = 6
+	host         = "shop.example"
+	permanentKey = "key-that-stays"
+	// restartDelay is how long after its end a process or runner is started again.
+	restartDelay = 300 * time.Millisecond
+	// leaveDuration is how long a leaving runner goes on.
+	leaveDuration = 3 * time.Second
+	keyCount      = 6
 )
 
-// world is a site: a store, runners behind proxies, entries as processes, callers.
-type world struct {
-	store    *site.Store
-	server   *httptest.Server
-	places   []*place
-	entries  []*entry
-	engines  []*engine
-	balancer *balancer
-	callers  *callers
-	ledger   ledger
-	report   func(format string, args ...any)
+// cluster is a site: a store, runners behind proxies, entries as processes, callers.
+type cluster struct {
+	store       *site.Store
+	server      *httptest.Server
+	runnerSlots []*runnerSlot
+	entries     []*entry
+	engines     []*engine
+	balancer    *balancer
+	callers     *callers
+	events      eventLog
+	report      func(format string, args ...any)
 
-	// restoring is held while the store comes back from a copy, until what that has lost is written again.
-	restoring sync.Mutex
+	// restoreMu is held while the store comes back from a copy, until what that has lost is written again.
+	restoreMu sync.Mutex
 	prober    prober
 
-	mu      sync.Mutex
-	version int
-	// versionAt is when the version was acknowledged.
-	versionAt time.Time
-	weights   uint64
-	named     map[uint64]time.Time
-	removed   map[string]time.Time
-	left      map[string]time.Time
-	disturbed map[int][]span
-	cutOffs   map[int][]span
-	harmed    map[string][]span
-	evacuated []span
-	last      time.Time
-	work      sync.WaitGroup
+	mu            sync.Mutex
+	configVersion int
+	// versionAckedAt is when the version was acknowledged.
+	versionAckedAt   time.Time
+	weightsVersion   uint64
+	weightsPublished map[uint64]time.Time
+	keysRemoved      map[string]time.Time
+	leavingSince     map[string]time.Time
+	disturbances     map[int][]interval
+	storeOutages     map[int][]interval
+	runnerFaults     map[string][]interval
+	evacuations      []interval
+	lastFaultEnd     time.Time
+	scheduled        sync.WaitGroup
 }
 
-// size is how much a world has of everything.
-type size struct{ Entries, Runners, Callers int }
+// clusterSize is how much a world has of everything.
+type clusterSize struct{ Entries, Runners, Callers int }
 
-func newWorld(binary, dir string, n size, report func(string, ...any)) (*world, error) {
-	w := &world{
-		store: site.NewStore(), report: report, removed: map[string]time.Time{}, left: map[string]time.Time{}, disturbed: map[int][]span{},
-		cutOffs: map[int][]span{}, named: map[uint64]time.Time{}, harmed: map[string][]span{},
+func newCluster(binary, dir string, n clusterSize, report func(string, ...any)) (*cluster, error) {
+	w := &cluster{
+		store: site.NewStore(), report: report, keysRemoved: map[string]time.Time{}, leavingSince: map[string]time.Time{}, disturbances: map[int][]interval{},
+		storeOutages: map[int][]interval{}, weightsPublished: map[uint64]time.Time{}, runnerFaults: map[string][]interval{},
 	}
 	w.server = httptest.NewServer(w.store)
 	for i := range n.Runners {
@@ -72,13 +72,13 @@
 		if err != nil {
 			return nil, err
 		}
-		one := &place{proxy: p, ledger: &w.ledger, number: i}
-		one.fatal = func() bool { return one.replacing.TryLock() && w.replacePlace(one) }
-		w.places = append(w.places, one)
-		w.list(one, one.start(), "ready")
+		one := &runnerSlot{proxy: p, events: &w.events, number: i}
+		one.crashAndReplace = func() bool { return one.replaceMu.TryLock() && w.replaceRunner(one) }
+		w.runnerSlots = append(w.runnerSlots, one)
+		w.register(one, one.start(), "ready")
 	}
-	w.configure()
-	w.nameWeights()
+	w.publishConfig()
+	w.publishWeights()
 	store := netip.MustParseAddrPort(strings.TrimPrefix(w.server.URL, "http://"))
 	peers, err := freeAddress()
 	if err != nil {
@@ -101,20 +101,20 @@
 		w.entries = append(w.entries, e)
 	}
 	w.balancer = newBalancer(w.entries)
-	w.callers = &callers{balancer: w.balancer, host: host, keys: w.keys(), count: n.Callers}
+	w.callers = &callers{balancer: w.balancer, host: host, keys: w.keys(), callerCount: n.Callers}
 	return w, w.awaitReady()
 }
 
 // addEngine starts an engine and the agent beside it.
-func (w *world) addEngine(number int, binary, dir string, store netip.AddrPort, peerPort uint16) error {
+func (w *cluster) addEngine(number int, binary, dir string, store netip.AddrPort, peerPort uint16) error {
 	p, err := newProxy(engineHost(number), netip.AddrPort{})
 	if err != nil {
 		return err
 	}
-	n := &engine{proxy: p, ledger: &w.ledger, number: number}
-	n.fatal = func() bool { return n.replacing.TryLock() && w.replaceEngine(n) }
+	n := &engine{proxy: p, events: &w.events, number: number}
+	n.crashAndReplace = func() bool { return n.replaceMu.TryLock() && w.replaceEngine(n) }
 	n.start(1)
-	w.listEngine(n)
+	w.registerEngine(n)
 	if n.agent, err = newAgent(number, binary, dir, store, p.address(), peerPort); err != nil {
 		return err
 	}
@@ -122,59 +122,59 @@
 	return n.agent.start()
 }
 
-func (w *world) listEngine(n *engine) {
-	id, spec := n.record()
+func (w *cluster) registerEngine(n *engine) {
+	id, spec := n.storeRecord()
 	w.store.Put("servers", id, spec)
 }
 
 const (
-	readyTries = 200
-	readyPause = 50 * time.Millisecond
+	maxReadyProbes     = 200
+	readyProbeInterval = 50 * time.Millisecond
 )
 
 // awaitReady waits until every entry calls itself ready.
-func (w *world) awaitReady() error {
+func (w *cluster) awaitReady() error {
 	for _, e := range w.entries {
 		tries := 0
-		for !isReady(e) {
-			if tries++; tries > readyTries {
+		for !probeReady(e) {
+			if tries++; tries > maxReadyProbes {
 				return errors.Newf("entry %d does not become ready", e.number)
 			}
-			time.Sleep(readyPause)
+			time.Sleep(readyProbeInterval)
 		}
 	}
 	return nil
 }
 
-func (w *world) keys() []string {
-	keys := []string{keptKey}
+func (w *cluster) keys() []string {
+	keys := []string{permanentKey}
 	for i := range keyCount {
 		keys = append(keys, fmt.Sprintf("key-%d", i))
 	}
 	return keys
 }
 
-func (w *world) list(p *place, id, state string) {
+func (w *cluster) register(p *runnerSlot, id, state string) {
 	spec := site.RecordOf(p.proxy.address(), state)
 	spec["zone"] = zoneOf(p.number)
 	w.store.Put("servers", id, spec)
 }
 
-// configure writes the next version, without the keys that are taken away.
-func (w *world) configure() {
+// publishConfig writes the next version, without the keys that are taken away.
+func (w *cluster) publishConfig() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.version += 3
+	w.configVersion += 3
 	var keys []string
 	for _, key := range w.keys() {
-		if _, gone := w.removed[key]; !gone {
+		if _, gone := w.keysRemoved[key]; !gone {
 			keys = append(keys, key)
 		}
 	}
-	defer func() { w.versionAt = time.Now() }()
+	defer func() { w.versionAckedAt = time.Now() }()
 	w.store.Put("config", "main", site.ConfigOf(
-		w.version, keys,
-		site.Route{Name: versionRoute(w.version), Host: host, Kind: "idempotent", Attempts: 1},
+		w.configVersion, keys,
+		site.Route{Name: versionRoute(w.configVersion), Host: host, Kind: "idempotent", Attempts: 1},
 		site.Route{Name: string(kindRepeat), Host: host, Kind: "idempotent", Attempts: 2},
 		site.Route{Name: string(kindOnce), Host: host, Kind: "non_idempotent", Attempts: 2},
 		site.Route{Name: string(kindStream), Host: host, Kind: "streaming", Attempts: 3, Resumable: true, Timeout: streamTimeout},
@@ -184,43 +184,43 @@
 	))
 }
 
-// disturb notes that an entry is under a fault of its own for a time.
-func (w *world) disturb(e *entry, d time.Duration) {
+// recordDisturbance notes that an entry is under a fault of its own for a time.
+func (w *cluster) recordDisturbance(e *entry, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.disturbed[e.number] = append(w.disturbed[e.number], span{From: now, To: now.Add(d)})
+	w.disturbances[e.number] = append(w.disturbances[e.number], interval{From: now, To: now.Add(d)})
 }
 
-// cutOff notes that an entry has no path to the object store, or that the store serves nobody, for a time.
-func (w *world) cutOff(e *entry, d time.Duration) {
+// recordStoreOutage notes that an entry has no path to the object store, or that the store serves nobody, for a time.
+func (w *cluster) recordStoreOutage(e *entry, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.cutOffs[e.number] = append(w.cutOffs[e.number], span{From: now, To: now.Add(d)})
+	w.storeOutages[e.number] = append(w.storeOutages[e.number], interval{From: now, To: now.Add(d)})
 }
 
-// harm notes that the runners of a place, or their links, are under a fault for a time.
-func (w *world) harm(place string, d time.Duration) {
+// recordRunnerFault notes that the runners of a place, or their links, are under a fault for a time.
+func (w *cluster) recordRunnerFault(place string, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.harmed[place] = append(w.harmed[place], span{From: now, To: now.Add(d)})
+	w.runnerFaults[place] = append(w.runnerFaults[place], interval{From: now, To: now.Add(d)})
 }
 
-// later does something after a time, and keeps the end of the soak waiting for it.
-func (w *world) later(d time.Duration, do func()) {
-	w.work.Go(func() {
+// schedule does something after a time, and keeps the end of the soak waiting for it.
+func (w *cluster) schedule(d time.Duration, do func()) {
+	w.scheduled.Go(func() {
 		time.Sleep(d)
 		do()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.last = time.Now()
+		w.lastFaultEnd = time.Now()
 	})
 }
 
-// play runs the schedule and returns what was seen.
-func (w *world) play(actions []action, length time.Duration) *record {
+// run runs the schedule and returns what was seen.
+func (w *cluster) run(actions []action, length time.Duration) *observations {
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	w.prober.world = w
@@ -230,51 +230,51 @@
 	begun := time.Now()
 	for _, a := range actions {
 		time.Sleep(time.Until(begun.Add(a.At)))
-		w.report("%7.3f s  %s, number %d, for %s", time.Since(begun).Seconds(), a.Fault, a.Which, a.For)
+		w.report("%7.3f s  %s, number %d, for %s", time.Since(begun).Seconds(), a.Fault, a.Target, a.Duration)
 		w.inject(a)
 	}
-	w.work.Wait()
-	time.Sleep(max(time.Until(begun.Add(length)), time.Until(w.last.Add(quietAfter))))
+	w.scheduled.Wait()
+	time.Sleep(max(time.Until(begun.Add(length)), time.Until(w.lastFaultEnd.Add(coolDown))))
 	close(stop)
 	callers.Wait()
-	return w.record()
+	return w.collect()
 }
 
-func (w *world) record() *record {
+func (w *cluster) collect() *observations {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ledger.mu.Lock()
-	defer w.ledger.mu.Unlock()
-	r := &record{
-		Runs: slices.Clone(w.ledger.runs), Arrivals: slices.Clone(w.ledger.arrivals), Orders: slices.Clone(w.ledger.orders), Disturbed: w.disturbed, Left: maps.Clone(w.left),
-		Removed: w.removed, Quiet: w.last, Named: maps.Clone(w.named), Loaded: map[string]uint64{}, Ended: time.Now(),
-		Harmed: w.harmed, Evacuated: slices.Clone(w.evacuated), CutOff: maps.Clone(w.cutOffs), Entries: map[int]history{},
+	w.events.mu.Lock()
+	defer w.events.mu.Unlock()
+	r := &observations{
+		Executions: slices.Clone(w.events.executions), Arrivals: slices.Clone(w.events.arrivals), ReceivedOrders: slices.Clone(w.events.orders), Disturbances: w.disturbances, LeavingSince: maps.Clone(w.leavingSince),
+		KeysRemoved: w.keysRemoved, LastFaultEnd: w.lastFaultEnd, WeightsPublished: maps.Clone(w.weightsPublished), LoadedWeights: map[string]uint64{}, Ended: time.Now(),
+		RunnerFaults: w.runnerFaults, Evacuations: slices.Clone(w.evacuations), StoreOutages: maps.Clone(w.storeOutages), Entries: map[int]processHistory{},
 	}
 	for _, n := range w.engines {
-		id, weights := n.run()
-		r.Loaded[id] = weights
+		id, weights := n.idAndWeights()
+		r.LoadedWeights[id] = weights
 	}
 	for _, e := range w.entries {
-		past := e.past()
+		past := e.historySnapshot()
 		r.Entries[e.number] = past
-		r.Disturbed[e.number] = append(r.Disturbed[e.number], past.disturbed()...)
+		r.Disturbances[e.number] = append(r.Disturbances[e.number], past.disturbances()...)
 	}
 	w.callers.mu.Lock()
 	defer w.callers.mu.Unlock()
 	r.Calls = slices.Clone(w.callers.calls)
 	w.prober.mu.Lock()
 	defer w.prober.mu.Unlock()
-	r.Probes = slices.Clone(w.prober.seen)
+	r.Probes = slices.Clone(w.prober.probes)
 	return r
 }
 
 // close ends everything that the soak has started.
-func (w *world) close() {
+func (w *cluster) close() {
 	for _, e := range w.entries {
-		e.end(syscall.SIGKILL)
+		e.terminate(syscall.SIGKILL)
 	}
 	for _, n := range w.engines {
-		n.agent.end(syscall.SIGKILL)
+		n.agent.terminate(syscall.SIGKILL)
 	}
 	w.server.CloseClientConnections()
 	w.server.Close()
