--- a/soak/address.go
+++ b/soak/address.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// firstPort and portCount bound the ports that processes are given: below those from which the system takes the ports of
-	// outgoing connections, so that none of these is in the way of a process that starts again.
+	// firstPort and portCount define the range of ports for the processes. It lies below the ephemeral port range, so
+	// that no outgoing connection occupies the port of a process that is being restarted.
 	firstPort = 12000
 	portCount = 20000
 )
 
-// nextPort runs through the ports from a place of its own for each soak, since several may run at once.
+// nextPort is the offset of the next port to try. It starts at a random offset, since several soaks may run at once.
 var nextPort atomic.Uint32
 
 func init() { nextPort.Store(rand.Uint32N(portCount)) }
 
-// freeAddress returns an address of loopback for a process that listens later.
+// freeAddress returns a loopback address with a port that is currently free.
 func freeAddress() (string, error) {
 	var err error
 	for range portCount {
--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -11,21 +11,24 @@
 )
 
 const (
-	// announcedLimit is the limit that runners name, in requests a second, and limitAtLeast for how long they do at the least.
+	// announcedLimit is the rate limit in requests per second that runners announce, and minLimitDuration is the
+	// minimum time for which they do.
 	announcedLimit   = 2.0
 	minLimitDuration = 5 * time.Second
-	// limitWindow, limitOver and limitSlack bound what comes within a limit: in any such time so many times what it allows, and a few more.
+	// Within any limitWindow, a runner may receive limitFactor times what its limit allows, plus limitSlack requests.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// retryAfter is the rest that runners ask for, mostInRest how many requests may still come in it.
+	// retryAfter is the Retry-After that refusing runners send, and maxDuringRetryAfter is the number of requests that
+	// may still arrive in that time.
 	retryAfter          = 2 * time.Second
 	maxDuringRetryAfter = 2
-	// noticeDelay is how long before a request its entry must have been told of a limit or a rest for it to count.
+	// noticeDelay is the minimum time between an entry learning of a limit or a Retry-After and a request that counts
+	// as a violation.
 	noticeDelay = 500 * time.Millisecond
 )
 
-// backpressureControl is what a runner asks for in its answers, and in nothing else.
+// backpressureControl holds the backpressure signals that a runner sends in its responses, and nowhere else.
 type backpressureControl struct {
 	mu            sync.Mutex
 	limitedUntil  time.Time
@@ -33,7 +36,8 @@
 	leavingRunner string
 }
 
-// limitFor has the runner name a limitFor for a time, refuse has it turn requests away and ask for rest, and leave has one run of it say that it leaves.
+// limitFor makes the runner announce a rate limit for the given time. refuseFor makes it refuse requests with a
+// Retry-After, and leave makes one run of it announce that it is leaving.
 func (p *backpressureControl) limitFor(d time.Duration) {
 	p.update(func() { p.limitedUntil = time.Now().Add(d) })
 }
@@ -44,24 +48,26 @@
 
 func (p *backpressureControl) leave(run string) { p.update(func() { p.leavingRunner = run }) }
 
-func (p *backpressureControl) update(do func()) {
+func (p *backpressureControl) update(fn func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	do()
+	fn()
 }
 
-// arrival is a request as it came to a runner, with what its answer asked for.
+// arrival is a request that reached a runner, with the backpressure signals in its response.
 type arrival struct {
 	ID     string
 	Runner string
 	At     time.Time
-	// Limited says that the answer named a limit, Leaving that the runner leaves, and Refused that it was turned away and its entry asked for rest.
+	// Limited reports whether the response announced a limit, Leaving whether it announced that the runner is leaving,
+	// and Refused whether the request was refused with a Retry-After.
 	Limited bool
 	Leaving bool
 	Refused bool
 }
 
-// handle notes a request that came to a run of the runner, has its answer ask for what is asked for now, and reports whether it was turned away.
+// handle records a request that reached a run of the runner and adds the current backpressure signals to its response.
+// It reports whether the request was refused.
 func (p *backpressureControl) handle(l *eventLog, label string, w http.ResponseWriter, r *http.Request) (refused bool) {
 	p.mu.Lock()
 	now := time.Now()
@@ -87,34 +93,35 @@
 	l.arrivals = append(l.arrivals, a)
 }
 
-// injectBackpressure has a plain runner or an engine ask for less in its answers.
-func (w *cluster) injectBackpressure(a action, p *runnerSlot, n *engine) {
-	asks := &p.backpressure
+// injectBackpressure makes a plain runner or an engine send backpressure signals in its responses.
+func (c *cluster) injectBackpressure(a action, p *plainRunner, n *engine) {
+	control := &p.backpressure
 	if a.Target%2 == 1 {
-		asks = &n.backpressure
+		control = &n.backpressure
 	}
 	switch a.Fault {
 	case faultRateLimit:
-		asks.limitFor(minLimitDuration + a.Duration)
-		w.schedule(minLimitDuration+a.Duration, func() {})
+		control.limitFor(minLimitDuration + a.Duration)
+		c.schedule(minLimitDuration+a.Duration, func() {})
 	case faultRetryAfter:
-		asks.refuseFor(a.Duration)
-		w.schedule(a.Duration+retryAfter, func() {})
+		control.refuseFor(a.Duration)
+		c.schedule(a.Duration+retryAfter, func() {})
 	case faultLeaveInResponses:
-		w.injectLeaveInResponses(a, p, n)
+		c.injectLeaveInResponses(a, p, n)
 	}
 }
 
-// injectLeaveInResponses has a runner say in its answers alone that it leaves, and ends it some time later.
-func (w *cluster) injectLeaveInResponses(a action, p *runnerSlot, n *engine) {
-	ends := leaveWithin + time.Second + a.Duration
+// injectLeaveInResponses makes a runner announce only in its responses that it is leaving, and replaces it some time
+// later.
+func (c *cluster) injectLeaveInResponses(a action, p *plainRunner, n *engine) {
+	endsAfter := leaveWithin + time.Second + a.Duration
 	if a.Target%2 == 1 {
 		n.replaceMu.Lock()
 		n.backpressure.leave(n.label())
-		w.schedule(ends, func() { w.replaceEngine(n) })
+		c.schedule(endsAfter, func() { c.replaceEngine(n) })
 		return
 	}
 	p.replaceMu.Lock()
 	p.backpressure.leave(p.id())
-	w.schedule(ends, func() { w.replaceRunner(p) })
+	c.schedule(endsAfter, func() { c.replaceRunner(p) })
 }
--- a/soak/backpressure_test.go
+++ b/soak/backpressure_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRunnersGetNoMoreThanTheyAskFor has runners name limits, ask for rest and leave in their answers alone, while entries and agents are killed, stopped and stand
-// still, and the store is away.
+// TestRunnersGetNoMoreThanTheyAskFor guards against entries that ignore the rate limits, Retry-After and leave
+// announcements in responses, while entries and agents are killed, stopped and paused and the store fails.
 func TestRunnersGetNoMoreThanTheyAskFor(t *testing.T) {
 	binary := buildProgram(t)
 	for _, seed := range []uint64{1, 2} {
@@ -22,11 +22,12 @@
 	}
 }
 
-// TestBackpressureViolationIsReported holds requests against what their entries had been told of the runner.
+// TestBackpressureViolationIsReported checks requests against the signals that their entries had received from the
+// runner.
 func TestBackpressureViolationIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := start.Add
-	// asking is a record in which the first request is answered at once with what the runner asks for.
+	// asking returns observations in which the first request is answered at once with the given signals.
 	asking := func(asks arrival) *observations {
 		r := &observations{Entries: map[int]processHistory{0: {Lifetimes: []processLifetime{{Started: at(-time.Minute)}}}, 1: {Lifetimes: []processLifetime{{Started: at(-time.Minute)}}}}}
 		r.addArrival(asks, 0, start)
@@ -44,19 +45,19 @@
 	}
 	most := int(announcedLimit*limitFactor*limitWindow.Seconds()) + limitSlack
 	limited, refused, leaving := arrival{Limited: true}, arrival{Refused: true}, arrival{Leaving: true}
-	t.Run("as many as the limit allows", func(t *testing.T) {
+	t.Run("requests within the limit are allowed", func(t *testing.T) {
 		r := asking(limited)
 		many(r, most, 0, limited, at(settleTime))
 		assert.Zero(t, judged(r))
 		r.addArrival(limited, 0, at(settleTime+time.Second))
 		assert.Equal(t, 1, judged(r))
 	})
-	t.Run("entries that were not told of it count for nothing", func(t *testing.T) {
+	t.Run("requests of entries that do not know the limit are ignored", func(t *testing.T) {
 		r := asking(limited)
 		many(r, most+1, 1, limited, at(settleTime))
 		assert.Zero(t, judged(r))
 	})
-	t.Run("nor do those that have started since, or what comes once it is lifted", func(t *testing.T) {
+	t.Run("requests after a restart of the entry or the end of the limit are ignored", func(t *testing.T) {
 		r := asking(limited)
 		many(r, most+1, 0, arrival{}, at(settleTime))
 		assert.Zero(t, judged(r))
@@ -65,7 +66,7 @@
 		many(r, most+1, 0, limited, at(settleTime+time.Second))
 		assert.Zero(t, judged(r))
 	})
-	t.Run("two requests in a rest", func(t *testing.T) {
+	t.Run("two requests during a Retry-After are allowed", func(t *testing.T) {
 		r := asking(refused)
 		many(r, maxDuringRetryAfter, 0, arrival{}, at(noticeDelay))
 		many(r, maxDuringRetryAfter, 1, arrival{}, at(noticeDelay))
@@ -74,7 +75,7 @@
 		r.addArrival(arrival{}, 0, at(retryAfter-1))
 		assert.Equal(t, 1, judged(r))
 	})
-	t.Run("a request to a runner that leaves, by an entry that was told", func(t *testing.T) {
+	t.Run("a request to a leaving runner from an entry that knows is reported", func(t *testing.T) {
 		r := asking(leaving)
 		r.addArrival(leaving, 0, at(leaveWithin))
 		r.addArrival(leaving, 1, at(leaveWithin+time.Second))
@@ -84,7 +85,7 @@
 	})
 }
 
-// addArrival adds a request of an entry that reaches a runner, and is answered at once.
+// addArrival adds a request that an entry sends to a runner and that is answered at once.
 func (r *observations) addArrival(a arrival, entry int, at time.Time) {
 	a.ID, a.Runner, a.At = strconv.Itoa(len(r.Calls)), "r", at
 	r.Calls = append(r.Calls, callRecord{ID: a.ID, Kind: kindRepeat, Entry: entry, SentAt: at, EndedAt: at, Status: statusOK})
--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// probeInterval is how often the balancer asks each entry, probeTimeout how long it waits for the answer.
+	// probeInterval is the interval between readiness probes of each entry, and probeTimeout is the timeout of a probe.
 	probeInterval = time.Second
 	probeTimeout  = time.Second
-	// maxFailedProbes is how many probes in a row may fail before an entry gets no new connections.
+	// maxFailedProbes is the number of consecutive failed probes after which an entry gets no new connections.
 	maxFailedProbes = 2
-	// dialTimeout is how long a new connection may take to come up.
+	// dialTimeout is the timeout for opening a connection.
 	dialTimeout = time.Second
 )
 
-// balancer gives each new connection an entry, as the platform does.
+// balancer assigns each new connection to an entry, as the platform does.
 type balancer struct {
 	entries []*entry
 
@@ -31,7 +31,7 @@
 	return &balancer{entries: entries, failedProbes: make([]int, len(entries))}
 }
 
-// run probes the entries until it is told to stop.
+// run probes the entries until stop is closed.
 func (b *balancer) run(stop <-chan struct{}) {
 	var wg sync.WaitGroup
 	for i := range b.entries {
@@ -67,7 +67,7 @@
 	b.failedProbes[i]++
 }
 
-// pick chooses among the entries that are in, or among all of them when under half are.
+// pick chooses a random entry among the healthy ones, or among all entries if less than half are healthy.
 func (b *balancer) pick() *entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +83,7 @@
 	return in[rand.IntN(len(in))]
 }
 
-// dial opens a connection to an entry of the balancer's choice.
+// dial opens a connection to an entry that pick chooses.
 func (b *balancer) dial(ctx context.Context) (net.Conn, *entry, error) {
 	e := b.pick()
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", e.callerAddress)
@@ -105,5 +105,5 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// probeClient asks over a new connection each time, so that no answer comes from an earlier process.
+// probeClient opens a new connection for each probe, so that no response comes from an earlier process.
 var probeClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -18,8 +18,8 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// callers send requests through the balancer until they are told to stop: half of them open a connection for each request,
-// the others go on using theirs until it is closed.
+// callers sends requests through the balancer until it is stopped. Half of the callers open a connection for each
+// request, and the others reuse theirs until it is closed.
 type callers struct {
 	balancer    *balancer
 	host        string
@@ -41,8 +41,8 @@
 func (c *callers) run(stop <-chan struct{}) {
 	var wg sync.WaitGroup
 	for i := range c.callerCount {
-		one := &caller{callers: c}
-		wg.Go(func() { one.run(i, stop) })
+		sender := &caller{callers: c}
+		wg.Go(func() { sender.run(i, stop) })
 	}
 	wg.Wait()
 }
@@ -51,7 +51,8 @@
 type caller struct {
 	callers *callers
 	client  *http.Client
-	// entry is the one that the latest connection leads to; fresh says that no request has used it yet.
+	// entry is the entry at the other end of the latest connection. newConnection reports whether the connection was
+	// opened for the current request.
 	entry         *entry
 	newConnection bool
 }
@@ -71,14 +72,14 @@
 	}
 }
 
-// dial connects to whichever entry the balancer gives, since the URL names none.
+// dial connects to the entry that the balancer chooses. The URL does not name one.
 func (c *caller) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	conn, e, err := c.callers.balancer.dial(ctx)
 	c.entry, c.newConnection = e, true
 	return conn, err
 }
 
-// call sends a request of the kind, which is a fatal call where that is named.
+// call sends a request of the given kind, or the fatal request with the given name if it is not empty.
 func (c *caller) call(k kind, key, fatal string) {
 	seen := callRecord{ID: fmt.Sprintf("%s-%d", k, c.callers.nextID.Add(1)), Kind: k, Key: key, Fatal: fatal, SentAt: time.Now()}
 	c.newConnection = false
@@ -99,7 +100,7 @@
 			written.Store(&now)
 		}
 	}})
-	// A POST without a way to make its body anew is sent once by the client, whatever happens to the connection.
+	// The client sends a POST without GetBody only once, whatever happens to the connection.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%s", c.callers.host, seen.Kind, cmp.Or(seen.Fatal, "x")), io.LimitReader(zeros{}, 10))
 	if err != nil {
 		seen.Truncated = true
@@ -123,8 +124,8 @@
 	}
 }
 
-// zeros is a reader of zeros.
+// zeros is a reader that returns zero bytes.
 type zeros struct{}
 
-// Read fills the buffer.
+// Read implements io.Reader.
 func (zeros) Read(buf []byte) (int, error) { return len(buf), nil }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,7 +1,7 @@
-// Command soak runs real entries and agents as processes of their own before runners and a store that it stands in for,
-// injects faults from outside them by a schedule that a seed gives, and holds what callers and runners saw against the
-// promises. Callers reach the entries through a balancer that works as the platform's does. The soak ends by itself, with a
-// non-zero status where a promise was broken.
+// Command soak tests entries and agents under faults. It runs them as real processes, with stand-ins for the runners and
+// the object store, and injects faults from the outside on a schedule that is drawn from a seed. Callers reach the
+// entries through a balancer that works like the platform's. At the end, soak checks what callers and runners observed
+// against the guarantees, and exits with a non-zero status if one was violated.
 //
 //	go run ./soak --seed 1 --for 20s
 //	go run ./soak --seed 1 --for 60s --entries 60 --runners 60 --callers 600
--- a/soak/engine.go
+++ b/soak/engine.go
@@ -10,24 +10,25 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// receivedOrder is an order as an engine got it.
+// receivedOrder is an order that an engine received.
 type receivedOrder struct {
 	Engine string
 	Order  site.Order
 }
 
-// engine is where a model engine lives, with its agent beside it: one run after another, behind one proxy.
+// engine runs a model engine and its agent. It runs one engine at a time, and all its runs use the same proxy.
 type engine struct {
 	agent  *agent
 	proxy  *proxy
 	events *eventLog
 	number int
-	// backpressure is what the engine asks for in its answers.
+	// backpressure holds the backpressure signals in the engine's responses.
 	backpressure backpressureControl
-	// crashAndReplace ends the run and starts another soon, unless that is being done; it reports whether it ended it.
+	// crashAndReplace ends the current run and schedules another, unless a replacement is in progress. It reports
+	// whether it ended the run.
 	crashAndReplace func() bool
 
-	// replaceMu is held while the run, or its record, is being replaced.
+	// replaceMu is held while the run or its store record is being replaced.
 	replaceMu sync.Mutex
 
 	mu                 sync.Mutex
@@ -40,79 +41,81 @@
 	current            *site.Engine
 }
 
-// slowFactor is how many times as long an engine that runs slow takes for each event.
+// slowFactor is the factor by which a slow engine delays each event.
 const slowFactor = 2
 
-// loadTime is how long an engine of the soak takes for new weights.
+// loadTime is how long an engine takes to load new weights.
 const loadTime = 300 * time.Millisecond
 
-// runnerHost is the address of loopback on which a plain runner lives, where no other process takes its port while it is down.
+// runnerHost returns the loopback address of a plain runner. Each runner has its own, so that no other process takes
+// its port while it is down.
 func runnerHost(number int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 2, byte(number + 1)}) }
 
-// engineHost is the address of loopback on which an engine and its agent live.
+// engineHost returns the loopback address of an engine and its agent.
 func engineHost(number int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 1, byte(number + 1)}) }
 
-// name names the place of the engine, in whatever runs there.
+// name returns the name of the engine, which all its runs share.
 func (e *engine) name() string { return fmt.Sprintf("e-%d", e.number) }
 
-// start begins a new run with the weights under a new id, and tells its start.
+// start starts a run with the given weights under a new ID, and reports its start time.
 func (e *engine) start(weights uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.startLocked(fmt.Sprintf("%s-%d", e.name(), e.starts+1), weights, true)
 }
 
-// restart begins a new run under the id and with the weights of the last, and tells its start or does not.
-func (e *engine) restart(told bool) {
+// restart starts a run with the ID and the weights of the last one. It reports its start time only if reportStart is
+// true.
+func (e *engine) restart(reportStart bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.startLocked(e.current.ID, e.current.Weights(), told)
+	e.startLocked(e.current.ID, e.current.Weights(), reportStart)
 }
 
-// startLocked begins a new run; e.mu is held.
-func (e *engine) startLocked(id string, weights uint64, told bool) {
+// startLocked starts a run. The caller must hold e.mu.
+func (e *engine) startLocked(id string, weights uint64, reportStart bool) {
 	e.starts++
 	label := e.startLabel(e.starts)
 	e.startedAt = max(e.startedAt+1, time.Now().UnixMilli())
-	one := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, Queue: e.currentQueueDelay, Refuses: e.refusing}
-	one.ID = id
-	if told {
-		one.Born = e.startedAt
+	next := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, Queue: e.currentQueueDelay, Refuses: e.refusing}
+	next.ID = id
+	if reportStart {
+		next.Born = e.startedAt
 	}
-	one.Handle = func(w http.ResponseWriter, r *http.Request) {
-		begun := execution{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), StartedAt: time.Now(), Weights: one.Weights(), Fatal: fatalName(r)}
-		if begun.Fatal != "" {
-			e.events.crashRunner(begun, e.crashAndReplace)
+	next.Handle = func(w http.ResponseWriter, r *http.Request) {
+		started := execution{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), StartedAt: time.Now(), Weights: next.Weights(), Fatal: fatalName(r)}
+		if started.Fatal != "" {
+			e.events.crashRunner(started, e.crashAndReplace)
 		}
 		if e.backpressure.handle(e.events, label, w, r) {
 			return
 		}
-		open := e.events.beginExecution(begun)
+		open := e.events.beginExecution(started)
 		streamPieces(w, r, open, e.eventInterval(r))
 	}
-	one.Ordered = func(o site.Order) bool {
+	next.Ordered = func(o site.Order) bool {
 		e.events.recordOrder(receivedOrder{Engine: label, Order: o})
 		return e.delaysOrders()
 	}
-	one.CarryOut = func(o site.Order) { e.applyOrder(id, o) }
-	one.Start()
-	e.current = one
-	if err := e.proxy.listenFor(one.Address()); err != nil {
-		panic(err) // nothing else takes the engine's address
+	next.CarryOut = func(o site.Order) { e.applyOrder(id, o) }
+	next.Start()
+	e.current = next
+	if err := e.proxy.listenFor(next.Address()); err != nil {
+		panic(err) // no other process uses the engine's address
 	}
 }
 
-// startLabel names one of the runs that lived here, also among those with the same id.
+// startLabel returns a label for one of the engine's runs, which is unique even among runs with the same ID.
 func (e *engine) startLabel(run int) string { return fmt.Sprintf("%s-%d", e.name(), run) }
 
-// label names the run that lives here now.
+// label returns the label of the current run.
 func (e *engine) label() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.startLabel(e.starts)
 }
 
-// applyOrder gives a late order to the run with the id, which may have started again meanwhile.
+// applyOrder passes a delayed order to the run with the given ID, which may have been restarted in the meantime.
 func (e *engine) applyOrder(id string, o site.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,7 +124,7 @@
 	}
 }
 
-// storeRecord is what the run that lives here now records in the object store.
+// storeRecord returns the object store record of the current run.
 func (e *engine) storeRecord() (id string, spec map[string]any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,7 +133,7 @@
 	return e.current.ID, spec
 }
 
-// eventInterval is how long the engine takes for each event of a request.
+// eventInterval returns the time between two events of a response.
 func (e *engine) eventInterval(r *http.Request) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,14 +144,14 @@
 	return pause
 }
 
-// slowFor has what begins within a time run slow.
+// slowFor makes requests that begin within the given time run slowly.
 func (e *engine) slowFor(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slowUntil = time.Now().Add(d)
 }
 
-// startRefusing has the engine startRefusing what has not begun for a time, whatever its report says.
+// startRefusing makes the engine refuse new requests for the given time, whatever its load report says.
 func (e *engine) startRefusing(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,21 +164,21 @@
 	return time.Now().Before(e.refusingUntil)
 }
 
-// delaysOrders reports whether orders get no answer now.
+// delaysOrders reports whether orders currently get no response.
 func (e *engine) delaysOrders() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Now().Before(e.ordersDelayedUntil)
 }
 
-// delayOrders has orders get no answer for a time, and be carried out late.
+// delayOrders makes orders get no response for the given time and take effect late.
 func (e *engine) delayOrders(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ordersDelayedUntil = time.Now().Add(d)
 }
 
-// setQueueDelay has each request wait for the time before it begins.
+// setQueueDelay sets how long each request waits in the engine's queue.
 func (e *engine) setQueueDelay(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -188,7 +191,7 @@
 	return e.queueDelay
 }
 
-// idAndWeights names the idAndWeights that lives here now, and its weights.
+// idAndWeights returns the ID of the current run and the version of its weights.
 func (e *engine) idAndWeights() (id string, weights uint64) {
 	e.mu.Lock()
 	current := e.current
@@ -196,7 +199,7 @@
 	return current.ID, current.Weights()
 }
 
-// crash ends the run and every connection of it.
+// crash ends the current run and closes all its connections.
 func (e *engine) crash() {
 	e.mu.Lock()
 	current := e.current
--- a/soak/engine_faults.go
+++ b/soak/engine_faults.go
@@ -3,88 +3,91 @@
 import "time"
 
 const (
-	// maxBurstWeights is how many names come at the most in quick succession; leastBetween and mostBetween bound the time between them.
+	// maxBurstWeights is the maximum number of weights versions in a burst. minWeightsInterval and maxWeightsInterval
+	// bound the time between two of them.
 	maxBurstWeights    = 5
 	minWeightsInterval = 500 * time.Millisecond
 	maxWeightsInterval = 2500 * time.Millisecond
-	// minAgentPause is how long agents stand still at the least, so that several have orders to give when they go on.
+	// minAgentPause is the minimum time for which agents are paused, so that several have orders to send when they
+	// resume.
 	minAgentPause = 2 * time.Second
-	// refuseFor is how long an engine refuses whatever its report says.
+	// refuseFor is how long an engine refuses requests, whatever its load report says.
 	refuseFor = time.Second
-	// minFreeze and mostFreeze bound how long an engine stands still.
+	// minFreeze and maxFreeze bound how long an engine is frozen.
 	minFreeze = 500 * time.Millisecond
 	maxFreeze = 2 * time.Second
 )
 
-// injectEngineOrStore does one fault of those drawn for engines and for their entries in the store.
-func (w *cluster) injectEngineOrStore(a action, n *engine) {
+// injectEngineOrStore injects one of the faults of engines and of their records in the store.
+func (c *cluster) injectEngineOrStore(a action, n *engine) {
 	switch a.Fault {
 	case faultWeightsBurst, faultConcurrentLoads:
-		w.injectLoads(a)
+		c.injectLoads(a)
 	case faultEngineRefuse, faultEngineFreeze, faultEngineSlow:
-		w.injectEngineDegradation(a, n)
+		c.injectEngineDegradation(a, n)
 	case faultRestartEngine, faultRestartEngineUnreported:
-		w.injectRestart(a, n)
+		c.injectRestart(a, n)
 	case faultBadRecords, faultOverwrittenRecord:
-		w.injectBadRecords(a, n)
+		c.injectBadRecords(a, n)
 	}
 }
 
-// injectLoads has engines load under the requests that they answer.
-func (w *cluster) injectLoads(a action) {
+// injectLoads makes engines load weights while they serve requests.
+func (c *cluster) injectLoads(a action) {
 	switch a.Fault {
 	case faultWeightsBurst:
 		between := a.scaleDuration(minWeightsInterval, maxWeightsInterval)
 		for i := range 2 + a.Target%(maxBurstWeights-1) {
-			w.schedule(time.Duration(i)*between, w.publishNextWeights)
-			w.schedule(time.Duration(i)*between+a.signalInterval(), w.publishConfig)
+			c.schedule(time.Duration(i)*between, c.publishNextWeights)
+			c.schedule(time.Duration(i)*between+a.signalInterval(), c.publishConfig)
 		}
 	case faultConcurrentLoads:
-		w.publishNextWeights()
-		for _, n := range w.engines {
-			w.pause(action{Duration: minAgentPause + a.Duration}, &n.agent.process)
+		c.publishNextWeights()
+		for _, n := range c.engines {
+			c.pause(action{Duration: minAgentPause + a.Duration}, &n.agent.process)
 		}
 	}
 }
 
-// publishNextWeights names the next version, unless one was just named: overlapping series are no faster than one is at the most.
-func (w *cluster) publishNextWeights() {
-	w.mu.Lock()
-	last := w.weightsPublished[w.weightsVersion]
-	w.mu.Unlock()
+// publishNextWeights publishes the next version of the weights, unless another was published less than
+// minWeightsInterval ago. Overlapping bursts are therefore no faster than the fastest single one.
+func (c *cluster) publishNextWeights() {
+	c.mu.Lock()
+	last := c.weightsPublished[c.weightsVersion]
+	c.mu.Unlock()
 	if time.Since(last) >= minWeightsInterval {
-		w.publishWeights()
+		c.publishWeights()
 	}
 }
 
-// scaleDuration maps how long the fault lasts to a time between two others.
-func (a *action) scaleDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(float64(a.Duration-shortFault)/float64(longFault-shortFault)*float64(most-least))
+// scaleDuration maps the fault's duration linearly to the range between minimum and maximum.
+func (a *action) scaleDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(float64(a.Duration-shortFault)/float64(longFault-shortFault)*float64(maximum-minimum))
 }
 
-// injectEngineDegradation has an engine be worse than it says of itself, without breaking anything off.
-func (w *cluster) injectEngineDegradation(a action, n *engine) {
+// injectEngineDegradation makes an engine perform worse than it reports, without breaking connections.
+func (c *cluster) injectEngineDegradation(a action, n *engine) {
 	switch a.Fault {
 	case faultEngineRefuse:
 		n.startRefusing(refuseFor)
-		w.schedule(refuseFor, func() {})
+		c.schedule(refuseFor, func() {})
 	case faultEngineSlow:
 		n.slowFor(a.Duration)
-		w.schedule(a.Duration, func() {})
+		c.schedule(a.Duration, func() {})
 	case faultEngineFreeze:
 		n.proxy.update(func(x *proxy) { x.silent = true })
-		w.schedule(a.scaleDuration(minFreeze, maxFreeze), func() { n.proxy.update(func(x *proxy) { x.silent = false }) })
+		c.schedule(a.scaleDuration(minFreeze, maxFreeze), func() { n.proxy.update(func(x *proxy) { x.silent = false }) })
 	}
 }
 
-// injectRestart ends an engine and starts it again under its id.
-func (w *cluster) injectRestart(a action, n *engine) {
+// injectRestart ends an engine and restarts it with the same ID.
+func (c *cluster) injectRestart(a action, n *engine) {
 	n.replaceMu.Lock()
-	w.recordRunnerFault(n.name(), 0)
+	c.recordRunnerFault(n.name(), 0)
 	n.crash()
-	w.schedule(restartDelay, func() {
+	c.schedule(restartDelay, func() {
 		defer n.replaceMu.Unlock()
 		n.restart(a.Fault == faultRestartEngine)
-		w.registerEngine(n)
+		c.registerEngine(n)
 	})
 }
--- a/soak/evacuate.go
+++ b/soak/evacuate.go
@@ -5,15 +5,16 @@
 )
 
 const (
-	// nearZone and farZone are where runners are, nearZone where entries are, too.
+	// Runners are in nearZone and farZone, entries only in nearZone.
 	nearZone = "z"
 	farZone  = "y"
-	// evacuationDeadline is how soon an evacuated zone gets nothing more, as settings say, and evacuatedFor for how much longer it is evacuated.
+	// evacuationDeadline is the time after which an evacuated zone gets no requests, as configured in the settings.
+	// minEvacuation is how much longer the evacuation lasts at least.
 	evacuationDeadline = 5 * time.Second
 	minEvacuation      = 3 * time.Second
 )
 
-// zoneOf is the zone of a runner or engine by its number.
+// zoneOf returns the zone of the runner or engine with the given number.
 func zoneOf(number int) string {
 	if number%2 == 1 {
 		return farZone
@@ -21,30 +22,30 @@
 	return nearZone
 }
 
-// injectEvacuation has the operator evacuate the far zone, unless it is evacuated already, and take that back later.
-func (w *cluster) injectEvacuation(a action) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// injectEvacuation evacuates the far zone, unless it already is evacuated, and ends the evacuation later.
+func (c *cluster) injectEvacuation(a action) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
 	length := evacuationDeadline + minEvacuation + a.Duration
-	if n := len(w.evacuations); n > 0 && now.Before(w.evacuations[n-1].To) {
+	if n := len(c.evacuations); n > 0 && now.Before(c.evacuations[n-1].To) {
 		return
 	}
-	w.store.Put("evacuations", farZone, map[string]any{})
-	w.evacuations = append(w.evacuations, interval{From: now, To: now.Add(length)})
-	w.schedule(length, func() { w.store.Remove("evacuations", farZone) })
+	c.store.Put("evacuations", farZone, map[string]any{})
+	c.evacuations = append(c.evacuations, interval{From: now, To: now.Add(length)})
+	c.schedule(length, func() { c.store.Remove("evacuations", farZone) })
 }
 
-// checkEvacuations finds requests that reached runners of an evacuated zone.
-func (r *observations) checkEvacuations(add func(string, ...any)) {
+// checkEvacuations reports requests that reached runners of an evacuated zone.
+func (r *observations) checkEvacuations(report func(string, ...any)) {
 	byID := r.callsByID()
-	for _, one := range r.Executions {
+	for _, e := range r.Executions {
 		for _, s := range r.Evacuations {
-			if one.Zone != farZone || !one.StartedAt.After(s.From.Add(evacuationDeadline)) || !one.StartedAt.Before(s.To) {
+			if e.Zone != farZone || !e.StartedAt.After(s.From.Add(evacuationDeadline)) || !e.StartedAt.Before(s.To) {
 				continue
 			}
-			if c := byID[one.ID]; c != nil && !r.entryDisconnected(c, one.StartedAt) {
-				add("request %s reached runner %s %s after its zone was evacuated", one.ID, one.Runner, one.StartedAt.Sub(s.From))
+			if c := byID[e.ID]; c != nil && !r.entryDisconnected(c, e.StartedAt) {
+				report("request %s reached runner %s %s after its zone was evacuated", e.ID, e.Runner, e.StartedAt.Sub(s.From))
 			}
 		}
 	}
--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEvacuatedZoneGetsNoRequests evacuates half of the runners, while entries and agents are killed, stopped and stand still, and the store is away.
+// TestEvacuatedZoneGetsNoRequests guards against requests to an evacuated zone while entries and agents are killed,
+// stopped and paused and the store fails. The zone holds half of the runners.
 func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	binary := buildProgram(t)
 	for _, seed := range []uint64{1, 2} {
@@ -21,7 +22,7 @@
 	}
 }
 
-// TestRequestToEvacuatedZoneIsReported holds runs against when their zone was evacuated.
+// TestRequestToEvacuatedZoneIsReported checks the time of executions against the evacuation of their zone.
 func TestRequestToEvacuatedZoneIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	judged := func(one execution, outage interval) int {
@@ -38,17 +39,17 @@
 	reach := func(zone string, after time.Duration) execution {
 		return execution{ID: "c", Zone: zone, StartedAt: start.Add(after)}
 	}
-	t.Run("what reaches the zone within the bound is allowed", func(t *testing.T) {
+	t.Run("requests before the deadline are allowed", func(t *testing.T) {
 		assert.Zero(t, judged(reach(farZone, evacuationDeadline), interval{}))
 	})
-	t.Run("what reaches it later is not", func(t *testing.T) {
+	t.Run("a request after the deadline is reported", func(t *testing.T) {
 		assert.Equal(t, 1, judged(reach(farZone, evacuationDeadline+1), interval{}))
 	})
-	t.Run("nor does another zone's runner count, nor the end of the evacuation", func(t *testing.T) {
+	t.Run("requests to another zone or after the evacuation are allowed", func(t *testing.T) {
 		assert.Zero(t, judged(reach(nearZone, evacuationDeadline+1), interval{}))
 		assert.Zero(t, judged(reach(farZone, time.Minute), interval{}))
 	})
-	t.Run("an entry that has just stood still counts for nothing", func(t *testing.T) {
+	t.Run("requests of an entry that was just paused are ignored", func(t *testing.T) {
 		at := start.Add(evacuationDeadline)
 		assert.Zero(t, judged(reach(farZone, evacuationDeadline+time.Second), interval{at, at}))
 	})
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -11,22 +11,25 @@
 )
 
 const (
-	// fatalPath is what the last part of a fatal request's path begins with.
+	// fatalPath is the prefix of the last path segment of a fatal request.
 	fatalPath = "fatal-"
-	// fatalDuration is how long such a request comes again and again: for some seconds after entries must know it.
+	// fatalDuration is how long a fatal request is repeated. It lasts a few seconds beyond the time by which entries
+	// must have quarantined it.
 	fatalDuration = settleTime + 3*time.Second
-	// fatalShare is the part of a fault's length that passes between two of its sends.
+	// fatalShare divides the duration of the fault into the pauses between two repetitions of the request.
 	fatalShare = 8
-	// maxAfterQuarantine is how many sends may reach runners once entries must know the request.
+	// maxAfterQuarantine is the number of repetitions that may reach runners after the request must be quarantined.
 	maxAfterQuarantine = 3
-	// quarantinedBody is what the answer to a request begins with that is held back.
+	// quarantinedBody is the prefix of the response to a quarantined request.
 	quarantinedBody = "crashes-runners"
-	// maxQuarantine is for how long requests that end no runner are held back at the most: those that were under way may end with their runners
-	// for as long as the longest streams last, one is tried 1 to 3 s after that, and takes as long again to be whole.
+	// maxQuarantine is the maximum time for which requests that crash no runner are quarantined. Those in progress may
+	// end with their runners for as long as the longest streams last. One is tried 1 to 3 s after that, and takes as
+	// long again to complete.
 	maxQuarantine = longStream + 3*time.Second + longStream
 )
 
-// fatalName names the request where it ends the runners that begin it.
+// fatalName returns the name of a request that crashes the runners that start it, and an empty string for other
+// requests.
 func fatalName(r *http.Request) string {
 	last := r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:]
 	if !strings.HasPrefix(last, fatalPath) {
@@ -35,7 +38,8 @@
 	return last
 }
 
-// crashRunner notes a run of a fatal request, and ends its runner by the function and the request with it.
+// crashRunner records an execution of a fatal request, crashes its runner with the given function, and aborts the
+// request.
 func (l *eventLog) crashRunner(r execution, end func() bool) {
 	open := l.beginExecution(r)
 	time.Sleep(workTime)
@@ -45,50 +49,53 @@
 	panic(http.ErrAbortHandler)
 }
 
-// injectFatal has a caller send one fatal request again and again, to whichever entry the balancer gives.
-func (w *cluster) injectFatal(a action) {
-	w.schedule(0, func() {
-		one := &caller{callers: w.callers}
-		one.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: one.dial}}
-		name := fmt.Sprint(fatalPath, w.callers.nextID.Add(1))
+// injectFatal makes a caller repeat one fatal request, each time to the entry that the balancer chooses.
+func (c *cluster) injectFatal(a action) {
+	c.schedule(0, func() {
+		sender := &caller{callers: c.callers}
+		sender.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: sender.dial}}
+		name := fmt.Sprint(fatalPath, c.callers.nextID.Add(1))
 		for until := time.Now().Add(fatalDuration); time.Now().Before(until); time.Sleep(a.Duration / fatalShare) {
-			one.call(kinds[a.Target%len(kinds)], permanentKey, name)
+			sender.call(kinds[a.Target%len(kinds)], permanentKey, name)
 		}
 	})
 }
 
-// checkFatalRequests finds fatal requests that were sent on once entries must have known them, and other requests that were held back.
-func (r *observations) checkFatalRequests(add func(string, ...any)) {
+// checkFatalRequests reports fatal requests that were sent to runners after they had to be quarantined, and other
+// requests that were quarantined.
+func (r *observations) checkFatalRequests(report func(string, ...any)) {
 	byID := r.callsByID()
 	runs := map[string][]execution{}
-	for _, one := range r.Executions {
-		if one.Fatal != "" {
-			runs[one.Fatal] = append(runs[one.Fatal], one)
+	for _, e := range r.Executions {
+		if e.Fatal != "" {
+			runs[e.Fatal] = append(runs[e.Fatal], e)
 		}
 	}
 	for name, all := range runs {
 		known := quarantineDeadline(all)
-		late := slices.DeleteFunc(slices.Clone(all), func(one execution) bool {
-			c := byID[one.ID]
-			return known.IsZero() || !one.StartedAt.After(known) || c == nil || r.entryDisconnected(c, one.StartedAt)
+		late := slices.DeleteFunc(slices.Clone(all), func(e execution) bool {
+			c := byID[e.ID]
+			return known.IsZero() || !e.StartedAt.After(known) || c == nil || r.entryDisconnected(c, e.StartedAt)
 		})
 		if len(late) > maxAfterQuarantine {
-			add("request %s ended %d runners and was sent %d times once that had to be known", name, countKilled(all), len(late))
+			report("request %s ended %d runners and was sent %d times once that had to be known", name, countKilled(all), len(late))
 		}
 	}
-	r.checkQuarantined(add)
+	r.checkQuarantined(report)
 }
 
-// requestGroup are the requests that a runner can't tell apart: callers of a kind send the requestGroup bytes.
+// requestGroup identifies requests that a runner cannot tell apart, since callers send the same bytes for the same kind
+// and key.
 type requestGroup struct {
 	Kind kind
 	Key  string
 }
 
-// checkQuarantined finds requests that end no runner and were held back for long, though runners had answered them before. One of them is under
-// way at each runner that ends, so that for a moment they can't be told from one that ends it; and those of which none was ever answered are
-// like one that ends runners in all that entries see.
-func (r *observations) checkQuarantined(add func(string, ...any)) {
+// checkQuarantined reports requests that crash no runner and were quarantined for too long, though runners had answered
+// equal requests before. Such requests are in progress at every runner that crashes, so that for a short time entries
+// cannot tell them from the request that causes the crash. Requests that were never answered look like fatal ones to
+// entries and are ignored.
+func (r *observations) checkQuarantined(report func(string, ...any)) {
 	since := map[requestGroup]time.Time{}
 	answered := map[requestGroup]bool{}
 	for _, c := range r.nonFatalCalls() {
@@ -107,12 +114,12 @@
 			continue
 		}
 		if held := c.EndedAt.Sub(first); held > maxQuarantine {
-			add("request %s of kind %s, like others for %s, was held back, and ends no runner", c.ID, c.Kind, held)
+			report("request %s of kind %s, like others for %s, was held back, and ends no runner", c.ID, c.Kind, held)
 		}
 	}
 }
 
-// nonFatalCalls are the calls that end no runner, in the order of their ends.
+// nonFatalCalls returns the calls that crash no runner, ordered by their end.
 func (r *observations) nonFatalCalls() []*callRecord {
 	var calls []*callRecord
 	for i := range r.Calls {
@@ -124,12 +131,13 @@
 	return calls
 }
 
-// quarantineDeadline is when entries have to know a request that has ended so many runners, zero where it has not.
-func quarantineDeadline(runs []execution) time.Time {
+// quarantineDeadline returns the time by which entries must quarantine the request, or the zero time if it has not
+// crashed enough runners.
+func quarantineDeadline(executions []execution) time.Time {
 	var ended []time.Time
-	for _, one := range runs {
-		if one.Killed {
-			ended = append(ended, one.EndedAt)
+	for _, e := range executions {
+		if e.Killed {
+			ended = append(ended, e.EndedAt)
 		}
 	}
 	slices.SortFunc(ended, time.Time.Compare)
@@ -139,11 +147,11 @@
 	return ended[poison.MaxCrashes-1].Add(settleTime)
 }
 
-// countKilled is how many runners the runs have ended.
-func countKilled(runs []execution) int {
+// countKilled returns the number of runners that the executions crashed.
+func countKilled(executions []execution) int {
 	n := 0
-	for _, one := range runs {
-		if one.Killed {
+	for _, e := range executions {
+		if e.Killed {
 			n++
 		}
 	}
--- a/soak/fatal_test.go
+++ b/soak/fatal_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFatalRequestsAreQuarantined has callers repeat requests that end each runner that begins them, while entries and agents are killed and stand still:
-// entries must hold them back, and nothing else.
+// TestFatalRequestsAreQuarantined guards against fatal requests that reach runners again and again, and against other
+// requests being quarantined, while entries and agents are killed and paused.
 func TestFatalRequestsAreQuarantined(t *testing.T) {
 	binary := buildProgram(t)
 	for _, seed := range []uint64{1, 2} {
@@ -20,7 +20,7 @@
 	}
 }
 
-// runFaults plays a schedule of faults that are drawn by themselves, before so many runners and as many engines.
+// runFaults runs a schedule of the given faults with the given number of runners and as many engines.
 func runFaults(t *testing.T, binary string, seed uint64, runners int, from []fault) *observations {
 	t.Helper()
 	w, err := newCluster(binary, t.TempDir(), clusterSize{Entries: 3, Runners: runners, Callers: 30}, t.Logf)
@@ -29,7 +29,8 @@
 	return w.run(engineSchedule(seed, shortLength, from), shortLength)
 }
 
-// TestFatalRequestSentAgainIsReported holds sends of a fatal request against when entries have to know it.
+// TestFatalRequestSentAgainIsReported checks executions of a fatal request against the time by which entries must have
+// quarantined it.
 func TestFatalRequestSentAgainIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := start.Add
@@ -45,28 +46,28 @@
 		r.checkFatalRequests(func(string, ...any) { n++ })
 		return n
 	}
-	t.Run("three sends after that are allowed", func(t *testing.T) {
+	t.Run("three requests after the deadline are allowed", func(t *testing.T) {
 		r := good()
 		for i := range maxAfterQuarantine {
 			r.addFatalCall(at(10*time.Second+time.Duration(i)), false)
 		}
 		assert.Zero(t, judged(r))
 	})
-	t.Run("a fourth is not", func(t *testing.T) {
+	t.Run("a fourth request is reported", func(t *testing.T) {
 		r := good()
 		for i := range maxAfterQuarantine + 1 {
 			r.addFatalCall(at(10*time.Second+time.Duration(i)), true)
 		}
 		assert.Equal(t, 1, judged(r))
 	})
-	t.Run("what is sent before is", func(t *testing.T) {
+	t.Run("requests before the deadline are allowed", func(t *testing.T) {
 		r := good()
 		for i := range maxAfterQuarantine + 1 {
 			r.addFatalCall(at(2*time.Second+settleTime-time.Duration(i)), true)
 		}
 		assert.Zero(t, judged(r))
 	})
-	t.Run("an entry that has just stood still counts for nothing", func(t *testing.T) {
+	t.Run("requests of an entry that was just paused are ignored", func(t *testing.T) {
 		r := good()
 		r.updateEntry(func(h *processHistory) { h.Outages = []interval{{at(9 * time.Second), at(9 * time.Second)}} })
 		for i := range maxAfterQuarantine + 1 {
@@ -82,18 +83,18 @@
 	answered := func(r *observations) {
 		r.Calls = append(r.Calls, callRecord{ID: "a", Kind: kindOnce, Status: 200, EndedAt: at(-time.Second)})
 	}
-	t.Run("one that was never answered can't be told from a fatal one", func(t *testing.T) {
+	t.Run("a quarantined request that was never answered is ignored", func(t *testing.T) {
 		r := good()
 		heldBack(r, 0, maxQuarantine+time.Second)
 		assert.Zero(t, judged(r))
 	})
-	t.Run("another request that is held back for long is found", func(t *testing.T) {
+	t.Run("a request that is quarantined for too long is reported", func(t *testing.T) {
 		r := good()
 		answered(r)
 		heldBack(r, 0, maxQuarantine+time.Second)
 		assert.Equal(t, 1, judged(r))
 	})
-	t.Run("one that is held back for moments is none", func(t *testing.T) {
+	t.Run("a request that is quarantined for a short time is ignored", func(t *testing.T) {
 		r := good()
 		answered(r)
 		heldBack(r, 0, maxQuarantine/2)
@@ -103,7 +104,7 @@
 	})
 }
 
-// addFatalCall adds a addFatalCall of a fatal request, which ends its runner or not.
+// addFatalCall adds a fatal request that reaches a runner, and crashes it if kills is true.
 func (r *observations) addFatalCall(at time.Time, kills bool) {
 	id := strconv.Itoa(len(r.Calls))
 	r.Calls = append(r.Calls, callRecord{ID: id, Kind: kindOnce, Fatal: "fatal-1", SentAt: at})
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -7,178 +7,181 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// inject does one fault, and sees to it that it ends.
-func (w *cluster) inject(a action) {
-	e, p, n := w.entries[a.Target%len(w.entries)], w.runnerSlots[a.Target%len(w.runnerSlots)], w.engines[a.Target%len(w.engines)]
+// inject injects one fault and schedules its end.
+func (c *cluster) inject(a action) {
+	e, p, n := c.entries[a.Target%len(c.entries)], c.plainRunners[a.Target%len(c.plainRunners)], c.engines[a.Target%len(c.engines)]
 	switch a.Fault {
 	case faultPause, faultKill, faultStop, faultReload, faultBadReload:
-		w.injectEntry(a, e)
+		c.injectEntry(a, e)
 	case faultStopAll, faultAgentsStop:
-		w.injectRollingRestart(a)
+		c.injectRollingRestart(a)
 	case faultAgentPause, faultAgentKill, faultAgentStop, faultAgentStoreSilent:
-		w.injectAgent(a, n.agent)
+		c.injectAgent(a, n.agent)
 	case faultEngineCrash, faultEngineReset, faultDelayOrders:
-		w.injectEngine(a, n)
+		c.injectEngine(a, n)
 	case faultCrash, faultLeave:
-		w.injectRunner(a, p)
+		c.injectRunner(a, p)
 	case faultDelay, faultReset, faultSilence, faultDropResponses:
-		w.injectNetwork(a, p)
+		c.injectNetwork(a, p)
 	case faultStoreDown, faultStoreSilent, faultStoreForget:
-		w.injectStore(a, e)
+		c.injectStore(a, e)
 	case faultRemoveKey, faultNewVersion, faultWeights:
-		w.injectOperatorChange(a)
+		c.injectOperatorChange(a)
 	case faultRollout:
-		w.injectRollout(a)
+		c.injectRollout(a)
 	case faultFatal, faultEvacuate, faultRestore, faultRateLimit, faultRetryAfter, faultLeaveInResponses:
-		w.injectDedicated(a, p, n)
+		c.injectDedicated(a, p, n)
 	default:
-		w.injectEngineOrStore(a, n)
+		c.injectEngineOrStore(a, n)
 	}
 }
 
-// injectDedicated does one of the faults that are drawn by themselves.
-func (w *cluster) injectDedicated(a action, p *runnerSlot, n *engine) {
+// injectDedicated injects one of the faults that only dedicated schedules contain.
+func (c *cluster) injectDedicated(a action, p *plainRunner, n *engine) {
 	switch a.Fault {
 	case faultFatal:
-		w.injectFatal(a)
+		c.injectFatal(a)
 	case faultEvacuate:
-		w.injectEvacuation(a)
+		c.injectEvacuation(a)
 	case faultRestore:
-		w.injectRestore(a)
+		c.injectRestore(a)
 	default:
-		w.injectBackpressure(a, p, n)
+		c.injectBackpressure(a, p, n)
 	}
 }
 
 const (
-	// agentPauseDuration is how long agents stand still in a rollout: until their engines' old weights may be used no longer.
+	// agentPauseDuration is how long agents are paused in a rollout. It exceeds the time for which their engines' old
+	// weights may still be used.
 	agentPauseDuration = weightsWithin + time.Second
-	// queueDelayAfter and queueFor are when in a rollout requests begin to wait at engines, and for how long.
+	// queueDelayAfter is the time in a rollout after which requests begin to queue at engines, and queueDelayDuration
+	// is how long they do.
 	queueDelayAfter    = 5 * time.Second
 	queueDelayDuration = weightsWithin
 )
 
-// injectRollout names weights which no agent has its engine load in time, while requests wait at the engines.
-func (w *cluster) injectRollout(a action) {
-	w.publishWeights()
-	for _, n := range w.engines {
-		w.pause(action{Duration: agentPauseDuration}, &n.agent.process)
-		w.schedule(queueDelayAfter, func() { n.setQueueDelay(a.Duration) })
-		w.schedule(queueDelayAfter+queueDelayDuration, func() { n.setQueueDelay(0) })
+// injectRollout publishes weights that no agent makes its engine load in time, while requests queue at the engines.
+func (c *cluster) injectRollout(a action) {
+	c.publishWeights()
+	for _, n := range c.engines {
+		c.pause(action{Duration: agentPauseDuration}, &n.agent.process)
+		c.schedule(queueDelayAfter, func() { n.setQueueDelay(a.Duration) })
+		c.schedule(queueDelayAfter+queueDelayDuration, func() { n.setQueueDelay(0) })
 	}
 }
 
-// injectRollingRestart stops all entries or all agents, one soon after another, and starts each again when it has ended.
-func (w *cluster) injectRollingRestart(a action) {
+// injectRollingRestart stops all entries or all agents shortly after one another, and restarts each once it has exited.
+func (c *cluster) injectRollingRestart(a action) {
 	var all []*process
-	for _, e := range w.entries {
+	for _, e := range c.entries {
 		all = append(all, &e.process)
 	}
 	if a.Fault == faultAgentsStop {
 		all = nil
-		for _, n := range w.engines {
+		for _, n := range c.engines {
 			all = append(all, &n.agent.process)
 		}
 	}
 	for i, p := range all {
-		w.schedule(time.Duration(i)*a.signalInterval(), func() { w.restart(p, syscall.SIGTERM) })
+		c.schedule(time.Duration(i)*a.signalInterval(), func() { c.restart(p, syscall.SIGTERM) })
 	}
 }
 
-// injectOperatorChange changes what the operator writes.
-func (w *cluster) injectOperatorChange(a action) {
+// injectOperatorChange makes a change that an operator would make.
+func (c *cluster) injectOperatorChange(a action) {
 	switch a.Fault {
 	case faultRemoveKey:
-		w.removeKey(a.Target)
+		c.removeKey(a.Target)
 	case faultNewVersion:
-		w.publishConfig()
+		c.publishConfig()
 	case faultWeights:
-		w.publishWeights()
+		c.publishWeights()
 	}
 }
 
-func (w *cluster) injectEntry(a action, e *entry) {
+func (c *cluster) injectEntry(a action, e *entry) {
 	switch a.Fault {
 	case faultPause:
-		w.pause(a, &e.process)
+		c.pause(a, &e.process)
 	case faultKill:
-		w.schedule(0, func() { w.restart(&e.process, syscall.SIGKILL) })
+		c.schedule(0, func() { c.restart(&e.process, syscall.SIGKILL) })
 	case faultStop:
-		w.schedule(0, func() { w.restart(&e.process, syscall.SIGTERM) })
+		c.schedule(0, func() { c.restart(&e.process, syscall.SIGTERM) })
 	case faultReload:
-		w.schedule(0, func() { w.reload(e, e.settings.Text()) })
+		c.schedule(0, func() { c.reload(e, e.settings.Text()) })
 	case faultBadReload:
-		w.schedule(0, func() { w.reload(e, "= =") })
-		w.schedule(a.Duration, func() { w.reload(e, e.settings.Text()) })
+		c.schedule(0, func() { c.reload(e, "= =") })
+		c.schedule(a.Duration, func() { c.reload(e, e.settings.Text()) })
 	}
 }
 
-func (w *cluster) pause(a action, p *process) {
+func (c *cluster) pause(a action, p *process) {
 	p.updateHistory(func(h *processHistory) {
 		h.Outages = append(h.Outages, interval{From: time.Now(), To: time.Now().Add(a.Duration)})
 	})
 	p.signal(syscall.SIGSTOP)
-	w.schedule(a.Duration, func() { p.signal(syscall.SIGCONT) })
+	c.schedule(a.Duration, func() { p.signal(syscall.SIGCONT) })
 }
 
-func (w *cluster) injectAgent(a action, g *agent) {
+func (c *cluster) injectAgent(a action, g *agent) {
 	switch a.Fault {
 	case faultAgentPause:
-		w.pause(a, &g.process)
+		c.pause(a, &g.process)
 	case faultAgentKill:
-		w.schedule(0, func() { w.restart(&g.process, syscall.SIGKILL) })
+		c.schedule(0, func() { c.restart(&g.process, syscall.SIGKILL) })
 	case faultAgentStop:
-		w.schedule(0, func() { w.restart(&g.process, syscall.SIGTERM) })
+		c.schedule(0, func() { c.restart(&g.process, syscall.SIGTERM) })
 	case faultAgentStoreSilent:
-		w.silenceStore(a, &g.process)
+		c.silenceStore(a, &g.process)
 	}
 }
 
-// silenceStore has the store be silent for one process.
-func (w *cluster) silenceStore(a action, p *process) {
+// silenceStore makes the store silent for one process.
+func (c *cluster) silenceStore(a action, p *process) {
 	p.storeProxy.update(func(x *proxy) { x.silent = true })
-	w.schedule(a.Duration, func() { p.storeProxy.update(func(x *proxy) { x.silent = false }) })
+	c.schedule(a.Duration, func() { p.storeProxy.update(func(x *proxy) { x.silent = false }) })
 }
 
-func (w *cluster) injectEngine(a action, n *engine) {
+func (c *cluster) injectEngine(a action, n *engine) {
 	switch a.Fault {
 	case faultDelayOrders:
 		n.delayOrders(a.Duration)
-		w.schedule(a.Duration, func() {})
+		c.schedule(a.Duration, func() {})
 	case faultEngineReset:
-		w.recordRunnerFault(n.name(), 0)
+		c.recordRunnerFault(n.name(), 0)
 		n.proxy.reset()
-		w.schedule(0, func() {})
+		c.schedule(0, func() {})
 	case faultEngineCrash:
 		n.replaceMu.Lock()
-		w.replaceEngine(n)
+		c.replaceEngine(n)
 	}
 }
 
-// replaceEngine ends an engine's run and starts another under a new id; n.replacing is held, and given back once that is done.
-func (w *cluster) replaceEngine(n *engine) bool {
+// replaceEngine ends an engine's run and starts another under a new ID. The caller must hold n.replaceMu, which is
+// released once the new run has started.
+func (c *cluster) replaceEngine(n *engine) bool {
 	old, weights := n.idAndWeights()
-	w.recordRunnerFault(n.name(), 0)
+	c.recordRunnerFault(n.name(), 0)
 	n.crash()
-	w.schedule(restartDelay, func() {
+	c.schedule(restartDelay, func() {
 		defer n.replaceMu.Unlock()
 		n.start(weights)
-		w.registerEngine(n)
-		w.store.Remove("servers", old)
+		c.registerEngine(n)
+		c.store.Remove("servers", old)
 	})
 	return true
 }
 
-// publishWeights names the next version of the weights.
-func (w *cluster) publishWeights() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.weightsVersion++
-	w.store.Put("versions", site.Model, site.WeightsOf(w.weightsVersion))
-	w.weightsPublished[w.weightsVersion] = time.Now()
+// publishWeights publishes the next version of the weights.
+func (c *cluster) publishWeights() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.weightsVersion++
+	c.store.Put("versions", site.Model, site.WeightsOf(c.weightsVersion))
+	c.weightsPublished[c.weightsVersion] = time.Now()
 }
 
-func (w *cluster) restart(p *process, sig syscall.Signal) {
+func (c *cluster) restart(p *process, sig syscall.Signal) {
 	p.restartMu.Lock()
 	defer p.restartMu.Unlock()
 	p.terminate(sig)
@@ -187,79 +190,81 @@
 	defer p.settingsMu.Unlock()
 	begun := time.Now()
 	if err := p.write(p.settings.Text()); err != nil {
-		w.report("settings not written: %v", err)
+		c.report("settings not written: %v", err)
 	}
 	if err := p.start(); err != nil {
-		w.report("%s not started: %v", p.settings.Name, err)
+		c.report("%s not started: %v", p.settings.Name, err)
 	}
 	if took := time.Since(begun); took > slowStartThreshold {
-		w.report("the machine took %s to start %s", took, p.settings.Name)
+		c.report("the machine took %s to start %s", took, p.settings.Name)
 	}
 }
 
-// slowStartThreshold is how long writing the settings and starting a process may take before it is reported, for whoever traces a
-// promise that is bound in time.
+// slowStartThreshold is the time for writing the settings and starting a process above which it is reported. This helps
+// to explain violations of guarantees with a time limit.
 const slowStartThreshold = time.Second
 
-// reload changes the settings of an entry that runs, since one that starts with broken ones rightly ends.
-func (w *cluster) reload(e *entry, text string) {
+// reload changes the settings of a running entry. It does not write invalid settings while the entry is starting, since
+// the entry would rightly exit.
+func (c *cluster) reload(e *entry, text string) {
 	e.settingsMu.Lock()
 	defer e.settingsMu.Unlock()
 	if h := e.historySnapshot(); text != e.settings.Text() && h.Lifetimes[len(h.Lifetimes)-1].Ready.IsZero() {
 		return
 	}
 	if err := e.write(text); err != nil {
-		w.report("settings not written: %v", err)
+		c.report("settings not written: %v", err)
 	}
 	e.signal(syscall.SIGHUP)
 }
 
-func (w *cluster) injectRunner(a action, p *runnerSlot) {
+func (c *cluster) injectRunner(a action, p *plainRunner) {
 	p.replaceMu.Lock()
 	if a.Fault == faultCrash {
-		w.replaceRunner(p)
+		c.replaceRunner(p)
 		return
 	}
 	old := p.id()
-	w.register(p, old, "draining")
-	w.mu.Lock()
-	w.leavingSince[old] = time.Now()
-	w.mu.Unlock()
-	w.schedule(leaveDuration, func() {
+	c.register(p, old, "draining")
+	c.mu.Lock()
+	c.leavingSince[old] = time.Now()
+	c.mu.Unlock()
+	c.schedule(leaveDuration, func() {
 		defer p.replaceMu.Unlock()
-		w.recordRunnerFault(p.name(), 0)
+		c.recordRunnerFault(p.name(), 0)
 		p.crash()
-		w.store.Remove("servers", old)
-		w.register(p, p.start(), "ready")
+		c.store.Remove("servers", old)
+		c.register(p, p.start(), "ready")
 	})
 }
 
-// replaceRunner ends a runner and starts another under a new id; p.replacing is held, and given back once that is done.
-func (w *cluster) replaceRunner(p *runnerSlot) bool {
+// replaceRunner ends a runner and starts another under a new ID. The caller must hold p.replaceMu, which is released
+// once the new runner has started.
+func (c *cluster) replaceRunner(p *plainRunner) bool {
 	old := p.id()
-	w.recordRunnerFault(p.name(), 0)
+	c.recordRunnerFault(p.name(), 0)
 	p.crash()
-	w.schedule(restartDelay, func() {
+	c.schedule(restartDelay, func() {
 		defer p.replaceMu.Unlock()
-		w.register(p, p.start(), "ready")
-		w.store.Remove("servers", old)
+		c.register(p, p.start(), "ready")
+		c.store.Remove("servers", old)
 	})
 	return true
 }
 
-func (w *cluster) removeKey(which int) {
-	key := w.keys()[1+which%keyCount]
-	w.mu.Lock()
-	_, gone := w.keysRemoved[key]
+func (c *cluster) removeKey(which int) {
+	key := c.keys()[1+which%keyCount]
+	c.mu.Lock()
+	_, gone := c.keysRemoved[key]
 	if !gone {
-		w.keysRemoved[key] = time.Now()
+		c.keysRemoved[key] = time.Now()
 	}
-	w.mu.Unlock()
+	c.mu.Unlock()
 	if gone {
 		return
 	}
-	w.publishConfig()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.keysRemoved[key] = time.Now()
+	c.publishConfig()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.keysRemoved[key] = time.Now()
 }
--- a/soak/givenup.go
+++ b/soak/givenup.go
@@ -7,68 +7,71 @@
 	"time"
 )
 
-// resetSlack is how long after a runner's connections are said to break a run may still begin there.
+// resetSlack is how long after the recorded reset of a runner's connections an execution may still begin there.
 const resetSlack = 100 * time.Millisecond
 
-// checkAbandonedStream finds streams without their whole answer though a runner was answering them that neither broke off nor had been left
-// for another one that answered already. How busy the machine is excuses none of them.
-func (r *observations) checkAbandonedStream(c *callRecord, runs []execution, add func(string, ...any)) {
+// checkAbandonedStream reports streams that were cut although a runner was still answering them. It allows for a runner
+// that failed, and for one that was left for another runner that was already answering. A busy machine is no excuse.
+func (r *observations) checkAbandonedStream(c *callRecord, executions []execution, report func(string, ...any)) {
 	if !c.failedStream() || overlapsAny(c, r.Entries[c.Entry].Outages) || r.stopping(c) {
 		return
 	}
-	for i := range runs {
-		one := &runs[i]
-		if r.runnerFailed(one, c) || r.resumedElsewhere(one, c, runs) {
+	for i := range executions {
+		e := &executions[i]
+		if r.runnerFailed(e, c) || r.resumedElsewhere(e, c, executions) {
 			continue
 		}
-		add("request %s of kind %s, taken by entry %d, was cut after %s, though %s was answering it for %s (answer whole: %t)",
-			c.ID, c.Kind, c.Entry, c.EndedAt.Sub(c.SentAt), one.Runner, max(one.endTime(c).Sub(one.StartedAt), 0), one.Complete)
+		report("request %s of kind %s, taken by entry %d, was cut after %s, though %s was answering it for %s (answer whole: %t)",
+			c.ID, c.Kind, c.Entry, c.EndedAt.Sub(c.SentAt), e.Runner, max(e.endTime(c).Sub(e.StartedAt), 0), e.Complete)
 		return
 	}
 }
 
-// failedStream reports that a stream which had been sent whole was cut, or answered as failed, before its time-out.
+// failedStream reports whether a stream whose request was fully sent was cut or answered with an error before its
+// timeout.
 func (c *callRecord) failedStream() bool {
 	lost := c.Truncated || c.Status == http.StatusBadGateway
 	return lost && c.Kind.streams() && !c.WrittenAt.IsZero() && c.EndedAt.Sub(c.SentAt) <= c.Kind.timeout()-timeoutSlack
 }
 
-// stopping reports that the call's entry was between SIGTERM and its end when the call ended, at the latest by SIGKILL.
+// stopping reports whether the call ended while its entry was stopping, between SIGTERM and at the latest SIGKILL.
 func (r *observations) stopping(c *callRecord) bool {
 	e := r.Entries[c.Entry]
 	stop := e.lastSIGTERMBefore(c.EndedAt)
 	return !stop.IsZero() && !c.EndedAt.After(stop.Add(killAfter+signalSlack))
 }
 
-// runnerFailed reports that a run's runner ended or lost its connections before the run did, and before the call had ended. An answer that
-// the runner had given whole may still have been on its way then.
-func (r *observations) runnerFailed(one *execution, c *callRecord) bool {
-	place := one.Runner[:max(strings.LastIndex(one.Runner, "-"), 0)]
-	until := one.endTime(c)
-	if one.Complete {
+// runnerFailed reports whether the runner ended or lost its connections before both the execution and the call had
+// ended. If the runner had completed its response, the response may still have been in transit then.
+func (r *observations) runnerFailed(e *execution, c *callRecord) bool {
+	place := e.Runner[:max(strings.LastIndex(e.Runner, "-"), 0)]
+	until := e.endTime(c)
+	if e.Complete {
 		until = c.EndedAt
 	}
 	return slices.ContainsFunc(r.RunnerFaults[place], func(s interval) bool {
-		return s.From.Equal(s.To) && s.From.After(one.StartedAt.Add(-resetSlack)) && s.From.Before(until)
+		return s.From.Equal(s.To) && s.From.After(e.StartedAt.Add(-resetSlack)) && s.From.Before(until)
 	})
 }
 
-// resumedElsewhere reports that another runner had taken the call over before the run was left, or took it over and broke off.
-func (r *observations) resumedElsewhere(one *execution, c *callRecord, runs []execution) bool {
-	return slices.ContainsFunc(runs, func(other execution) bool {
-		return other.startedAfter(one) && (other.FirstEventAt.Before(one.endTime(c)) || r.runnerFailed(&other, c))
+// resumedElsewhere reports whether another runner was answering the call before the execution ended, or had taken it
+// over and failed.
+func (r *observations) resumedElsewhere(e *execution, c *callRecord, executions []execution) bool {
+	return slices.ContainsFunc(executions, func(other execution) bool {
+		return other.respondedAfter(e) && (other.FirstEventAt.Before(e.endTime(c)) || r.runnerFailed(&other, c))
 	})
 }
 
-// startedAfter reports that the run answered, and later than another where that answered at all.
-func (one *execution) startedAfter(from *execution) bool {
-	return !one.FirstEventAt.IsZero() && (from.FirstEventAt.IsZero() || one.FirstEventAt.After(from.FirstEventAt))
+// respondedAfter reports whether the execution responded, and later than the other execution if that one responded at
+// all.
+func (e *execution) respondedAfter(from *execution) bool {
+	return !e.FirstEventAt.IsZero() && (from.FirstEventAt.IsZero() || e.FirstEventAt.After(from.FirstEventAt))
 }
 
-// endTime is when the run ended, at the latest with the call.
-func (one *execution) endTime(c *callRecord) time.Time {
-	if one.EndedAt.IsZero() || one.EndedAt.After(c.EndedAt) {
+// endTime returns when the execution ended, or when the call ended if that is earlier.
+func (e *execution) endTime(c *callRecord) time.Time {
+	if e.EndedAt.IsZero() || e.EndedAt.After(c.EndedAt) {
 		return c.EndedAt
 	}
-	return one.EndedAt
+	return e.EndedAt
 }
--- a/soak/givenup_test.go
+++ b/soak/givenup_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestAbandonedStreamIsReported cuts a stream while its runner is at work, and holds it against the promise without those bound in time.
+// TestAbandonedStreamIsReported cuts a stream while its runner is still answering it. The check must find this among
+// the guarantees without a time limit.
 func TestAbandonedStreamIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := start.Add
@@ -24,7 +25,7 @@
 			RunnerFaults: map[string][]interval{},
 		}
 	}
-	// next has the stream go on at another runner, which begins at the first time and answers at the second.
+	// next resumes the stream at another runner, which starts it at begins and responds at first.
 	next := func(r *observations, begins, first time.Duration) {
 		r.Calls[0].EndedAt = at(ended + time.Second)
 		r.Executions = append(r.Executions, execution{ID: "chat", Runner: "e-1-1", StartedAt: at(begins), FirstEventAt: at(first), EndedAt: at(ended + time.Second)})
@@ -37,53 +38,53 @@
 		spoil func(r *observations)
 		want  string
 	}{
-		"by its entry":              {func(*observations) {}, givenUp},
-		"and answered as failed":    {func(r *observations) { r.Calls[0].Truncated, r.Calls[0].Status = false, 502 }, givenUp},
-		"beside another's crash":    {func(r *observations) { breakOff(r, "e-1", ended-1) }, givenUp},
-		"before a crash":            {func(r *observations) { breakOff(r, "e-0", ended+1) }, givenUp},
-		"by its runner":             {func(r *observations) { breakOff(r, "e-0", ended-1) }, ""},
-		"while its runner was slow": {func(r *observations) { r.RunnerFaults["e-0"] = []interval{{at(began), at(ended)}} }, givenUp},
-		"after its runner's whole":  {func(r *observations) { r.Executions[0].Complete = true }, givenUp},
-		"whole, on its way at a crash": {func(r *observations) {
+		"cut by the entry":                         {func(*observations) {}, givenUp},
+		"answered with an error":                   {func(r *observations) { r.Calls[0].Truncated, r.Calls[0].Status = false, 502 }, givenUp},
+		"cut at the crash of another runner":       {func(r *observations) { breakOff(r, "e-1", ended-1) }, givenUp},
+		"cut before the runner's crash":            {func(r *observations) { breakOff(r, "e-0", ended+1) }, givenUp},
+		"cut by the runner's crash":                {func(r *observations) { breakOff(r, "e-0", ended-1) }, ""},
+		"cut while the runner was slow":            {func(r *observations) { r.RunnerFaults["e-0"] = []interval{{at(began), at(ended)}} }, givenUp},
+		"cut after the runner's complete response": {func(r *observations) { r.Executions[0].Complete = true }, givenUp},
+		"complete response in transit at the crash": {func(r *observations) {
 			r.Executions[0].Complete, r.Calls[0].EndedAt = true, at(ended+began)
 			breakOff(r, "e-0", ended+1)
 		}, ""},
-		"whole, before a crash":           {func(r *observations) { r.Executions[0].Complete = true; breakOff(r, "e-0", ended+1) }, givenUp},
-		"and told of it late by a freeze": {func(r *observations) { r.Executions[0].EndedAt = at(ended + began); breakOff(r, "e-0", ended+1) }, givenUp},
-		"for one that never answers":      {func(r *observations) { next(r, ended, ended); r.Executions[1].FirstEventAt = time.Time{} }, givenUp},
-		"for one that answers later":      {func(r *observations) { next(r, ended, ended+began) }, givenUp},
-		"for one that answers and is given up": {
+		"complete response before the crash":              {func(r *observations) { r.Executions[0].Complete = true; breakOff(r, "e-0", ended+1) }, givenUp},
+		"runner notices the cut late because of a freeze": {func(r *observations) { r.Executions[0].EndedAt = at(ended + began); breakOff(r, "e-0", ended+1) }, givenUp},
+		"left for a runner that never answers":            {func(r *observations) { next(r, ended, ended); r.Executions[1].FirstEventAt = time.Time{} }, givenUp},
+		"left for a runner that answers later":            {func(r *observations) { next(r, ended, ended+began) }, givenUp},
+		"left for a runner that answers and is abandoned": {
 			func(r *observations) { next(r, ended-2*began, ended-began) }, "though e-1-1 was answering it",
 		},
-		"for one that answers and breaks off": {
+		"left for a runner that answers and crashes": {
 			func(r *observations) { next(r, ended-2*began, ended-began); breakOff(r, "e-1", ended+began) }, "",
 		},
-		"late, where one that had answered breaks off": {func(r *observations) {
+		"execution ends after a runner that had answered crashes": {func(r *observations) {
 			next(r, began, 2*began)
 			r.Executions[0] = execution{ID: "chat", Runner: "e-0-1", StartedAt: at(ended), EndedAt: at(ended)}
 			breakOff(r, "e-1", ended+began)
 		}, ""},
-		"late, where one that had answered is given up": {func(r *observations) {
+		"execution ends after a runner that had answered is abandoned": {func(r *observations) {
 			next(r, began, 2*began)
 			r.Executions[0] = execution{ID: "chat", Runner: "e-0-1", StartedAt: at(ended), EndedAt: at(ended)}
 		}, "though e-1-1 was answering it"},
-		"by the time-out":         {func(r *observations) { r.Calls[0].EndedAt = at(streamTimeout) }, ""},
-		"before it was sent":      {func(r *observations) { r.Calls[0].WrittenAt = time.Time{} }, ""},
-		"by the end of its entry": {func(r *observations) { r.updateEntry(func(h *processHistory) { h.SIGTERMs = []time.Time{at(began)} }) }, ""},
-		"by the kill of an entry that did not end": {
+		"cut by the timeout":              {func(r *observations) { r.Calls[0].EndedAt = at(streamTimeout) }, ""},
+		"cut before the request was sent": {func(r *observations) { r.Calls[0].WrittenAt = time.Time{} }, ""},
+		"cut by the stop of the entry":    {func(r *observations) { r.updateEntry(func(h *processHistory) { h.SIGTERMs = []time.Time{at(began)} }) }, ""},
+		"cut by SIGKILL after SIGTERM": {
 			func(r *observations) {
 				r.updateEntry(func(h *processHistory) { h.SIGTERMs = []time.Time{at(ended - killAfter - signalSlack)} })
 			}, "",
 		},
-		"long after a stop of its entry": {
+		"cut long after a stop of the entry": {
 			func(r *observations) {
 				r.updateEntry(func(h *processHistory) { h.SIGTERMs = []time.Time{at(ended - killAfter - signalSlack - 1)} })
 			}, givenUp,
 		},
-		"by a kill of its entry": {func(r *observations) {
+		"cut by a kill of the entry": {func(r *observations) {
 			r.updateEntry(func(h *processHistory) { h.Outages = []interval{{at(began), at(began)}} })
 		}, ""},
-		"by another kind of request": {func(r *observations) { r.Calls[0].Kind = kindRepeat }, ""},
+		"not a stream": {func(r *observations) { r.Calls[0].Kind = kindRepeat }, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/soak/history.go
+++ b/soak/history.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// killAfter is how long a process has from SIGTERM to its end before it is killed.
+// killAfter is how long a process may take to exit after SIGTERM before it is killed.
 const killAfter = 10 * time.Second
 
-// processLifetime is one run of a process, from its start to its end.
+// processLifetime is one run of a process, from its start to its exit.
 type processLifetime struct {
-	// Started is when the process was started, Ready when it first called itself ready, Ended when it was seen to have ended.
+	// Started is when the process was started, Ready when it first reported being ready, and Ended when its exit was
+	// observed.
 	Started time.Time
 	Ready   time.Time
 	Ended   time.Time
-	// Signaled says that a signal asked it to end.
+	// Signaled reports whether the process was sent a signal to exit.
 	Signaled bool
 }
 
-// processHistory is what happened to a process.
+// processHistory is the history of a process across restarts.
 type processHistory struct {
 	Lifetimes []processLifetime
-	// SIGTERMs are the times of its SIGTERMs, Outages those of the faults that it could do nothing about.
+	// SIGTERMs holds the times of the signals, and Outages the intervals of faults that the process cannot handle
+	// itself.
 	SIGTERMs []time.Time
 	Outages  []interval
 }
 
-// recordSignal notes a signal that ends the process.
+// recordSignal records a signal that ends the process.
 func (h *processHistory) recordSignal(s syscall.Signal, now time.Time) {
 	if l := &h.Lifetimes[len(h.Lifetimes)-1]; l.Ended.IsZero() {
 		l.Signaled = true
@@ -39,7 +41,7 @@
 	h.Outages = append(h.Outages, interval{From: now, To: now.Add(restartDelay)})
 }
 
-// lastSIGTERMBefore is when the last SIGTERM before a moment came, zero where none did.
+// lastSIGTERMBefore returns the time of the last SIGTERM before t, or the zero time if there was none.
 func (h *processHistory) lastSIGTERMBefore(t time.Time) time.Time {
 	var last time.Time
 	for _, stop := range h.SIGTERMs {
@@ -50,14 +52,14 @@
 	return last
 }
 
-// wasRunning reports that the process had been ready before a moment, and went on for a time after it.
-func (h *processHistory) wasRunning(t time.Time, after time.Duration) bool {
+// wasRunning reports whether the process had become ready before t and ran for at least the remaining time after it.
+func (h *processHistory) wasRunning(t time.Time, remaining time.Duration) bool {
 	return slices.ContainsFunc(h.Lifetimes, func(l processLifetime) bool {
-		return !l.Ready.IsZero() && l.Ready.Before(t) && (l.Ended.IsZero() || l.Ended.After(t.Add(after)))
+		return !l.Ready.IsZero() && l.Ready.Before(t) && (l.Ended.IsZero() || l.Ended.After(t.Add(remaining)))
 	})
 }
 
-// disturbances are the times in which the process was out or stopped.
+// disturbances returns the intervals in which the process was down or stopping.
 func (h *processHistory) disturbances() []interval {
 	times := slices.Clone(h.Outages)
 	for _, stop := range h.SIGTERMs {
@@ -66,28 +68,28 @@
 	return times
 }
 
-// updateHistory changes the history.
-func (p *process) updateHistory(do func(h *processHistory)) {
+// updateHistory updates the history under the lock.
+func (p *process) updateHistory(fn func(h *processHistory)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	do(&p.history)
+	fn(&p.history)
 }
 
-// historySnapshot is the history so far.
+// historySnapshot returns a copy of the history.
 func (p *process) historySnapshot() processHistory {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return processHistory{Lifetimes: slices.Clone(p.history.Lifetimes), SIGTERMs: slices.Clone(p.history.SIGTERMs), Outages: slices.Clone(p.history.Outages)}
 }
 
-// currentLifetime is the number of the current currentLifetime.
+// currentLifetime returns the index of the current lifetime.
 func (p *process) currentLifetime() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.history.Lifetimes) - 1
 }
 
-// recordReady records that the process called itself ready in one of its lives.
+// recordReady records that the process reported being ready in the lifetime with the given index.
 func (p *process) recordReady(number int) {
 	p.updateHistory(func(h *processHistory) {
 		if l := &h.Lifetimes[number]; l.Ready.IsZero() {
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -13,34 +13,36 @@
 const (
 	statusOK     = http.StatusOK
 	streamEvents = 24
-	// streamTimeout and plainTimeout are the routes' time-outs, timeoutSlack is what the platform allows beyond them.
+	// streamTimeout and plainTimeout are the timeouts of the routes. timeoutSlack is how much longer the platform
+	// allows.
 	streamTimeout = 7 * time.Second
 	plainTimeout  = 3 * time.Second
 	timeoutSlack  = 500 * time.Millisecond
-	// leaveWithin and keyWithin are how soon a leaving runner gets nothing more and a key is refused.
+	// leaveWithin is the time after which a leaving runner gets no more requests, and keyWithin the time after which a
+	// removed key is refused.
 	leaveWithin = 2 * time.Second
 	keyWithin   = 2 * time.Second
-	// settleTime is how long an entry must have been undisturbed for a bound in time to count, backWithin how soon after the
-	// last fault requests are served again.
+	// settleTime is how long an entry must have been undisturbed for a time limit to apply. recoveryTime is the time
+	// after the last fault by which requests are served again.
 	settleTime = 3 * time.Second
-	// weightsWithin is how soon nothing begins on weights that were replaced, and loadedWithin how soon all engines have the
-	// newest, where faults hit engines and agents all the while.
+	// weightsWithin is the time after which no request starts on replaced weights. loadedWithin is the time by which
+	// all engines have loaded the newest weights while faults hit engines and agents.
 	weightsWithin  = 10 * time.Second
 	loadedWithin   = 14 * time.Second
 	recoveryTime   = 4 * time.Second
 	minServedShare = 0.95
 )
 
-// resumable reports that requests of the kind may go on at another runner.
+// resumable reports whether requests of the kind may be resumed at another runner.
 func (k kind) resumable() bool { return k == kindStream || k.engines() }
 
-// engines reports that requests of the kind go to engines.
+// engines reports whether requests of the kind go to engines.
 func (k kind) engines() bool { return k == kindPrompt || k == kindChat }
 
-// streams reports that requests of the kind are answered by events.
+// streams reports whether requests of the kind are answered with a stream of events.
 func (k kind) streams() bool { return k == kindFlow || k.resumable() }
 
-// timeout is the time-out of the kind's route.
+// timeout returns the timeout of the kind's route.
 func (k kind) timeout() time.Duration {
 	if k == kindRepeat || k == kindOnce {
 		return plainTimeout
@@ -48,7 +50,7 @@
 	return streamTimeout
 }
 
-// expected is the whole answer to a request.
+// expected returns the complete response to a request.
 func expected(id string, k kind) string {
 	if k == kindRepeat || k == kindOnce {
 		return "answer to " + id
@@ -60,119 +62,120 @@
 	return b.String()
 }
 
-// checkGuarantees lists the promises that were broken; without timed, those that are bound in time are left out, so that the verdict
-// does not depend on the machine.
+// checkGuarantees returns the violated guarantees. Unless timed is true, it omits those with a time limit, so that the
+// result does not depend on the speed of the machine.
 func checkGuarantees(r *observations, timed bool) []string {
-	var broken []string
-	add := func(format string, args ...any) { broken = append(broken, fmt.Sprintf(format, args...)) }
-	runs := map[string][]execution{}
-	for _, one := range r.Executions {
-		runs[one.ID] = append(runs[one.ID], one)
+	var violations []string
+	report := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
+	executions := map[string][]execution{}
+	for _, e := range r.Executions {
+		executions[e.ID] = append(executions[e.ID], e)
 	}
 	for i := range r.Calls {
 		c := &r.Calls[i]
-		checkExecutions(c, len(runs[c.ID]), add)
-		checkResponse(c, add)
-		r.checkDroppedRequest(c, runs[c.ID], timed, add)
-		r.checkAbandonedStream(c, runs[c.ID], add)
+		checkExecutions(c, len(executions[c.ID]), report)
+		checkResponse(c, report)
+		r.checkDroppedRequest(c, executions[c.ID], timed, report)
+		r.checkAbandonedStream(c, executions[c.ID], report)
 		if timed {
-			r.checkTimeout(c, add)
-			r.checkRemovedKey(c, add)
+			r.checkTimeout(c, report)
+			r.checkRemovedKey(c, report)
 		}
 	}
-	r.checkRefusedConnections(runs, add)
-	r.checkOrders(add)
-	r.checkFatalRequests(add)
-	r.checkEvacuations(add)
-	r.checkBackpressure(add)
-	r.checkUnexpectedExits(timed, add)
+	r.checkRefusedConnections(executions, report)
+	r.checkOrders(report)
+	r.checkFatalRequests(report)
+	r.checkEvacuations(report)
+	r.checkBackpressure(report)
+	r.checkUnexpectedExits(timed, report)
 	if timed {
-		r.checkWeights(add)
-		r.checkLeaving(add)
-		r.checkRecovery(add)
-		r.checkProbes(add)
+		r.checkWeights(report)
+		r.checkLeaving(report)
+		r.checkRecovery(report)
+		r.checkProbes(report)
 	}
-	return broken
+	return violations
 }
 
-func (r *observations) checkRemovedKey(c *callRecord, add func(string, ...any)) {
+func (r *observations) checkRemovedKey(c *callRecord, report func(string, ...any)) {
 	removed, ok := r.KeysRemoved[c.Key]
 	if ok && c.SentAt.After(removed.Add(keyWithin)) && c.Status == statusOK && !r.entryDisturbed(c) {
-		add("request %s: its key was taken away %s before", c.ID, c.SentAt.Sub(removed))
+		report("request %s: its key was taken away %s before", c.ID, c.SentAt.Sub(removed))
 	}
 }
 
-func checkExecutions(c *callRecord, runs int, add func(string, ...any)) {
-	if c.Kind.once() && runs > 1 {
-		add("request %s of kind %s ran %d times", c.ID, c.Kind, runs)
+func checkExecutions(c *callRecord, count int, report func(string, ...any)) {
+	if c.Kind.once() && count > 1 {
+		report("request %s of kind %s ran %d times", c.ID, c.Kind, count)
 	}
-	if c.Kind.once() && runs > 0 && !c.Truncated && (c.Status == http.StatusServiceUnavailable || c.Status == http.StatusTooManyRequests) {
-		add("request %s: refused with %d, and it ran", c.ID, c.Status)
+	if c.Kind.once() && count > 0 && !c.Truncated && (c.Status == http.StatusServiceUnavailable || c.Status == http.StatusTooManyRequests) {
+		report("request %s: refused with %d, and it ran", c.ID, c.Status)
 	}
 }
 
-func checkResponse(c *callRecord, add func(string, ...any)) {
+func checkResponse(c *callRecord, report func(string, ...any)) {
 	if c.Status != statusOK {
 		return
 	}
 	want := expected(c.ID, c.Kind)
 	if !c.Truncated && c.Body != want {
-		add("request %s: answer looks whole and is %q", c.ID, c.Body)
+		report("request %s: answer looks whole and is %q", c.ID, c.Body)
 	}
 	if c.Truncated && !strings.HasPrefix(want, c.Body) {
-		add("request %s: what came before the cut is %q", c.ID, c.Body)
+		report("request %s: what came before the cut is %q", c.ID, c.Body)
 	}
 }
 
-func (r *observations) checkTimeout(c *callRecord, add func(string, ...any)) {
+func (r *observations) checkTimeout(c *callRecord, report func(string, ...any)) {
 	if took := c.EndedAt.Sub(c.SentAt); took > c.Kind.timeout()+timeoutSlack && !r.entryDisturbed(c) {
-		add("request %s of kind %s: no final answer for %s", c.ID, c.Kind, took)
+		report("request %s of kind %s: no final answer for %s", c.ID, c.Kind, took)
 	}
 }
 
-// entryDisturbed reports that the call's entry was under a fault of its own from shortly before the request to its end.
+// entryDisturbed reports whether a fault of the call's entry overlapped the call or ended shortly before it.
 func (r *observations) entryDisturbed(c *callRecord) bool {
 	return overlapsAny(c, r.Disturbances[c.Entry])
 }
 
-// checkOrders holds the orders to each run of an engine against the promises of one holder and of fences that never fall.
-func (r *observations) checkOrders(add func(string, ...any)) {
+// checkOrders checks that each run of an engine gets orders from one holder only, and that their fencing tokens never
+// decrease.
+func (r *observations) checkOrders(report func(string, ...any)) {
 	last := map[string]site.Order{}
 	for _, g := range r.ReceivedOrders {
 		before, ok := last[g.Engine]
 		if ok && before.Holder != g.Order.Holder {
-			add("engine %s got orders of %s and of %s", g.Engine, before.Holder, g.Order.Holder)
+			report("engine %s got orders of %s and of %s", g.Engine, before.Holder, g.Order.Holder)
 		}
 		if ok && g.Order.Fence < before.Fence {
-			add("engine %s got fence %d after %d", g.Engine, g.Order.Fence, before.Fence)
+			report("engine %s got fence %d after %d", g.Engine, g.Order.Fence, before.Fence)
 		}
 		last[g.Engine] = g.Order
 	}
 }
 
-// checkWeights finds requests that began on weights replaced too long ago, and engines that were left with old ones.
-func (r *observations) checkWeights(add func(string, ...any)) {
+// checkWeights reports requests that started on weights replaced too long ago, and engines that still have old weights.
+func (r *observations) checkWeights(report func(string, ...any)) {
 	newest := uint64(0)
 	for version := range r.WeightsPublished {
 		newest = max(newest, version)
 	}
 	byID := r.callsByID()
-	for _, one := range r.Executions {
-		if c := byID[one.ID]; c != nil && r.entryDisconnected(c, one.StartedAt) {
-			continue // the entry cannot have known when newer weights were named, or could not take the request back
+	for _, e := range r.Executions {
+		if c := byID[e.ID]; c != nil && r.entryDisconnected(c, e.StartedAt) {
+			continue // the entry may not have known of the newer weights, or could no longer withdraw the request
 		}
-		if at := r.replacedAt(one.Weights); one.Weights != 0 && !at.IsZero() && one.StartedAt.After(at.Add(weightsWithin)) {
-			add("request %s began on weights %d at %s, replaced %s before", one.ID, one.Weights, one.Runner, one.StartedAt.Sub(at))
+		if at := r.replacedAt(e.Weights); e.Weights != 0 && !at.IsZero() && e.StartedAt.After(at.Add(weightsWithin)) {
+			report("request %s began on weights %d at %s, replaced %s before", e.ID, e.Weights, e.Runner, e.StartedAt.Sub(at))
 		}
 	}
 	for name, loaded := range r.LoadedWeights {
 		if loaded < newest && r.Ended.Sub(r.WeightsPublished[newest]) > loadedWithin {
-			add("engine %s still has weights %d and not %d", name, loaded, newest)
+			report("engine %s still has weights %d and not %d", name, loaded, newest)
 		}
 	}
 }
 
-// replacedAt is when the first version newer than the given one was named, zero where there is none.
+// replacedAt returns when the first newer version of the weights was published, or the zero time if there is none.
 func (r *observations) replacedAt(weights uint64) time.Time {
 	var first time.Time
 	for version, at := range r.WeightsPublished {
@@ -191,8 +194,8 @@
 	return byID
 }
 
-// entryDisconnected reports that the call's entry had started, stood still or had no object store shortly before it took the request, or did so
-// before the request began at a runner.
+// entryDisconnected reports whether the call's entry was started, was paused or had no object store shortly before the
+// call was sent, or between then and the start of the execution.
 func (r *observations) entryDisconnected(c *callRecord, began time.Time) bool {
 	concerned := func(s interval) bool { return s.From.Before(began) && s.To.Add(settleTime).After(c.SentAt) }
 	e := r.Entries[c.Entry]
@@ -200,32 +203,32 @@
 		slices.ContainsFunc(e.Lifetimes, func(l processLifetime) bool { return concerned(interval{From: l.Started, To: l.Started}) })
 }
 
-func (r *observations) checkLeaving(add func(string, ...any)) {
+func (r *observations) checkLeaving(report func(string, ...any)) {
 	byID := r.callsByID()
-	for _, one := range r.Executions {
-		left, ok := r.LeavingSince[one.Runner]
-		if !ok || !one.StartedAt.After(left.Add(leaveWithin)) {
+	for _, e := range r.Executions {
+		left, ok := r.LeavingSince[e.Runner]
+		if !ok || !e.StartedAt.After(left.Add(leaveWithin)) {
 			continue
 		}
-		if c := byID[one.ID]; c != nil && !r.entryDisturbed(c) {
-			add("request %s reached runner %s %s after its leaving", one.ID, one.Runner, one.StartedAt.Sub(left))
+		if c := byID[e.ID]; c != nil && !r.entryDisturbed(c) {
+			report("request %s reached runner %s %s after its leaving", e.ID, e.Runner, e.StartedAt.Sub(left))
 		}
 	}
 }
 
-func (r *observations) checkRecovery(add func(string, ...any)) {
-	asked, served := 0, 0
+func (r *observations) checkRecovery(report func(string, ...any)) {
+	total, served := 0, 0
 	for i := range r.Calls {
 		c := &r.Calls[i]
 		if _, gone := r.KeysRemoved[c.Key]; gone || c.Fatal != "" || c.SentAt.Before(r.LastFaultEnd.Add(recoveryTime)) {
 			continue
 		}
-		asked++
+		total++
 		if c.Status == statusOK && !c.Truncated {
 			served++
 		}
 	}
-	if asked == 0 || float64(served) < minServedShare*float64(asked) {
-		add("after the last fault %d of %d requests were served", served, asked)
+	if total == 0 || float64(served) < minServedShare*float64(total) {
+		report("after the last fault %d of %d requests were served", served, total)
 	}
 }
--- a/soak/main.go
+++ b/soak/main.go
@@ -17,7 +17,7 @@
 	defaultEntries  = 3
 	defaultRunners  = 4
 	defaultCallers  = 48
-	// maxPrinted is how many broken promises are printed.
+	// maxPrinted is the maximum number of violated guarantees that are printed.
 	maxPrinted = 20
 )
 
@@ -59,32 +59,32 @@
 			return errors.Wrapf(err, "build: %s", out)
 		}
 	}
-	n := clusterSize{Entries: c.Int("entries"), Runners: c.Int("runners"), Callers: c.Int("callers")}
+	counts := clusterSize{Entries: c.Int("entries"), Runners: c.Int("runners"), Callers: c.Int("callers")}
 	actions := buildSchedule(c, c.Uint64("seed"), c.Duration("for"))
-	broken, err := runSeed(binary, dir, c.Uint64("seed"), actions, c.Duration("for"), n, printf)
+	violations, err := runSeed(binary, dir, c.Uint64("seed"), actions, c.Duration("for"), counts, printf)
 	if err != nil {
 		return err
 	}
-	if len(broken) == 0 {
+	if len(violations) == 0 {
 		return errors.Wrap(os.RemoveAll(dir), "remove folder")
 	}
-	for _, one := range broken[:min(len(broken), maxPrinted)] {
-		printf("BROKEN: %s", one)
+	for _, violation := range violations[:min(len(violations), maxPrinted)] {
+		printf("BROKEN: %s", violation)
 	}
 	if keep := c.String("keep"); keep != "" {
 		if err := os.CopyFS(filepath.Join(keep, fmt.Sprintf("seed-%d", c.Uint64("seed"))), os.DirFS(dir)); err != nil {
 			return errors.Wrap(err, "keep logs")
 		}
 	}
-	return errors.Newf("seed %d: %d promises broken; logs in %s", c.Uint64("seed"), len(broken), dir)
+	return errors.Newf("seed %d: %d promises broken; logs in %s", c.Uint64("seed"), len(violations), dir)
 }
 
-// buildSchedule draws the faults that the flags ask for.
+// buildSchedule draws the faults that the flags select.
 func buildSchedule(c *cli.Command, seed uint64, length time.Duration) []action {
 	actions := sortByTime(append(schedule(seed, length), engineSchedule(seed, length, engineFaults)...))
-	for flag, from := range map[string][]fault{"fatal": fatalFaults, "evacuate": evacuationFaults, "backpressure": backpressureFaults, "restore": restoreFaults} {
+	for flag, faults := range map[string][]fault{"fatal": fatalFaults, "evacuate": evacuationFaults, "backpressure": backpressureFaults, "restore": restoreFaults} {
 		if c.Bool(flag) {
-			actions = engineSchedule(seed, length, from)
+			actions = engineSchedule(seed, length, faults)
 		}
 	}
 	if c.Bool("rollout") {
@@ -95,9 +95,9 @@
 
 func printf(format string, args ...any) { _, _ = fmt.Printf(format+"\n", args...) }
 
-// runSeed plays one schedule and returns the promises that were broken.
-func runSeed(binary, dir string, seed uint64, actions []action, length time.Duration, n clusterSize, report func(string, ...any)) ([]string, error) {
-	w, err := newCluster(binary, dir, n, report)
+// runSeed runs one schedule and returns the violated guarantees.
+func runSeed(binary, dir string, seed uint64, actions []action, length time.Duration, counts clusterSize, report func(string, ...any)) ([]string, error) {
+	w, err := newCluster(binary, dir, counts, report)
 	if err != nil {
 		return nil, err
 	}
--- a/soak/network_faults.go
+++ b/soak/network_faults.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// injectNetwork harms the connections to a runner.
-func (w *cluster) injectNetwork(a action, p *runnerSlot) {
-	w.recordRunnerFault(p.name(), a.Duration)
+// injectNetwork disrupts the connections to a runner.
+func (c *cluster) injectNetwork(a action, p *plainRunner) {
+	c.recordRunnerFault(p.name(), a.Duration)
 	if a.Fault == faultReset {
-		w.recordRunnerFault(p.name(), 0)
+		c.recordRunnerFault(p.name(), 0)
 		p.proxy.reset()
-		w.schedule(0, func() {})
+		c.schedule(0, func() {})
 		return
 	}
-	w.recordDisturbanceForAll(a.Duration) // a runner that is out of reach makes no entry late by its own fault
+	c.recordDisturbanceForAll(a.Duration) // entries may be late if a runner is unreachable
 	set := func(on bool) func(x *proxy) {
 		return func(x *proxy) {
 			switch a.Fault {
@@ -31,31 +31,31 @@
 		}
 	}
 	p.proxy.update(set(true))
-	w.schedule(a.Duration, func() { p.proxy.update(set(false)) })
+	c.schedule(a.Duration, func() { p.proxy.update(set(false)) })
 }
 
-// injectStore has the object store refuse, forget its history, or be silent for one entry.
-func (w *cluster) injectStore(a action, e *entry) {
+// injectStore makes the object store unavailable, drop its history, or stay silent for one entry.
+func (c *cluster) injectStore(a action, e *entry) {
 	switch a.Fault {
 	case faultStoreForget:
-		w.store.Forget()
+		c.store.Forget()
 	case faultStoreDown:
-		w.recordDisturbanceForAll(a.Duration)
-		for _, one := range w.entries {
-			w.recordStoreOutage(one, a.Duration)
+		c.recordDisturbanceForAll(a.Duration)
+		for _, each := range c.entries {
+			c.recordStoreOutage(each, a.Duration)
 		}
-		w.store.Fail(http.StatusServiceUnavailable)
-		w.schedule(a.Duration, func() { w.store.Fail(0) })
+		c.store.Fail(http.StatusServiceUnavailable)
+		c.schedule(a.Duration, func() { c.store.Fail(0) })
 	case faultStoreSilent:
-		w.recordDisturbance(e, a.Duration)
-		w.recordStoreOutage(e, a.Duration)
-		w.silenceStore(a, &e.process)
+		c.recordDisturbance(e, a.Duration)
+		c.recordStoreOutage(e, a.Duration)
+		c.silenceStore(a, &e.process)
 	}
 }
 
-// recordDisturbanceForAll notes that every entry is under a fault for a time.
-func (w *cluster) recordDisturbanceForAll(d time.Duration) {
-	for _, e := range w.entries {
-		w.recordDisturbance(e, d)
+// recordDisturbanceForAll records that every entry is under a fault for the given time.
+func (c *cluster) recordDisturbanceForAll(d time.Duration) {
+	for _, e := range c.entries {
+		c.recordDisturbance(e, d)
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -15,19 +15,19 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// process is one of the system's processes, which is started again whenever it ends.
+// process is an entry or agent process, which is restarted whenever it is ended.
 type process struct {
 	role           string
 	binary         string
 	dir            string
 	metricsAddress string
 	settings       site.Settings
-	// storeProxy is the way to the object storeProxy.
+	// storeProxy is the proxy between the process and the object store.
 	storeProxy *proxy
 
-	// restartMu keeps two ends of the process from overlapping.
+	// restartMu serializes restarts of the process.
 	restartMu sync.Mutex
-	// settingsMu keeps the settings from being changed while the process is started with them.
+	// settingsMu prevents changes to the settings file while the process starts with it.
 	settingsMu sync.Mutex
 
 	mu      sync.Mutex
@@ -36,7 +36,7 @@
 	history processHistory
 }
 
-// entry is a process before the runners.
+// entry is an entry process, which forwards requests to the runners.
 type entry struct {
 	process
 	number           int
@@ -44,10 +44,10 @@
 	readinessAddress string
 }
 
-// agent is a process beside an engine.
+// agent is the agent process of an engine.
 type agent struct{ process }
 
-// configure gives the process its way to the store, and writes its settings.
+// configure creates the process's proxy to the store and writes its settings.
 func (p *process) configure(store netip.AddrPort) error {
 	var err error
 	if p.storeProxy, err = newProxy(loopback, store); err != nil {
@@ -82,8 +82,8 @@
 
 func (p *process) path() string { return filepath.Join(p.dir, p.settings.Name+".toml") }
 
-// write replaces the settings file. It does not empty the file first, since some file systems then wait for the disk, for
-// seconds where that is busy.
+// write replaces the contents of the settings file. It truncates the file after writing, not before, since some file
+// systems then wait for the disk, which takes seconds if the disk is busy.
 func (p *process) write(text string) error {
 	f, err := os.OpenFile(p.path(), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return f.Truncate(int64(len(text)))
 }
 
-// start starts the process; its log goes to a file.
+// start starts the process and appends its output to a log file.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,10 +127,10 @@
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // a process that has ended takes no signal, and is started again by whoever ended it
+	_ = p.cmd.Process.Signal(s) // an exited process takes no signal and is restarted by whoever ended it
 }
 
-// terminate ends the process by a signal and waits until it has, at the longest for its grace.
+// terminate sends the process a signal to exit and waits until it has. After killAfter it kills the process.
 func (p *process) terminate(s syscall.Signal) {
 	p.mu.Lock()
 	ended := p.exited
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// proxy stands between two processes on loopback and spoils what passes.
+// proxy forwards connections between two processes on loopback and injects network faults.
 type proxy struct {
 	listenAddress netip.AddrPort
 
 	mu       sync.Mutex
 	listener net.Listener
-	// closed says that nobody listens.
+	// closed reports whether the proxy refuses connections.
 	closed         bool
 	target         netip.AddrPort
 	conns          map[net.Conn]bool
@@ -38,10 +38,10 @@
 	return p, nil
 }
 
-// loopback is where everything lives that needs no address of its own.
+// loopback is the address of everything that needs no loopback address of its own.
 var loopback = netip.MustParseAddr("127.0.0.1")
 
-// listen listens on a free port of an address of loopback.
+// listen listens on a free port of a loopback address.
 func listen(host netip.Addr) (net.Listener, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", netip.AddrPortFrom(host, 0).String())
 	return l, errors.Wrap(err, "listen on loopback")
@@ -49,7 +49,7 @@
 
 func (p *proxy) address() netip.AddrPort { return p.listenAddress }
 
-// stopListening has new connections refused and breaks all others, as where the process behind it has ended.
+// stopListening refuses new connections and breaks all others, as if the process behind the proxy had exited.
 func (p *proxy) stopListening() {
 	p.update(func(p *proxy) {
 		_ = p.listener.Close()
@@ -58,7 +58,7 @@
 	p.reset()
 }
 
-// listenFor takes connections for a process that has started.
+// listenFor accepts connections for a process that has started.
 func (p *proxy) listenFor(to netip.AddrPort) error {
 	p.update(func(p *proxy) { p.target = to })
 	if !p.isClosed() {
@@ -89,36 +89,36 @@
 	}
 }
 
-func (p *proxy) relay(near net.Conn) {
-	defer p.close(near)
+func (p *proxy) relay(client net.Conn) {
+	defer p.close(client)
 	p.mu.Lock()
 	to := p.target
 	p.mu.Unlock()
 	if !to.IsValid() {
-		_ = near.(*net.TCPConn).SetLinger(0)
+		_ = client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	far, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", to.String())
+	server, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", to.String())
 	if err != nil {
-		_ = near.(*net.TCPConn).SetLinger(0)
+		_ = client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	defer p.close(far)
+	defer p.close(server)
 	p.mu.Lock()
-	p.conns[near], p.conns[far] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.copy(far, near, false) })
-	wg.Go(func() { p.copy(near, far, true) })
+	wg.Go(func() { p.copy(server, client, false) })
+	wg.Go(func() { p.copy(client, server, true) })
 	wg.Wait()
 }
 
-// copy passes bytes on in one direction, as the faults of the moment allow.
-func (p *proxy) copy(to, from net.Conn, answers bool) {
+// copy forwards bytes in one direction, subject to the current faults.
+func (p *proxy) copy(to, from net.Conn, responses bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		p.waitUntilOpen(answers)
+		p.waitUntilOpen(responses)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
@@ -136,11 +136,11 @@
 	}
 }
 
-// waitUntilOpen waits while nothing may pass.
-func (p *proxy) waitUntilOpen(answers bool) {
+// waitUntilOpen waits until the current faults let bytes pass in the given direction.
+func (p *proxy) waitUntilOpen(responses bool) {
 	for {
 		p.mu.Lock()
-		held, delay, changed := p.silent || p.dropsResponses && answers, p.delay, p.updated
+		held, delay, changed := p.silent || p.dropsResponses && responses, p.delay, p.updated
 		p.mu.Unlock()
 		if !held {
 			time.Sleep(delay)
@@ -159,7 +159,7 @@
 	p.updated = make(chan struct{})
 }
 
-// reset breaks every connection.
+// reset resets all connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/record.go
+++ b/soak/record.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// kind is a kind of request.
+// kind is a kind of request, and the name of its route.
 type kind string
 
 // The kinds of requests.
@@ -11,86 +11,92 @@
 	kindOnce   kind = "once"
 	kindStream kind = "stream"
 	kindFlow   kind = "flow"
-	// kindPrompt requests go to engines, and may go on elsewhere.
+	// kindPrompt requests go to engines and may be resumed at another one.
 	kindPrompt kind = "prompt"
-	// kindChat requests do so too, last longer and have one runner less to go to.
+	// kindChat requests also do, but last longer and may be tried at one runner fewer.
 	kindChat kind = "chat"
 )
 
-// once reports that a request of the kind must not run twice.
+// once reports whether requests of the kind must not run twice.
 func (k kind) once() bool { return k == kindOnce || k == kindFlow }
 
-// callRecord is what a caller saw of one request.
+// callRecord is a request as its caller saw it.
 type callRecord struct {
 	ID   string
 	Kind kind
 	Key  string
-	// Entry is the one that the request's connection led to.
+	// Entry is the number of the entry that the request was sent to.
 	Entry  int
 	SentAt time.Time
-	// WrittenAt is when the whole request had been sent, zero where it never was.
+	// WrittenAt is when the request had been fully sent, or zero if it never was.
 	WrittenAt time.Time
 	EndedAt   time.Time
 	Status    int
 	Body      string
-	// Truncated says that the answer did not end as it should, or never came.
+	// Truncated reports whether the response ended early or never came.
 	Truncated bool
-	// Fatal names the request where it ends the runners that begin it; it comes again and again.
+	// Fatal is the name of a fatal request, which crashes the runners that start it and is sent repeatedly. It is empty
+	// for other requests.
 	Fatal string
-	// NewConnection says that the connection was opened for the request, Refused that it could not be since nobody listened.
+	// NewConnection reports whether the connection was opened for this request, and Refused whether opening it was
+	// refused.
 	NewConnection bool
 	Refused       bool
 }
 
-// execution is what a runner saw of one request.
+// execution is a request as a runner saw it.
 type execution struct {
 	ID     string
 	Runner string
-	// Zone is the runner's.
+	// Zone is the runner's zone.
 	Zone      string
 	StartedAt time.Time
-	// FirstEventAt is when its first event went out, zero where none did; Until is when the runner's work on it ended, zero where it goes on.
+	// FirstEventAt is when the first event was sent, or zero if none was. EndedAt is when the runner stopped working on
+	// the request, or zero if it has not.
 	FirstEventAt time.Time
 	EndedAt      time.Time
-	// Complete says that the runner answered to the end.
+	// Complete reports whether the runner completed its response.
 	Complete bool
-	// Weights are those that the run began on, zero where the runner has none.
+	// Weights is the version of the weights at the start of the execution, or zero if the runner has none.
 	Weights uint64
-	// Fatal names the request where it ends runners, and Killed says that it has ended this one.
+	// Fatal is the name of a fatal request and empty for others. Killed reports whether this execution ended the
+	// runner.
 	Fatal  string
 	Killed bool
 }
 
-// interval is a time in which something was disturbed.
+// interval is the time for which a fault lasted.
 type interval struct{ From, To time.Time }
 
-// observations is all that was seen.
+// observations holds everything that was observed in a run of the soak.
 type observations struct {
 	Calls      []callRecord
 	Executions []execution
-	// Probes are what entries said of the routes of new configurations.
+	// Probes holds the answers of entries about the routes of new configurations.
 	Probes []probe
-	// Arrivals are the requests that came to runners, also those that were turned away.
+	// Arrivals holds the requests that reached runners, including refused ones.
 	Arrivals []arrival
-	// ReceivedOrders are those that engines got, in the order of their coming.
+	// ReceivedOrders holds the orders that engines received, in the order of arrival.
 	ReceivedOrders []receivedOrder
-	// WeightsPublished is when each version of the weights was named, Loaded what each engine has at the end.
+	// WeightsPublished is when each version of the weights was published, and LoadedWeights is what each engine has at
+	// the end.
 	WeightsPublished map[uint64]time.Time
 	LoadedWeights    map[string]uint64
-	// Ended is when the record was closed.
+	// Ended is when the observations were collected.
 	Ended time.Time
-	// Disturbances are the times in which an entry was under a fault of its own, by entry.
+	// Disturbances holds the faults of each entry.
 	Disturbances map[int][]interval
-	// StoreOutages are the times in which an entry had no path to the object store, or that served nobody.
+	// StoreOutages holds the intervals in which each entry could not reach the object store, or the store served
+	// nobody.
 	StoreOutages map[int][]interval
-	// Entries are the histories of the entries' processes, Harmed the times in which each place of runners was under a fault; a fault
-	// without a length broke all connections there.
+	// Entries holds the histories of the entries' processes. RunnerFaults holds the faults of each plain runner and
+	// engine, by name. A fault of zero duration broke all connections of the runner.
 	Entries      map[int]processHistory
 	RunnerFaults map[string][]interval
-	// LeavingSince is when each runner's leaving was acknowledged, Removed when each key was taken away.
+	// LeavingSince is when each runner's leave was acknowledged, and KeysRemoved when each key was removed.
 	LeavingSince map[string]time.Time
 	KeysRemoved  map[string]time.Time
-	// Evacuations are the times in which the far zone was evacuated.
+	// Evacuations holds the evacuations of the far zone.
 	Evacuations []interval
 	// LastFaultEnd is when the last fault was over.
 	LastFaultEnd time.Time
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -9,49 +9,51 @@
 	"time"
 )
 
-// faultRestore is drawn by itself, beside those of restoreFaults.
+// faultRestore is drawn only together with the other restoreFaults.
 const faultRestore fault = "store comes back from a copy"
 
-// restoreFaults are the faults beside which changes are in force in time all the same, and nothing goes back.
+// restoreFaults are the faults under which changes must take effect in time and must not be reverted.
 var restoreFaults = []fault{
 	faultRestore, faultRestore, faultRestore, faultNewVersion, faultNewVersion, faultRemoveKey, faultWeights, faultWeightsBurst, faultLeave, faultCrash, faultEngineCrash,
 	faultKill, faultPause, faultAgentKill, faultStoreSilent, faultStoreForget,
 }
 
 const (
-	// storeDownDuration is how long the store is away before it comes back from a copy.
+	// storeDownDuration is how long the store is unavailable before it is restored from a copy.
 	storeDownDuration = 300 * time.Millisecond
-	// routeProbeInterval is how often each entry is asked for the newest route.
+	// routeProbeInterval is the interval at which each entry is asked for the newest route.
 	routeProbeInterval = 250 * time.Millisecond
-	// configDeadline is how soon after its acknowledgement a configuration is in force.
+	// configDeadline is the time after its acknowledgement by which a configuration is in force.
 	configDeadline = 2 * time.Second
-	// unknownKey is held by no account, so that a request with it ends at the entry: 401 where its route is known, 404 where it isn't.
+	// unknownKey belongs to no account, so that the entry answers a request with it itself: with 401 if it knows the
+	// route, with 404 otherwise.
 	unknownKey = "key-of-nobody"
 )
 
-// injectRestore takes a copy of the store and has the store come back from it after a time; what that loses is written again soon after.
-func (w *cluster) injectRestore(a action) {
-	if !w.restoreMu.TryLock() {
+// injectRestore copies the store and restores it from the copy later. Soon after that, the changes that the restore
+// lost are written again.
+func (c *cluster) injectRestore(a action) {
+	if !c.restoreMu.TryLock() {
 		return
 	}
-	copied := w.store.Copy()
-	w.schedule(a.Duration, func() {
-		defer w.restoreMu.Unlock()
-		writeAgain := time.Duration(a.Target%int(configDeadline.Milliseconds())) * time.Millisecond
-		for _, e := range w.entries {
-			w.recordStoreOutage(e, storeDownDuration+writeAgain)
+	copied := c.store.Copy()
+	c.schedule(a.Duration, func() {
+		defer c.restoreMu.Unlock()
+		rewriteAfter := time.Duration(a.Target%int(configDeadline.Milliseconds())) * time.Millisecond
+		for _, e := range c.entries {
+			c.recordStoreOutage(e, storeDownDuration+rewriteAfter)
 		}
-		w.store.Fail(http.StatusServiceUnavailable)
+		c.store.Fail(http.StatusServiceUnavailable)
 		time.Sleep(storeDownDuration)
-		lost := w.store.Copy()
-		w.store.Restore(copied)
-		w.store.Fail(0)
-		time.Sleep(writeAgain)
-		w.store.WriteAgain(lost)
+		current := c.store.Copy()
+		c.store.Restore(copied)
+		c.store.Fail(0)
+		time.Sleep(rewriteAfter)
+		c.store.WriteAgain(current)
 	})
 }
 
-// probe is what one entry said of the route that a configuration brought.
+// probe is an entry's answer about the route that a configuration added.
 type probe struct {
 	Entry   int
 	Version int
@@ -60,7 +62,7 @@
 	Status  int
 }
 
-// prober asks each entry for the route of the newest configuration that has to be in force.
+// prober asks each entry for the route of the newest configuration that must be in force.
 type prober struct {
 	world  *cluster
 	mu     sync.Mutex
@@ -83,7 +85,7 @@
 	}
 }
 
-// probe asks one entry; one that gives no answer says nothing.
+// probe asks one entry. A failed request is ignored.
 func (p *prober) probe(client *http.Client, e *entry) {
 	now := time.Now()
 	version, acked := p.world.versionInForce(now.Add(-configDeadline))
@@ -103,31 +105,31 @@
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 	if now, _ := p.world.versionInForce(time.Now()); now != version {
-		return // a newer one has taken its route's place meanwhile
+		return // a newer configuration has replaced the route in the meantime
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probes = append(p.probes, probe{Entry: e.number, Version: version, Acked: acked, At: now, Status: resp.StatusCode})
 }
 
-// versionRoute is the name of the route that the configurations from a version on have, until a newer one takes its place.
+// versionRoute returns the name of the route that a configuration adds. The next version replaces it.
 func versionRoute(version int) string { return fmt.Sprintf("version-%d", version) }
 
-// versionInForce is the newest version that was acknowledged before a moment and that no other has replaced since, zero where there is none.
-func (w *cluster) versionInForce(then time.Time) (version int, acked time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.versionAckedAt.After(then) {
+// versionInForce returns the current version if it was acknowledged by then, and zero otherwise.
+func (c *cluster) versionInForce(then time.Time) (version int, acked time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.versionAckedAt.After(then) {
 		return 0, time.Time{}
 	}
-	return w.configVersion, w.versionAckedAt
+	return c.configVersion, c.versionAckedAt
 }
 
-// checkProbes finds entries that didn't know a route long after its configuration was acknowledged.
-func (r *observations) checkProbes(add func(string, ...any)) {
+// checkProbes reports entries that did not know a route long after its configuration was acknowledged.
+func (r *observations) checkProbes(report func(string, ...any)) {
 	for _, p := range r.Probes {
 		if p.Status == http.StatusNotFound && !r.entryDisconnected(&callRecord{Entry: p.Entry, SentAt: p.At}, p.At) {
-			add("entry %d doesn't know configuration %d, %s after its acknowledgement", p.Entry, p.Version, p.At.Sub(p.Acked))
+			report("entry %d doesn't know configuration %d, %s after its acknowledgement", p.Entry, p.Version, p.At.Sub(p.Acked))
 		}
 	}
 }
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStoreRestoreRevertsNothing has the store come back from copies, while keys are taken away and added routes are asked for, and entries and agents are killed and stand still.
+// TestStoreRestoreRevertsNothing guards against changes that a restore of the store from a copy reverts or delays. Keys
+// are removed and routes are added meanwhile, and entries and agents are killed and paused.
 func TestStoreRestoreRevertsNothing(t *testing.T) {
 	binary := buildProgram(t)
 	for _, seed := range []uint64{1, 2} {
@@ -22,7 +23,7 @@
 	}
 }
 
-// TestConfigurationNotInForceIsReported holds what entries say against the configurations that have to be in force.
+// TestConfigurationNotInForceIsReported checks the answers of entries against the configurations that must be in force.
 func TestConfigurationNotInForceIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	judged := func(status int, away interval) int {
@@ -35,13 +36,13 @@
 		r.checkProbes(func(string, ...any) { n++ })
 		return n
 	}
-	t.Run("a route that is known is in force", func(t *testing.T) {
+	t.Run("a known route is in force", func(t *testing.T) {
 		assert.Zero(t, judged(http.StatusUnauthorized, interval{}))
 	})
-	t.Run("one that isn't known is not", func(t *testing.T) {
+	t.Run("an unknown route is reported", func(t *testing.T) {
 		assert.Equal(t, 1, judged(http.StatusNotFound, interval{}))
 	})
-	t.Run("while the store has just been away nothing is said", func(t *testing.T) {
+	t.Run("an unknown route right after a store outage is ignored", func(t *testing.T) {
 		assert.Zero(t, judged(http.StatusNotFound, interval{start, start}))
 	})
 }
--- a/soak/runner.go
+++ b/soak/runner.go
@@ -12,16 +12,16 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// eventLog is what all runners have run.
+// eventLog records what all runners received and executed.
 type eventLog struct {
 	mu         sync.Mutex
 	executions []execution
 	orders     []receivedOrder
-	// arrivals are what runners that ask for less get, and others.
+	// arrivals holds the requests that reached runners, whether or not these sent backpressure signals.
 	arrivals []arrival
 }
 
-// beginExecution notes that a run has begun, and returns where the rest of it is noted.
+// beginExecution records the start of an execution, and returns a handle for recording the rest of it.
 func (l *eventLog) beginExecution(r execution) *openExecution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,25 +29,26 @@
 	return &openExecution{log: l, index: len(l.executions) - 1}
 }
 
-// openExecution is a run that has begun, of which the rest is noted later.
+// openExecution is a handle to an execution that has started.
 type openExecution struct {
 	log   *eventLog
 	index int
 }
 
-func (o *openExecution) update(do func(r *execution)) {
+func (o *openExecution) update(fn func(r *execution)) {
 	o.log.mu.Lock()
 	defer o.log.mu.Unlock()
-	do(&o.log.executions[o.index])
+	fn(&o.log.executions[o.index])
 }
 
-// recordFirstEvent notes the recordFirstEvent event, end the end of the run, and whether its answer was whole then.
+// recordFirstEvent records that the first event is being sent. end records the end of the execution and whether its
+// response was complete.
 func (o *openExecution) recordFirstEvent() {
 	o.update(func(r *execution) { r.FirstEventAt = time.Now() })
 }
 
-func (o *openExecution) end(whole bool) {
-	o.update(func(r *execution) { r.EndedAt, r.Complete = time.Now(), whole })
+func (o *openExecution) end(complete bool) {
+	o.update(func(r *execution) { r.EndedAt, r.Complete = time.Now(), complete })
 }
 
 func (l *eventLog) recordOrder(o receivedOrder) {
@@ -56,55 +57,59 @@
 	l.orders = append(l.orders, o)
 }
 
-// runnerSlot is where a runner lives: one run after another, behind one proxy.
-type runnerSlot struct {
+// plainRunner runs a runner that is not an engine. It runs one at a time, and all its runs use the same proxy.
+type plainRunner struct {
 	proxy  *proxy
 	events *eventLog
 	number int
-	// backpressure is what the runner asks for in its answers.
+	// backpressure holds the backpressure signals in the runner's responses.
 	backpressure backpressureControl
-	// crashAndReplace ends the run and starts another soon, unless that is being done; it reports whether it ended it.
+	// crashAndReplace ends the current run and schedules another, unless a replacement is in progress. It reports
+	// whether it ended the run.
 	crashAndReplace func() bool
 
-	// replaceMu is held while the place's run is being replaced.
+	// replaceMu is held while the run is being replaced.
 	replaceMu sync.Mutex
 
-	mu     sync.Mutex
-	starts int
-	runner *site.Runner
+	mu      sync.Mutex
+	starts  int
+	current *site.Runner
 }
 
-// id names the run that lives here now.
-func (p *runnerSlot) id() string {
+// id returns the ID of the current run.
+func (p *plainRunner) id() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runner.ID
+	return p.current.ID
 }
 
-// name names the place, in whatever runs there.
-func (p *runnerSlot) name() string { return fmt.Sprintf("i-%d", p.number) }
+// name returns the name of the runner, which all its runs share.
+func (p *plainRunner) name() string { return fmt.Sprintf("i-%d", p.number) }
 
 const (
 	workTime = 15 * time.Millisecond
-	// shortStream, middleStream and longStream bound how long streams last; a stream of the last tenths outlasts the time that
-	// the balancer takes to notice a stop.
+	// shortStream, mediumStream and longStream bound the durations of streams. The longest streams outlast the time
+	// that the balancer takes to notice that an entry is stopping.
 	shortStream  = 200 * time.Millisecond
 	mediumStream = 3200 * time.Millisecond
 	longStream   = 5500 * time.Millisecond
-	// shortStreamTenths and middleTenths are the shares of streams that last up to the first two.
+	// shortStreamTenths is the share of streams that last shortStream, in tenths, and mediumStreamTenths that of
+	// streams that last up to mediumStream.
 	shortStreamTenths  = 7
 	mediumStreamTenths = 1
-	// shortChat and longChat bound the streams that last long enough for loads to meet them.
+	// shortChat and longChat bound the durations of chats, which last long enough to overlap with loads of weights.
 	shortChat = time.Second
 	longChat  = 3 * time.Second
 )
 
-// streamDuration is how long the stream of a request streamDuration, which follows from its id.
+// streamDuration returns how long the stream of a request lasts. It depends only on the kind and the ID of the request.
 func streamDuration(k kind, id string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
 	sum := hash.Sum64()
-	within := func(least, most time.Duration) time.Duration { return least + time.Duration(sum/10%uint64(most-least)) }
+	within := func(minimum, maximum time.Duration) time.Duration {
+		return minimum + time.Duration(sum/10%uint64(maximum-minimum))
+	}
 	switch tenth := sum % 10; {
 	case k == kindChat:
 		return within(shortChat, longChat)
@@ -117,56 +122,56 @@
 	}
 }
 
-// start begins a new run, and returns its name.
-func (p *runnerSlot) start() string {
+// start starts a new run and returns its ID.
+func (p *plainRunner) start() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.starts++
 	id := fmt.Sprintf("%s-%d", p.name(), p.starts)
-	p.runner = &site.Runner{ID: id}
-	p.runner.Handle = func(w http.ResponseWriter, r *http.Request) { p.handle(id, w, r) }
-	p.runner.Start()
-	if err := p.proxy.listenFor(p.runner.Address()); err != nil {
-		panic(err) // nothing else takes the runner's address
+	p.current = &site.Runner{ID: id}
+	p.current.Handle = func(w http.ResponseWriter, r *http.Request) { p.handle(id, w, r) }
+	p.current.Start()
+	if err := p.proxy.listenFor(p.current.Address()); err != nil {
+		panic(err) // no other process uses the runner's address
 	}
 	return id
 }
 
-// crash ends the run and every connection of it.
-func (p *runnerSlot) crash() {
+// crash ends the current run and closes all its connections.
+func (p *plainRunner) crash() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.runner.End()
+	p.current.End()
 	p.proxy.stopListening()
 }
 
-func (p *runnerSlot) handle(id string, w http.ResponseWriter, r *http.Request) {
-	one := execution{ID: site.RequestID(r), Runner: id, Zone: zoneOf(p.number), StartedAt: time.Now(), Fatal: fatalName(r)}
-	if one.Fatal != "" {
-		p.events.crashRunner(one, p.crashAndReplace)
+func (p *plainRunner) handle(id string, w http.ResponseWriter, r *http.Request) {
+	started := execution{ID: site.RequestID(r), Runner: id, Zone: zoneOf(p.number), StartedAt: time.Now(), Fatal: fatalName(r)}
+	if started.Fatal != "" {
+		p.events.crashRunner(started, p.crashAndReplace)
 	}
 	if p.backpressure.handle(p.events, id, w, r) {
 		return
 	}
 	if k := requestKind(r); k.streams() {
-		streamPieces(w, r, p.events.beginExecution(one), streamDuration(k, one.ID)/streamEvents)
+		streamPieces(w, r, p.events.beginExecution(started), streamDuration(k, started.ID)/streamEvents)
 		return
 	}
-	open := p.events.beginExecution(one)
-	wanted := waitOrCanceled(r, workTime)
-	if wanted {
-		site.Answer(w, r, expected(one.ID, kindOnce))
+	open := p.events.beginExecution(started)
+	completed := waitOrCanceled(r, workTime)
+	if completed {
+		site.Answer(w, r, expected(started.ID, kindOnce))
 	}
-	open.end(wanted)
+	open.end(completed)
 }
 
-// requestKind is the kind of a request, which its path begins with.
+// requestKind returns the kind of a request, which is the first segment of its path.
 func requestKind(r *http.Request) kind {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return kind(first)
 }
 
-// waitOrCanceled takes the time of some work; it reports whether the request is still wanted.
+// waitOrCanceled waits for the given time. It returns false if the request is canceled first.
 func waitOrCanceled(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -176,10 +181,10 @@
 	}
 }
 
-// streamPieces runs a request that is answered by events, one after each pause.
+// streamPieces answers a request with a stream of events, with the given pause after each.
 func streamPieces(w http.ResponseWriter, r *http.Request, open *openExecution, pause time.Duration) {
-	whole := false
-	defer func() { open.end(whole) }()
+	complete := false
+	defer func() { open.end(complete) }()
 	if !waitOrCanceled(r, workTime) {
 		return
 	}
@@ -196,5 +201,5 @@
 			return
 		}
 	}
-	whole = true
+	complete = true
 }
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -9,7 +9,7 @@
 // fault is a kind of fault.
 type fault string
 
-// The faults.
+// The faults of regular schedules.
 const (
 	faultPause            fault = "pause entry"
 	faultKill             fault = "kill entry"
@@ -37,11 +37,12 @@
 	faultEngineReset      fault = "reset connections to engine"
 	faultDelayOrders      fault = "engine carries orders out late"
 	faultWeights          fault = "name new weights"
-	// faultRollout is not drawn with the others, so that a seed's other faults are the same with and without it.
+	// faultRollout is drawn separately, so that the other faults of a seed are the same with and without it.
 	faultRollout fault = "name new weights that no agent loads in time, before engines with a queue"
 )
 
-// The faults of engines that load or start again, and of other writers in the store. They are drawn by themselves, for the same reason.
+// Faults of engines that load weights or restart, and of other writers to the store. They are drawn separately, so that
+// the other faults of a seed do not depend on them.
 const (
 	faultWeightsBurst            fault = "name weights in quick succession beside configurations"
 	faultConcurrentLoads         fault = "load several engines at once"
@@ -54,33 +55,35 @@
 	faultOverwrittenRecord       fault = "another writer spoils an engine's entry"
 )
 
-// faultFatal is drawn by itself, too, beside those of fatalFaults.
+// faultFatal is drawn only together with the other fatalFaults.
 const faultFatal fault = "request that ends its runners"
 
-// fatalFaults are the faults beside which such a request must be held back all the same.
+// fatalFaults are the faults under which a fatal request must be quarantined.
 var fatalFaults = []fault{faultFatal, faultFatal, faultFatal, faultKill, faultPause, faultAgentKill, faultAgentPause, faultCrash, faultEngineCrash}
 
-// faultEvacuate is drawn by itself as well, beside those of evacuationFaults.
+// faultEvacuate is drawn only together with the other evacuationFaults.
 const faultEvacuate fault = "evacuate a zone"
 
-// evacuationFaults are the faults beside which nothing may be sent to an evacuated zone all the same.
+// evacuationFaults are the faults under which an evacuated zone must get no requests.
 var evacuationFaults = []fault{
 	faultEvacuate, faultEvacuate, faultKill, faultPause, faultStop, faultStoreForget, faultStoreDown, faultStoreSilent, faultCrash, faultEngineCrash, faultAgentKill,
 }
 
-// The faults of runners that ask for less in their answers alone. They are drawn by themselves as well, beside others of pressureFaults.
+// Faults of runners that signal backpressure only in their responses. They are drawn only together with the other
+// backpressureFaults.
 const (
 	faultRateLimit        fault = "runner names a limit"
 	faultRetryAfter       fault = "runner turns requests away and asks for rest"
 	faultLeaveInResponses fault = "runner says in its answers alone that it leaves"
 )
 
-// backpressureFaults are the faults beside which runners get no more than they ask for all the same.
+// backpressureFaults are the faults under which runners must get no more requests than they ask for.
 var backpressureFaults = []fault{
 	faultRateLimit, faultRateLimit, faultRetryAfter, faultRetryAfter, faultLeaveInResponses, faultKill, faultPause, faultStop, faultAgentKill, faultAgentPause, faultStoreDown, faultStoreSilent,
 }
 
-// loadFaults are those without which streams would seldom meet loads and refusals, engineFaults all of them.
+// loadFaults make it likely that streams overlap with loads and refusals. engineFaults are all the faults of engines
+// and of their records.
 var (
 	loadFaults   = []fault{faultWeightsBurst, faultConcurrentLoads, faultEngineRefuse, faultEngineFreeze, faultEngineSlow}
 	engineFaults = append([]fault{faultRestartEngine, faultRestartEngineUnreported, faultBadRecords, faultOverwrittenRecord}, loadFaults...)
@@ -92,43 +95,46 @@
 	faultAgentPause, faultAgentKill, faultAgentStop, faultAgentsStop, faultAgentStoreSilent, faultEngineCrash, faultEngineReset, faultDelayOrders, faultWeights,
 }
 
-// action is one fault at one time.
+// action is a fault that is injected at a given time.
 type action struct {
 	At    time.Duration
 	Fault fault
-	// Target picks the process that it concerns, For is how long it lasts where it does.
+	// Target selects the affected process, and Duration is how long the fault lasts if it has a duration.
 	Target   int
 	Duration time.Duration
 }
 
 const (
-	// warmUp lets everything come up, quietAfter lets it come back before the end.
+	// warmUp is the time for all processes to start, and coolDown the time for them to recover before the end.
 	warmUp   = time.Second
 	coolDown = 7 * time.Second
-	// meanFaultInterval is the mean time between faults, which therefore overlap.
+	// meanFaultInterval is the mean time between faults. It is shorter than most faults, which therefore overlap.
 	meanFaultInterval = 600 * time.Millisecond
 	shortFault        = 200 * time.Millisecond
 	longFault         = 2500 * time.Millisecond
-	// repeatProbability is how likely a fault comes again at once, for the same process.
+	// repeatProbability is the probability that a fault is soon repeated for the same process.
 	repeatProbability = 0.25
-	// minSignalInterval and mostGap bound the time between the signals of a series, beside which other faults are drawn as well.
+	// minSignalInterval and maxSignalInterval bound the time between the signals of a rolling restart.
+	// faultsDuringSeries is the number of other faults that are drawn during it, and faultsDuringSeriesWithin the time
+	// in which they begin.
 	minSignalInterval  = 100 * time.Millisecond
 	maxSignalInterval  = time.Second
 	faultsDuringSeries = 5
-	// rolloutWithin is how long after the start a rollout may come.
+	// rolloutWithin is the maximum time between the warm-up and a rollout.
 	rolloutWithin            = 3 * time.Second
 	faultsDuringSeriesWithin = 5 * time.Second
 )
 
-// operatorFaults are the faults that are work an operator does, of which most of what is drawn beside a series consists.
+// operatorFaults are the faults that an operator's planned work causes. Most of the faults during a rolling restart are
+// among them.
 var operatorFaults = []fault{faultReload, faultBadReload, faultNewVersion, faultRemoveKey, faultStop, faultAgentStop, faultWeights}
 
-// signalInterval is the time between the signals of a series.
+// signalInterval returns the time between the signals of a rolling restart.
 func (a *action) signalInterval() time.Duration {
 	return min(max(a.Duration*2/5, minSignalInterval), maxSignalInterval)
 }
 
-// schedule gives the same actions for the same seed.
+// schedule returns the actions for a seed, which are always the same.
 func schedule(seed uint64, length time.Duration) []action {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var actions []action
@@ -146,7 +152,8 @@
 	return sortByTime(actions)
 }
 
-// engineSchedule gives the same actions of some of the engines' faults for the same seed.
+// engineSchedule returns the actions for a seed with only the given faults. They are always the same for the same
+// faults.
 func engineSchedule(seed uint64, length time.Duration, from []fault) []action {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var actions []action
@@ -157,7 +164,7 @@
 	return sortByTime(actions)
 }
 
-// maybeRepeat gives the action once more, soon after its beginning, or nothing.
+// maybeRepeat returns the action again, at half of its duration, or nothing.
 func maybeRepeat(random *rand.Rand, a action) []action {
 	if random.Float64() >= repeatProbability {
 		return nil
@@ -166,13 +173,13 @@
 	return []action{a}
 }
 
-// sortByTime sorts actions by their times.
+// sortByTime sorts actions by time.
 func sortByTime(actions []action) []action {
 	slices.SortStableFunc(actions, func(a, b action) int { return int(a.At - b.At) })
 	return actions
 }
 
-// drawRollout gives the same drawRollout of weights for the same seed.
+// drawRollout returns the rollout of weights for a seed, which is always the same.
 func drawRollout(seed uint64) action {
 	random := rand.New(rand.NewPCG(seed, 2))
 	a := draw(random, []fault{faultRollout}, warmUp+time.Duration(random.Int64N(int64(rolloutWithin))))
@@ -180,7 +187,7 @@
 	return a
 }
 
-// drawDuringSeries draws faults that overlap with a series of stops, most of them planned work.
+// drawDuringSeries draws faults that overlap with a rolling restart. Most of them are planned work.
 func drawDuringSeries(random *rand.Rand, at time.Duration) []action {
 	var actions []action
 	for i := range faultsDuringSeries {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -16,8 +16,8 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// TestShortSoak plays schedules with real processes, and holds them against the promises that are not bound in time. The second
-// stops all entries in series, and all agents beside that.
+// TestShortSoak runs schedules with real processes and checks the guarantees that have no time limit. The second
+// schedule restarts all entries one after another, and all agents at the same time.
 func TestShortSoak(t *testing.T) {
 	binary := buildProgram(t)
 	for _, seed := range []uint64{5, 84} {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestLoadsDoNotCutStreams has engines load in quick succession and at once, refuse, stand still and run slow under streams that last for
-// seconds: none of them may be cut by its entry.
+// TestLoadsDoNotCutStreams guards against entries that cut long streams while engines load weights in quick succession
+// or at once, refuse requests, freeze or slow down.
 func TestLoadsDoNotCutStreams(t *testing.T) {
 	binary := buildProgram(t)
 	for _, seed := range []uint64{2, 3} {
@@ -38,7 +38,7 @@
 	}
 }
 
-// shortLength is how long the schedules of these tests are.
+// shortLength is the length of the schedules in these tests.
 const shortLength = 14 * time.Second
 
 func buildProgram(t *testing.T) string {
@@ -49,7 +49,7 @@
 	return binary
 }
 
-// assertGuarantees plays a schedule and checks the promises that are not bound in time.
+// assertGuarantees runs a schedule and checks the guarantees that have no time limit.
 func assertGuarantees(t *testing.T, binary string, actions []action) {
 	t.Helper()
 	w, err := newCluster(binary, t.TempDir(), clusterSize{Entries: 3, Runners: 3, Callers: 30}, t.Logf)
@@ -83,19 +83,19 @@
 	assert.Len(t, times, len(engineFaults))
 }
 
-// updateEntry changes the history of the record's updateEntry.
+// updateEntry changes the history of entry 0.
 func (r *observations) updateEntry(change func(h *processHistory)) {
 	h := r.Entries[0]
 	change(&h)
 	r.Entries[0] = h
 }
 
-// removeExecutions removes the runs of a call.
+// removeExecutions removes the executions of a call.
 func (r *observations) removeExecutions(c *callRecord) {
 	r.Executions = slices.DeleteFunc(r.Executions, func(one execution) bool { return one.ID == c.ID })
 }
 
-// TestBrokenGuaranteeIsReported breaks each promise in a record that keeps all of them.
+// TestBrokenGuaranteeIsReported breaks each guarantee in observations that satisfy all of them.
 func TestBrokenGuaranteeIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := start.Add
@@ -125,13 +125,14 @@
 		return nil
 	}
 	cut := func(c *callRecord, ended time.Time) { c.Truncated, c.Body, c.EndedAt = true, "", ended }
-	// stopped has the flow's entry get SIGTERM, and cut the flow while its runner is at work.
+	// stopped sends SIGTERM to the flow's entry and cuts the flow while its runner is still working.
 	stopped := func(r *observations, signal, ended time.Time) {
 		r.updateEntry(func(h *processHistory) { h.SIGTERMs = []time.Time{signal} })
 		cut(of(r, kindFlow), ended)
 		r.Executions[slices.Index(kinds, kindFlow)].EndedAt = ended
 	}
-	// refused has the flow's entry get SIGTERM five seconds before the flow, take no connection for it and end later.
+	// refused sends SIGTERM to the flow's entry five seconds before the flow. The entry then refuses the flow's
+	// connection and exits later.
 	refused := func(r *observations, ended time.Time) {
 		r.updateEntry(func(h *processHistory) {
 			h.SIGTERMs = []time.Time{at(5 * time.Second)}
@@ -146,29 +147,29 @@
 		spoil func(r *observations)
 		want  string
 	}{
-		"nothing":                {func(*observations) {}, ""},
-		"run twice":              {func(r *observations) { r.Executions = append(r.Executions, execution{ID: "once"}) }, "ran 2 times"},
-		"a repeat run twice":     {func(r *observations) { r.Executions = append(r.Executions, execution{ID: "repeat"}) }, ""},
-		"refused and run":        {func(r *observations) { of(r, kindOnce).Status = 503 }, "and it ran"},
-		"another's answer":       {func(r *observations) { of(r, kindRepeat).Body = "answer to x" }, "looks whole"},
-		"a piece lost":           {func(r *observations) { of(r, kindStream).Body = expected("stream", kindStream)[20:] }, "looks whole"},
-		"a cut that looks whole": {func(r *observations) { c := of(r, kindFlow); c.Body = c.Body[:9] }, "looks whole"},
-		"a cut that is a cut": {func(r *observations) {
+		"no violation":                        {func(*observations) {}, ""},
+		"non-idempotent request runs twice":   {func(r *observations) { r.Executions = append(r.Executions, execution{ID: "once"}) }, "ran 2 times"},
+		"idempotent request runs twice":       {func(r *observations) { r.Executions = append(r.Executions, execution{ID: "repeat"}) }, ""},
+		"refused request runs":                {func(r *observations) { of(r, kindOnce).Status = 503 }, "and it ran"},
+		"response of another request":         {func(r *observations) { of(r, kindRepeat).Body = "answer to x" }, "looks whole"},
+		"event lost":                          {func(r *observations) { of(r, kindStream).Body = expected("stream", kindStream)[20:] }, "looks whole"},
+		"truncated response without an error": {func(r *observations) { c := of(r, kindFlow); c.Body = c.Body[:9] }, "looks whole"},
+		"truncated response with an error": {func(r *observations) {
 			c := of(r, kindFlow)
 			c.Body, c.Truncated = c.Body[:9], true
 			r.RunnerFaults["r"] = []interval{{c.SentAt, c.SentAt}}
 		}, ""},
-		"a piece doubled":  {func(r *observations) { c := of(r, kindFlow); c.Body, c.Truncated = c.Body+c.Body, true }, "before the cut"},
-		"late":             {func(r *observations) { of(r, kindOnce).EndedAt = at(20 * time.Second) }, "no final answer"},
-		"a leaving runner": {func(r *observations) { r.LeavingSince["r-1"] = at(7 * time.Second) }, "after its leaving"},
-		"a key taken away": {func(r *observations) { r.KeysRemoved[permanentKey] = at(7 * time.Second) }, "taken away"},
-		"two holders": {func(r *observations) {
+		"events duplicated":           {func(r *observations) { c := of(r, kindFlow); c.Body, c.Truncated = c.Body+c.Body, true }, "before the cut"},
+		"response after the timeout":  {func(r *observations) { of(r, kindOnce).EndedAt = at(20 * time.Second) }, "no final answer"},
+		"request to a leaving runner": {func(r *observations) { r.LeavingSince["r-1"] = at(7 * time.Second) }, "after its leaving"},
+		"request with a removed key":  {func(r *observations) { r.KeysRemoved[permanentKey] = at(7 * time.Second) }, "taken away"},
+		"orders of two holders": {func(r *observations) {
 			r.ReceivedOrders = append(r.ReceivedOrders, receivedOrder{"e", site.Order{Holder: "a", Fence: 1}}, receivedOrder{"e", site.Order{Holder: "b", Fence: 2}})
 		}, "orders of a and of b"},
-		"a fence that falls": {func(r *observations) {
+		"fencing token decreases": {func(r *observations) {
 			r.ReceivedOrders = append(r.ReceivedOrders, receivedOrder{"e", site.Order{Holder: "a", Fence: 2}}, receivedOrder{"e", site.Order{Holder: "a", Fence: 1}})
 		}, "fence 1 after 2"},
-		"an order given again": {func(r *observations) {
+		"order repeated": {func(r *observations) {
 			r.ReceivedOrders = append(r.ReceivedOrders, receivedOrder{"e", site.Order{Holder: "a", Fence: 2}}, receivedOrder{"e", site.Order{Holder: "a", Fence: 2}})
 		}, ""},
 		"replaced weights": {func(r *observations) { r.Executions[0].Weights = 1 }, "began on weights 1"},
@@ -180,7 +181,7 @@
 			r.Executions[0].Weights = 1
 			r.updateEntry(func(h *processHistory) { h.Lifetimes[0].Started = at(7 * time.Second) })
 		}, "began on weights 1"},
-		"replaced weights without a store": {func(r *observations) {
+		"replaced weights during a store outage": {func(r *observations) {
 			r.Executions[0].Weights = 1
 			r.StoreOutages = map[int][]interval{0: {{at(6 * time.Second), at(7*time.Second + 1)}}}
 		}, ""},
@@ -188,20 +189,20 @@
 			r.Executions[0].Weights = 1
 			r.StoreOutages = map[int][]interval{0: {{at(6 * time.Second), at(7 * time.Second)}}}
 		}, "began on weights 1"},
-		"replaced weights where the entry froze": {func(r *observations) {
+		"replaced weights after a freeze of the entry": {func(r *observations) {
 			r.Executions[0].Weights = 1
 			r.updateEntry(func(h *processHistory) { h.Outages = []interval{{at(9 * time.Second), at(9 * time.Second)}} })
 		}, ""},
-		"the newest weights":  {func(r *observations) { r.Executions[0].Weights = 2 }, ""},
-		"old weights left":    {func(r *observations) { r.LoadedWeights["e"] = 1 }, "still has weights 1"},
-		"no return":           {func(r *observations) { r.Calls[len(r.Calls)-1].Status = 502 }, "after the last fault"},
-		"cut without a stop":  {func(r *observations) { cut(of(r, kindFlow), at(11*time.Second)) }, "without a stop"},
-		"cut beside a config": {func(r *observations) { cut(of(r, kindOnce), at(11*time.Second)) }, "without a stop"},
-		"cut at a runner's crash": {func(r *observations) {
+		"the newest weights":                        {func(r *observations) { r.Executions[0].Weights = 2 }, ""},
+		"old weights still loaded":                  {func(r *observations) { r.LoadedWeights["e"] = 1 }, "still has weights 1"},
+		"no recovery":                               {func(r *observations) { r.Calls[len(r.Calls)-1].Status = 502 }, "after the last fault"},
+		"cut without a stop":                        {func(r *observations) { cut(of(r, kindFlow), at(11*time.Second)) }, "without a stop"},
+		"non-idempotent request cut without a stop": {func(r *observations) { cut(of(r, kindOnce), at(11*time.Second)) }, "without a stop"},
+		"cut at the runner's crash": {func(r *observations) {
 			cut(of(r, kindFlow), at(11*time.Second))
 			r.RunnerFaults["r"] = []interval{{at(10 * time.Second), at(10 * time.Second)}}
 		}, ""},
-		"cut at another's crash": {func(r *observations) {
+		"cut at the crash of another runner": {func(r *observations) {
 			cut(of(r, kindFlow), at(11*time.Second))
 			r.RunnerFaults["q"] = []interval{{at(10 * time.Second), at(10 * time.Second)}}
 		}, "without a stop"},
@@ -209,29 +210,29 @@
 			cut(of(r, kindFlow), at(11*time.Second))
 			r.updateEntry(func(h *processHistory) { h.Outages = []interval{{at(9 * time.Second), at(9 * time.Second)}} })
 		}, ""},
-		"cut by the time-out":    {func(r *observations) { cut(of(r, kindFlow), at(17*time.Second)) }, ""},
+		"cut by the timeout":     {func(r *observations) { cut(of(r, kindFlow), at(17*time.Second)) }, ""},
 		"cut before it was sent": {func(r *observations) { c := of(r, kindFlow); cut(c, at(11*time.Second)); c.WrittenAt = time.Time{} }, ""},
-		"crossed a close": {func(r *observations) {
+		"races with a close": {func(r *observations) {
 			c := of(r, kindFlow)
 			cut(c, at(10*time.Second+closeRaceWindow/2))
 			r.removeExecutions(c)
 		}, ""},
-		"read and not passed on": {func(r *observations) {
+		"read and not forwarded": {func(r *observations) {
 			c := of(r, kindFlow)
 			cut(c, at(10*time.Second+closeRaceWindow*2))
 			r.removeExecutions(c)
 		}, "without a stop"},
-		"cut by the end of grace": {func(r *observations) { stopped(r, at(7*time.Second+time.Millisecond), at(14*time.Second)) }, ""},
-		"cut too early":           {func(r *observations) { stopped(r, at(8*time.Second), at(12*time.Second)) }, "cut 4s after it"},
-		"taken late":              {func(r *observations) { stopped(r, at(7*time.Second-time.Millisecond), at(14*time.Second)) }, "taken by entry 0 3.001s after its SIGTERM"},
-		"refused":                 {func(r *observations) { refused(r, at(15*time.Second)) }, "took none of 1 new connections, from 5s"},
-		"refused at the end":      {func(r *observations) { refused(r, at(10*time.Second+listenerCloseSlack/2)) }, ""},
-		"closed without a word": {func(r *observations) {
+		"cut by the end of the grace period":      {func(r *observations) { stopped(r, at(7*time.Second+time.Millisecond), at(14*time.Second)) }, ""},
+		"cut too early":                           {func(r *observations) { stopped(r, at(8*time.Second), at(12*time.Second)) }, "cut 4s after it"},
+		"accepted too late":                       {func(r *observations) { stopped(r, at(7*time.Second-time.Millisecond), at(14*time.Second)) }, "taken by entry 0 3.001s after its SIGTERM"},
+		"connection refused while running":        {func(r *observations) { refused(r, at(15*time.Second)) }, "took none of 1 new connections, from 5s"},
+		"connection refused just before the exit": {func(r *observations) { refused(r, at(10*time.Second+listenerCloseSlack/2)) }, ""},
+		"connection closed without a response": {func(r *observations) {
 			refused(r, at(15*time.Second))
 			c := of(r, kindFlow)
 			c.Refused, c.NewConnection = false, true
 		}, "took none of 1"},
-		"an end by itself": {func(r *observations) {
+		"unexpected exit": {func(r *observations) {
 			r.updateEntry(func(h *processHistory) { h.Lifetimes[0].Ended = at(35 * time.Second) })
 		}, "ended by itself"},
 	}
@@ -249,17 +250,17 @@
 	}
 }
 
-// TestBalancerPicks checks which entries get new connections, by the probes that each has missed in a row.
+// TestBalancerPicks checks which entries get new connections, depending on the consecutive probes that each has failed.
 func TestBalancerPicks(t *testing.T) {
 	cases := map[string]struct {
 		misses []int
 		want   []int
 	}{
-		"all in":        {[]int{0, 0, 0, 0}, []int{0, 1, 2, 3}},
-		"one miss":      {[]int{1, 0, 0, 0}, []int{0, 1, 2, 3}},
-		"half out":      {[]int{2, 9, 0, 1}, []int{2, 3}},
-		"under half in": {[]int{2, 2, 2, 0}, []int{0, 1, 2, 3}},
-		"none in":       {[]int{2, 2, 2, 2}, []int{0, 1, 2, 3}},
+		"all healthy":            {[]int{0, 0, 0, 0}, []int{0, 1, 2, 3}},
+		"one failed probe":       {[]int{1, 0, 0, 0}, []int{0, 1, 2, 3}},
+		"half unhealthy":         {[]int{2, 9, 0, 1}, []int{2, 3}},
+		"less than half healthy": {[]int{2, 2, 2, 0}, []int{0, 1, 2, 3}},
+		"none healthy":           {[]int{2, 2, 2, 2}, []int{0, 1, 2, 3}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -278,7 +279,7 @@
 	}
 }
 
-// TestSeriesStopsOverlap checks that other faults are drawn beside each series of stops.
+// TestSeriesStopsOverlap checks that other faults are drawn during each rolling restart.
 func TestSeriesStopsOverlap(t *testing.T) {
 	actions := schedule(5, 10*time.Minute)
 	count := 0
--- a/soak/store_faults.go
+++ b/soak/store_faults.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// unusedAddress is one where nobody listens.
+	// unusedAddress is an address where nobody listens.
 	unusedAddress = "127.0.0.1:1"
-	// firstKey and lastKey are keys before and after those of all good records; copySuffix makes a key just behind that of one.
+	// firstKey and lastKey sort before and after the keys of all valid records. copySuffix turns the key of a record
+	// into one that sorts right after it.
 	firstKey   = "a-bad"
 	lastKey    = "z-bad"
 	copySuffix = "~"
 )
 
-// badRecords are records of runners that name none to use.
+// badRecords are records of runners that do not describe a usable one.
 var badRecords = []any{
 	map[string]any{"service": "e"},
 	map[string]any{"service": 5, "address": []int{1}, "zone": map[string]any{}, "slots": "many", "state": true, "models": "none"},
@@ -28,7 +29,7 @@
 	site.Unreadable{},
 }
 
-// badRecord is a record that is bad in one field alone.
+// badRecord returns a record that is invalid in one field only.
 func badRecord(field string, value any) any {
 	return map[string]any{
 		"service": "e", "address": unusedAddress, "zone": "z", "slots": 64, "state": "ready",
@@ -36,47 +37,48 @@
 	}
 }
 
-// injectBadRecords writes what another writer might, for a time.
-func (w *cluster) injectBadRecords(a action, n *engine) {
+// injectBadRecords temporarily writes records that another, faulty writer might write.
+func (c *cluster) injectBadRecords(a action, n *engine) {
 	bad := badRecords[a.Target%len(badRecords)]
 	if a.Fault == faultOverwrittenRecord {
-		w.overwriteRecord(a, n, bad)
+		c.overwriteRecord(a, n, bad)
 		return
 	}
 	copied := n.secondRecord()
-	w.putTemporarily(a, "servers", firstKey, bad)
-	w.putTemporarily(a, "servers", copied.key, copied.spec)
-	w.putTemporarily(a, "servers", lastKey, badRecords[(a.Target+1)%len(badRecords)])
-	w.putTemporarily(a, "versions", lastKey, map[string]any{"model": 7})
+	c.putTemporarily(a, "servers", firstKey, bad)
+	c.putTemporarily(a, "servers", copied.key, copied.spec)
+	c.putTemporarily(a, "servers", lastKey, badRecords[(a.Target+1)%len(badRecords)])
+	c.putTemporarily(a, "versions", lastKey, map[string]any{"model": 7})
 }
 
-// overwriteRecord writes over the record of an engine, which may end meanwhile, and has the one that lives there then write its own.
-func (w *cluster) overwriteRecord(a action, n *engine, bad any) {
+// overwriteRecord overwrites the record of an engine. Later the current run writes its own record again, and the
+// overwritten one is removed if that run has been replaced.
+func (c *cluster) overwriteRecord(a action, n *engine, bad any) {
 	id, _ := n.idAndWeights()
-	w.store.Put("servers", id, bad)
-	w.schedule(a.Duration, func() {
+	c.store.Put("servers", id, bad)
+	c.schedule(a.Duration, func() {
 		n.replaceMu.Lock()
 		defer n.replaceMu.Unlock()
-		w.registerEngine(n)
+		c.registerEngine(n)
 		if now, _ := n.idAndWeights(); now != id {
-			w.store.Remove("servers", id)
+			c.store.Remove("servers", id)
 		}
 	})
 }
 
-// putTemporarily writes an object that is gone again after the fault.
-func (w *cluster) putTemporarily(a action, kind, name string, spec any) {
-	w.store.Put(kind, name, spec)
-	w.schedule(a.Duration, func() { w.store.Remove(kind, name) })
+// putTemporarily writes an object and removes it when the fault ends.
+func (c *cluster) putTemporarily(a action, kind, name string, spec any) {
+	c.store.Put(kind, name, spec)
+	c.schedule(a.Duration, func() { c.store.Remove(kind, name) })
 }
 
-// keyedRecord is a record under a key of its own.
+// keyedRecord is a record and its key.
 type keyedRecord struct {
 	key  string
 	spec map[string]any
 }
 
-// secondRecord is the engine's record under a second key, naming the id of the first.
+// secondRecord returns a copy of the engine's record under a second key, with the ID of the original.
 func (e *engine) secondRecord() keyedRecord {
 	id, spec := e.storeRecord()
 	copied := maps.Clone(spec)
--- a/soak/world.go
+++ b/soak/world.go
@@ -19,32 +19,33 @@
 const (
 	host         = "shop.example"
 	permanentKey = "key-that-stays"
-	// restartDelay is how long after its end a process or runner is started again.
+	// restartDelay is the time between the end of a process or runner and its restart.
 	restartDelay = 300 * time.Millisecond
-	// leaveDuration is how long a leaving runner goes on.
+	// leaveDuration is how long a leaving runner keeps running.
 	leaveDuration = 3 * time.Second
 	keyCount      = 6
 )
 
-// cluster is a site: a store, runners behind proxies, entries as processes, callers.
+// cluster is the system under test: an object store, runners and engines behind proxies, entry and agent processes, and
+// callers.
 type cluster struct {
-	store       *site.Store
-	server      *httptest.Server
-	runnerSlots []*runnerSlot
-	entries     []*entry
-	engines     []*engine
-	balancer    *balancer
-	callers     *callers
-	events      eventLog
-	report      func(format string, args ...any)
+	store        *site.Store
+	server       *httptest.Server
+	plainRunners []*plainRunner
+	entries      []*entry
+	engines      []*engine
+	balancer     *balancer
+	callers      *callers
+	events       eventLog
+	report       func(format string, args ...any)
 
-	// restoreMu is held while the store comes back from a copy, until what that has lost is written again.
+	// restoreMu is held while the store is restored from a copy, until the lost changes have been written again.
 	restoreMu sync.Mutex
 	prober    prober
 
 	mu            sync.Mutex
 	configVersion int
-	// versionAckedAt is when the version was acknowledged.
+	// versionAckedAt is when the current version of the configuration was acknowledged.
 	versionAckedAt   time.Time
 	weightsVersion   uint64
 	weightsPublished map[uint64]time.Time
@@ -58,24 +59,24 @@
 	scheduled        sync.WaitGroup
 }
 
-// clusterSize is how much a world has of everything.
+// clusterSize is the number of entries, of runners and of callers in a cluster. There are as many engines as runners.
 type clusterSize struct{ Entries, Runners, Callers int }
 
-func newCluster(binary, dir string, n clusterSize, report func(string, ...any)) (*cluster, error) {
+func newCluster(binary, dir string, counts clusterSize, report func(string, ...any)) (*cluster, error) {
 	w := &cluster{
 		store: site.NewStore(), report: report, keysRemoved: map[string]time.Time{}, leavingSince: map[string]time.Time{}, disturbances: map[int][]interval{},
 		storeOutages: map[int][]interval{}, weightsPublished: map[uint64]time.Time{}, runnerFaults: map[string][]interval{},
 	}
 	w.server = httptest.NewServer(w.store)
-	for i := range n.Runners {
+	for i := range counts.Runners {
 		p, err := newProxy(runnerHost(i), netip.AddrPort{})
 		if err != nil {
 			return nil, err
 		}
-		one := &runnerSlot{proxy: p, events: &w.events, number: i}
-		one.crashAndReplace = func() bool { return one.replaceMu.TryLock() && w.replaceRunner(one) }
-		w.runnerSlots = append(w.runnerSlots, one)
-		w.register(one, one.start(), "ready")
+		runner := &plainRunner{proxy: p, events: &w.events, number: i}
+		runner.crashAndReplace = func() bool { return runner.replaceMu.TryLock() && w.replaceRunner(runner) }
+		w.plainRunners = append(w.plainRunners, runner)
+		w.register(runner, runner.start(), "ready")
 	}
 	w.publishConfig()
 	w.publishWeights()
@@ -85,12 +86,12 @@
 		return nil, err
 	}
 	peerPort := netip.MustParseAddrPort(peers).Port()
-	for i := range n.Runners {
+	for i := range counts.Runners {
 		if err := w.addEngine(i, binary, dir, store, peerPort); err != nil {
 			return nil, err
 		}
 	}
-	for i := range n.Entries {
+	for i := range counts.Entries {
 		e, err := newEntry(i, binary, dir, store, peerPort)
 		if err != nil {
 			return nil, err
@@ -101,30 +102,30 @@
 		w.entries = append(w.entries, e)
 	}
 	w.balancer = newBalancer(w.entries)
-	w.callers = &callers{balancer: w.balancer, host: host, keys: w.keys(), callerCount: n.Callers}
+	w.callers = &callers{balancer: w.balancer, host: host, keys: w.keys(), callerCount: counts.Callers}
 	return w, w.awaitReady()
 }
 
-// addEngine starts an engine and the agent beside it.
-func (w *cluster) addEngine(number int, binary, dir string, store netip.AddrPort, peerPort uint16) error {
+// addEngine starts an engine and its agent.
+func (c *cluster) addEngine(number int, binary, dir string, store netip.AddrPort, peerPort uint16) error {
 	p, err := newProxy(engineHost(number), netip.AddrPort{})
 	if err != nil {
 		return err
 	}
-	n := &engine{proxy: p, events: &w.events, number: number}
-	n.crashAndReplace = func() bool { return n.replaceMu.TryLock() && w.replaceEngine(n) }
+	n := &engine{proxy: p, events: &c.events, number: number}
+	n.crashAndReplace = func() bool { return n.replaceMu.TryLock() && c.replaceEngine(n) }
 	n.start(1)
-	w.registerEngine(n)
+	c.registerEngine(n)
 	if n.agent, err = newAgent(number, binary, dir, store, p.address(), peerPort); err != nil {
 		return err
 	}
-	w.engines = append(w.engines, n)
+	c.engines = append(c.engines, n)
 	return n.agent.start()
 }
 
-func (w *cluster) registerEngine(n *engine) {
+func (c *cluster) registerEngine(n *engine) {
 	id, spec := n.storeRecord()
-	w.store.Put("servers", id, spec)
+	c.store.Put("servers", id, spec)
 }
 
 const (
@@ -132,9 +133,9 @@
 	readyProbeInterval = 50 * time.Millisecond
 )
 
-// awaitReady waits until every entry calls itself ready.
-func (w *cluster) awaitReady() error {
-	for _, e := range w.entries {
+// awaitReady waits until every entry reports being ready.
+func (c *cluster) awaitReady() error {
+	for _, e := range c.entries {
 		tries := 0
 		for !probeReady(e) {
 			if tries++; tries > maxReadyProbes {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-func (w *cluster) keys() []string {
+func (c *cluster) keys() []string {
 	keys := []string{permanentKey}
 	for i := range keyCount {
 		keys = append(keys, fmt.Sprintf("key-%d", i))
@@ -154,27 +155,27 @@
 	return keys
 }
 
-func (w *cluster) register(p *runnerSlot, id, state string) {
+func (c *cluster) register(p *plainRunner, id, state string) {
 	spec := site.RecordOf(p.proxy.address(), state)
 	spec["zone"] = zoneOf(p.number)
-	w.store.Put("servers", id, spec)
+	c.store.Put("servers", id, spec)
 }
 
-// publishConfig writes the next version, without the keys that are taken away.
-func (w *cluster) publishConfig() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.configVersion += 3
+// publishConfig publishes the next version of the configuration, without the removed keys.
+func (c *cluster) publishConfig() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.configVersion += 3
 	var keys []string
-	for _, key := range w.keys() {
-		if _, gone := w.keysRemoved[key]; !gone {
+	for _, key := range c.keys() {
+		if _, gone := c.keysRemoved[key]; !gone {
 			keys = append(keys, key)
 		}
 	}
-	defer func() { w.versionAckedAt = time.Now() }()
-	w.store.Put("config", "main", site.ConfigOf(
-		w.configVersion, keys,
-		site.Route{Name: versionRoute(w.configVersion), Host: host, Kind: "idempotent", Attempts: 1},
+	defer func() { c.versionAckedAt = time.Now() }()
+	c.store.Put("config", "main", site.ConfigOf(
+		c.configVersion, keys,
+		site.Route{Name: versionRoute(c.configVersion), Host: host, Kind: "idempotent", Attempts: 1},
 		site.Route{Name: string(kindRepeat), Host: host, Kind: "idempotent", Attempts: 2},
 		site.Route{Name: string(kindOnce), Host: host, Kind: "non_idempotent", Attempts: 2},
 		site.Route{Name: string(kindStream), Host: host, Kind: "streaming", Attempts: 3, Resumable: true, Timeout: streamTimeout},
@@ -184,98 +185,99 @@
 	))
 }
 
-// recordDisturbance notes that an entry is under a fault of its own for a time.
-func (w *cluster) recordDisturbance(e *entry, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordDisturbance records that an entry is under a fault for the given time.
+func (c *cluster) recordDisturbance(e *entry, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	w.disturbances[e.number] = append(w.disturbances[e.number], interval{From: now, To: now.Add(d)})
+	c.disturbances[e.number] = append(c.disturbances[e.number], interval{From: now, To: now.Add(d)})
 }
 
-// recordStoreOutage notes that an entry has no path to the object store, or that the store serves nobody, for a time.
-func (w *cluster) recordStoreOutage(e *entry, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordStoreOutage records that an entry cannot reach the object store, or that the store serves nobody, for the given
+// time.
+func (c *cluster) recordStoreOutage(e *entry, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	w.storeOutages[e.number] = append(w.storeOutages[e.number], interval{From: now, To: now.Add(d)})
+	c.storeOutages[e.number] = append(c.storeOutages[e.number], interval{From: now, To: now.Add(d)})
 }
 
-// recordRunnerFault notes that the runners of a place, or their links, are under a fault for a time.
-func (w *cluster) recordRunnerFault(place string, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordRunnerFault records a fault of a plain runner or engine, or of its connections, that lasts for the given time.
+func (c *cluster) recordRunnerFault(place string, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	w.runnerFaults[place] = append(w.runnerFaults[place], interval{From: now, To: now.Add(d)})
+	c.runnerFaults[place] = append(c.runnerFaults[place], interval{From: now, To: now.Add(d)})
 }
 
-// schedule does something after a time, and keeps the end of the soak waiting for it.
-func (w *cluster) schedule(d time.Duration, do func()) {
-	w.scheduled.Go(func() {
+// schedule runs fn after the given time. The soak does not end before it has returned.
+func (c *cluster) schedule(d time.Duration, fn func()) {
+	c.scheduled.Go(func() {
 		time.Sleep(d)
-		do()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.lastFaultEnd = time.Now()
+		fn()
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.lastFaultEnd = time.Now()
 	})
 }
 
-// run runs the schedule and returns what was seen.
-func (w *cluster) run(actions []action, length time.Duration) *observations {
+// run runs the schedule and returns the observations.
+func (c *cluster) run(actions []action, length time.Duration) *observations {
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	w.prober.world = w
-	callers.Go(func() { w.balancer.run(stop) })
-	callers.Go(func() { w.prober.run(stop) })
-	callers.Go(func() { w.callers.run(stop) })
+	c.prober.world = c
+	callers.Go(func() { c.balancer.run(stop) })
+	callers.Go(func() { c.prober.run(stop) })
+	callers.Go(func() { c.callers.run(stop) })
 	begun := time.Now()
 	for _, a := range actions {
 		time.Sleep(time.Until(begun.Add(a.At)))
-		w.report("%7.3f s  %s, number %d, for %s", time.Since(begun).Seconds(), a.Fault, a.Target, a.Duration)
-		w.inject(a)
+		c.report("%7.3f s  %s, number %d, for %s", time.Since(begun).Seconds(), a.Fault, a.Target, a.Duration)
+		c.inject(a)
 	}
-	w.scheduled.Wait()
-	time.Sleep(max(time.Until(begun.Add(length)), time.Until(w.lastFaultEnd.Add(coolDown))))
+	c.scheduled.Wait()
+	time.Sleep(max(time.Until(begun.Add(length)), time.Until(c.lastFaultEnd.Add(coolDown))))
 	close(stop)
 	callers.Wait()
-	return w.collect()
+	return c.collect()
 }
 
-func (w *cluster) collect() *observations {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.events.mu.Lock()
-	defer w.events.mu.Unlock()
+func (c *cluster) collect() *observations {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.events.mu.Lock()
+	defer c.events.mu.Unlock()
 	r := &observations{
-		Executions: slices.Clone(w.events.executions), Arrivals: slices.Clone(w.events.arrivals), ReceivedOrders: slices.Clone(w.events.orders), Disturbances: w.disturbances, LeavingSince: maps.Clone(w.leavingSince),
-		KeysRemoved: w.keysRemoved, LastFaultEnd: w.lastFaultEnd, WeightsPublished: maps.Clone(w.weightsPublished), LoadedWeights: map[string]uint64{}, Ended: time.Now(),
-		RunnerFaults: w.runnerFaults, Evacuations: slices.Clone(w.evacuations), StoreOutages: maps.Clone(w.storeOutages), Entries: map[int]processHistory{},
+		Executions: slices.Clone(c.events.executions), Arrivals: slices.Clone(c.events.arrivals), ReceivedOrders: slices.Clone(c.events.orders), Disturbances: c.disturbances, LeavingSince: maps.Clone(c.leavingSince),
+		KeysRemoved: c.keysRemoved, LastFaultEnd: c.lastFaultEnd, WeightsPublished: maps.Clone(c.weightsPublished), LoadedWeights: map[string]uint64{}, Ended: time.Now(),
+		RunnerFaults: c.runnerFaults, Evacuations: slices.Clone(c.evacuations), StoreOutages: maps.Clone(c.storeOutages), Entries: map[int]processHistory{},
 	}
-	for _, n := range w.engines {
+	for _, n := range c.engines {
 		id, weights := n.idAndWeights()
 		r.LoadedWeights[id] = weights
 	}
-	for _, e := range w.entries {
+	for _, e := range c.entries {
 		past := e.historySnapshot()
 		r.Entries[e.number] = past
 		r.Disturbances[e.number] = append(r.Disturbances[e.number], past.disturbances()...)
 	}
-	w.callers.mu.Lock()
-	defer w.callers.mu.Unlock()
-	r.Calls = slices.Clone(w.callers.calls)
-	w.prober.mu.Lock()
-	defer w.prober.mu.Unlock()
-	r.Probes = slices.Clone(w.prober.probes)
+	c.callers.mu.Lock()
+	defer c.callers.mu.Unlock()
+	r.Calls = slices.Clone(c.callers.calls)
+	c.prober.mu.Lock()
+	defer c.prober.mu.Unlock()
+	r.Probes = slices.Clone(c.prober.probes)
 	return r
 }
 
-// close ends everything that the soak has started.
-func (w *cluster) close() {
-	for _, e := range w.entries {
+// close ends all processes and servers of the cluster.
+func (c *cluster) close() {
+	for _, e := range c.entries {
 		e.terminate(syscall.SIGKILL)
 	}
-	for _, n := range w.engines {
+	for _, n := range c.engines {
 		n.agent.terminate(syscall.SIGKILL)
 	}
-	w.server.CloseClientConnections()
-	w.server.Close()
+	c.server.CloseClientConnections()
+	c.server.Close()
 }
