--- a/soak/backpressure_test.go
+++ b/soak/backpressure_test.go
@@ -33,7 +33,7 @@
 		r.addArrival(asks, 0, start)
 		return r
 	}
-	judged := func(r *observations) int {
+	violations := func(r *observations) int {
 		n := 0
 		r.checkBackpressure(func(string, ...any) { n++ })
 		return n
@@ -48,40 +48,40 @@
 	t.Run("requests within the limit are allowed", func(t *testing.T) {
 		r := asking(limited)
 		many(r, most, 0, limited, at(settleTime))
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 		r.addArrival(limited, 0, at(settleTime+time.Second))
-		assert.Equal(t, 1, judged(r))
+		assert.Equal(t, 1, violations(r))
 	})
 	t.Run("requests of entries that do not know the limit are ignored", func(t *testing.T) {
 		r := asking(limited)
 		many(r, most+1, 1, limited, at(settleTime))
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 	})
 	t.Run("requests after a restart of the entry or the end of the limit are ignored", func(t *testing.T) {
 		r := asking(limited)
 		many(r, most+1, 0, arrival{}, at(settleTime))
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 		r = asking(limited)
 		r.updateEntry(func(h *processHistory) { h.Lifetimes = append(h.Lifetimes, processLifetime{Started: at(settleTime)}) })
 		many(r, most+1, 0, limited, at(settleTime+time.Second))
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 	})
 	t.Run("two requests during a Retry-After are allowed", func(t *testing.T) {
 		r := asking(refused)
 		many(r, maxDuringRetryAfter, 0, arrival{}, at(noticeDelay))
 		many(r, maxDuringRetryAfter, 1, arrival{}, at(noticeDelay))
 		many(r, 9, 0, arrival{}, at(retryAfter))
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 		r.addArrival(arrival{}, 0, at(retryAfter-1))
-		assert.Equal(t, 1, judged(r))
+		assert.Equal(t, 1, violations(r))
 	})
 	t.Run("a request to a leaving runner from an entry that knows is reported", func(t *testing.T) {
 		r := asking(leaving)
 		r.addArrival(leaving, 0, at(leaveWithin))
 		r.addArrival(leaving, 1, at(leaveWithin+time.Second))
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 		r.addArrival(leaving, 0, at(leaveWithin+time.Second))
-		assert.Equal(t, 1, judged(r))
+		assert.Equal(t, 1, violations(r))
 	})
 }
 
--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -25,10 +25,10 @@
 // TestRequestToEvacuatedZoneIsReported checks the time of executions against the evacuation of their zone.
 func TestRequestToEvacuatedZoneIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
-	judged := func(one execution, outage interval) int {
+	violations := func(e execution, outage interval) int {
 		r := &observations{
-			Calls:       []callRecord{{ID: "c", SentAt: one.StartedAt}},
-			Executions:  []execution{one},
+			Calls:       []callRecord{{ID: "c", SentAt: e.StartedAt}},
+			Executions:  []execution{e},
 			Evacuations: []interval{{From: start, To: start.Add(time.Minute)}},
 			Entries:     map[int]processHistory{0: {Lifetimes: []processLifetime{{Started: start.Add(-time.Hour)}}, Outages: []interval{outage}}},
 		}
@@ -40,17 +40,17 @@
 		return execution{ID: "c", Zone: zone, StartedAt: start.Add(after)}
 	}
 	t.Run("requests before the deadline are allowed", func(t *testing.T) {
-		assert.Zero(t, judged(reach(farZone, evacuationDeadline), interval{}))
+		assert.Zero(t, violations(reach(farZone, evacuationDeadline), interval{}))
 	})
 	t.Run("a request after the deadline is reported", func(t *testing.T) {
-		assert.Equal(t, 1, judged(reach(farZone, evacuationDeadline+1), interval{}))
+		assert.Equal(t, 1, violations(reach(farZone, evacuationDeadline+1), interval{}))
 	})
 	t.Run("requests to another zone or after the evacuation are allowed", func(t *testing.T) {
-		assert.Zero(t, judged(reach(nearZone, evacuationDeadline+1), interval{}))
-		assert.Zero(t, judged(reach(farZone, time.Minute), interval{}))
+		assert.Zero(t, violations(reach(nearZone, evacuationDeadline+1), interval{}))
+		assert.Zero(t, violations(reach(farZone, time.Minute), interval{}))
 	})
 	t.Run("requests of an entry that was just paused are ignored", func(t *testing.T) {
 		at := start.Add(evacuationDeadline)
-		assert.Zero(t, judged(reach(farZone, evacuationDeadline+time.Second), interval{at, at}))
+		assert.Zero(t, violations(reach(farZone, evacuationDeadline+time.Second), interval{at, at}))
 	})
 }
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -65,17 +65,17 @@
 // requests that were quarantined.
 func (r *observations) checkFatalRequests(report func(string, ...any)) {
 	byID := r.callsByID()
-	runs := map[string][]execution{}
+	byName := map[string][]execution{}
 	for _, e := range r.Executions {
 		if e.Fatal != "" {
-			runs[e.Fatal] = append(runs[e.Fatal], e)
+			byName[e.Fatal] = append(byName[e.Fatal], e)
 		}
 	}
-	for name, all := range runs {
-		known := quarantineDeadline(all)
+	for name, all := range byName {
+		deadline := quarantineDeadline(all)
 		late := slices.DeleteFunc(slices.Clone(all), func(e execution) bool {
 			c := byID[e.ID]
-			return known.IsZero() || !e.StartedAt.After(known) || c == nil || r.entryDisconnected(c, e.StartedAt)
+			return deadline.IsZero() || !e.StartedAt.After(deadline) || c == nil || r.entryDisconnected(c, e.StartedAt)
 		})
 		if len(late) > maxAfterQuarantine {
 			report("request %s ended %d runners and was sent %d times once that had to be known", name, countKilled(all), len(late))
--- a/soak/fatal_test.go
+++ b/soak/fatal_test.go
@@ -23,10 +23,10 @@
 // runFaults runs a schedule of the given faults with the given number of runners and as many engines.
 func runFaults(t *testing.T, binary string, seed uint64, runners int, from []fault) *observations {
 	t.Helper()
-	w, err := newCluster(binary, t.TempDir(), clusterSize{Entries: 3, Runners: runners, Callers: 30}, t.Logf)
+	c, err := newCluster(binary, t.TempDir(), clusterSize{Entries: 3, Runners: runners, Callers: 30}, t.Logf)
 	require.NoError(t, err)
-	defer w.close()
-	return w.run(engineSchedule(seed, shortLength, from), shortLength)
+	defer c.close()
+	return c.run(engineSchedule(seed, shortLength, from), shortLength)
 }
 
 // TestFatalRequestSentAgainIsReported checks executions of a fatal request against the time by which entries must have
@@ -41,7 +41,7 @@
 		}
 		return r
 	}
-	judged := func(r *observations) int {
+	violations := func(r *observations) int {
 		n := 0
 		r.checkFatalRequests(func(string, ...any) { n++ })
 		return n
@@ -51,21 +51,21 @@
 		for i := range maxAfterQuarantine {
 			r.addFatalCall(at(10*time.Second+time.Duration(i)), false)
 		}
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 	})
 	t.Run("a fourth request is reported", func(t *testing.T) {
 		r := good()
 		for i := range maxAfterQuarantine + 1 {
 			r.addFatalCall(at(10*time.Second+time.Duration(i)), true)
 		}
-		assert.Equal(t, 1, judged(r))
+		assert.Equal(t, 1, violations(r))
 	})
 	t.Run("requests before the deadline are allowed", func(t *testing.T) {
 		r := good()
 		for i := range maxAfterQuarantine + 1 {
 			r.addFatalCall(at(2*time.Second+settleTime-time.Duration(i)), true)
 		}
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 	})
 	t.Run("requests of an entry that was just paused are ignored", func(t *testing.T) {
 		r := good()
@@ -73,7 +73,7 @@
 		for i := range maxAfterQuarantine + 1 {
 			r.addFatalCall(at(10*time.Second+time.Duration(i)), true)
 		}
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 	})
 	heldBack := func(r *observations, from, to time.Duration) {
 		for d := from; d <= to; d += time.Second {
@@ -86,13 +86,13 @@
 	t.Run("a quarantined request that was never answered is ignored", func(t *testing.T) {
 		r := good()
 		heldBack(r, 0, maxQuarantine+time.Second)
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 	})
 	t.Run("a request that is quarantined for too long is reported", func(t *testing.T) {
 		r := good()
 		answered(r)
 		heldBack(r, 0, maxQuarantine+time.Second)
-		assert.Equal(t, 1, judged(r))
+		assert.Equal(t, 1, violations(r))
 	})
 	t.Run("a request that is quarantined for a short time is ignored", func(t *testing.T) {
 		r := good()
@@ -100,7 +100,7 @@
 		heldBack(r, 0, maxQuarantine/2)
 		r.Calls = append(r.Calls, callRecord{ID: "y", Kind: kindOnce, Status: 200, EndedAt: at(maxQuarantine/2 + 1)})
 		heldBack(r, maxQuarantine/2+time.Second, maxQuarantine+time.Second)
-		assert.Zero(t, judged(r))
+		assert.Zero(t, violations(r))
 	})
 }
 
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -21,7 +21,7 @@
 		c.injectEngine(a, n)
 	case faultCrash, faultLeave:
 		c.injectRunner(a, p)
-	case faultDelay, faultReset, faultSilence, faultDropResponses:
+	case faultDelay, faultReset, faultSilence, faultHoldResponses:
 		c.injectNetwork(a, p)
 	case faultStoreDown, faultStoreSilent, faultStoreForget:
 		c.injectStore(a, e)
--- a/soak/givenup.go
+++ b/soak/givenup.go
@@ -44,12 +44,12 @@
 // runnerFailed reports whether the runner ended or lost its connections before both the execution and the call had
 // ended. If the runner had completed its response, the response may still have been in transit then.
 func (r *observations) runnerFailed(e *execution, c *callRecord) bool {
-	place := e.Runner[:max(strings.LastIndex(e.Runner, "-"), 0)]
+	name := e.Runner[:max(strings.LastIndex(e.Runner, "-"), 0)]
 	until := e.endTime(c)
 	if e.Complete {
 		until = c.EndedAt
 	}
-	return slices.ContainsFunc(r.RunnerFaults[place], func(s interval) bool {
+	return slices.ContainsFunc(r.RunnerFaults[name], func(s interval) bool {
 		return s.From.Equal(s.To) && s.From.After(e.StartedAt.Add(-resetSlack)) && s.From.Before(until)
 	})
 }
--- a/soak/givenup_test.go
+++ b/soak/givenup_test.go
@@ -30,13 +30,13 @@
 		r.Calls[0].EndedAt = at(ended + time.Second)
 		r.Executions = append(r.Executions, execution{ID: "chat", Runner: "e-1-1", StartedAt: at(begins), FirstEventAt: at(first), EndedAt: at(ended + time.Second)})
 	}
-	breakOff := func(r *observations, place string, when time.Duration) {
-		r.RunnerFaults[place] = append(r.RunnerFaults[place], interval{at(when), at(when)})
+	breakOff := func(r *observations, name string, when time.Duration) {
+		r.RunnerFaults[name] = append(r.RunnerFaults[name], interval{at(when), at(when)})
 	}
 	const givenUp = "though e-0-1 was answering it"
 	cases := map[string]struct {
-		spoil func(r *observations)
-		want  string
+		modify func(r *observations)
+		want   string
 	}{
 		"cut by the entry":                         {func(*observations) {}, givenUp},
 		"answered with an error":                   {func(r *observations) { r.Calls[0].Truncated, r.Calls[0].Status = false, 502 }, givenUp},
@@ -89,7 +89,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := cut()
-			c.spoil(r)
+			c.modify(r)
 			got := strings.Join(checkGuarantees(r, false), "; ")
 			if c.want == "" {
 				assert.NotContains(t, got, "was answering it")
--- a/soak/lost.go
+++ b/soak/lost.go
@@ -72,9 +72,9 @@
 // runnerFaulted reports whether a runner of the call was under a fault. If the call reached no runner, or moves between
 // engines, the runner is unknown and a fault of any runner counts.
 func (r *observations) runnerFaulted(c *callRecord, executions []execution) bool {
-	for place, times := range r.RunnerFaults {
+	for name, times := range r.RunnerFaults {
 		concerned := len(executions) == 0 || c.Kind.engines() || slices.ContainsFunc(executions, func(e execution) bool {
-			return strings.HasPrefix(e.Runner, place+"-")
+			return strings.HasPrefix(e.Runner, name+"-")
 		})
 		if concerned && overlapsAny(c, times) {
 			return true
--- a/soak/main.go
+++ b/soak/main.go
@@ -82,9 +82,9 @@
 // buildSchedule draws the faults that the flags select.
 func buildSchedule(c *cli.Command, seed uint64, length time.Duration) []action {
 	actions := sortByTime(append(schedule(seed, length), engineSchedule(seed, length, engineFaults)...))
-	for flag, faults := range map[string][]fault{"fatal": fatalFaults, "evacuate": evacuationFaults, "backpressure": backpressureFaults, "restore": restoreFaults} {
+	for flag, from := range map[string][]fault{"fatal": fatalFaults, "evacuate": evacuationFaults, "backpressure": backpressureFaults, "restore": restoreFaults} {
 		if c.Bool(flag) {
-			actions = engineSchedule(seed, length, faults)
+			actions = engineSchedule(seed, length, from)
 		}
 	}
 	if c.Bool("rollout") {
@@ -97,12 +97,12 @@
 
 // runSeed runs one schedule and returns the violated guarantees.
 func runSeed(binary, dir string, seed uint64, actions []action, length time.Duration, counts clusterSize, report func(string, ...any)) ([]string, error) {
-	w, err := newCluster(binary, dir, counts, report)
+	c, err := newCluster(binary, dir, counts, report)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	r := w.run(actions, length)
+	defer c.close()
+	r := c.run(actions, length)
 	served := 0
 	for i := range r.Calls {
 		if r.Calls[i].Status == 200 && !r.Calls[i].Truncated {
--- a/soak/network_faults.go
+++ b/soak/network_faults.go
@@ -25,8 +25,8 @@
 				}
 			case faultSilence:
 				x.silent = on
-			case faultDropResponses:
-				x.dropsResponses = on
+			case faultHoldResponses:
+				x.holdsResponses = on
 			}
 		}
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -23,8 +23,8 @@
 	conns          map[net.Conn]bool
 	delay          time.Duration
 	silent         bool
-	dropsResponses bool
-	updated        chan struct{}
+	holdsResponses bool
+	changed        chan struct{}
 }
 
 func newProxy(host netip.Addr, to netip.AddrPort) (*proxy, error) {
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	at := netip.MustParseAddrPort(l.Addr().String())
-	p := &proxy{listenAddress: at, listener: l, target: to, conns: map[net.Conn]bool{}, updated: make(chan struct{})}
+	p := &proxy{listenAddress: at, listener: l, target: to, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
 	go p.accept(l)
 	return p, nil
 }
@@ -136,11 +136,11 @@
 	}
 }
 
-// waitUntilOpen waits until the current faults let bytes pass in the given direction.
+// waitUntilOpen waits until the current faults allow bytes to pass in the given direction.
 func (p *proxy) waitUntilOpen(responses bool) {
 	for {
 		p.mu.Lock()
-		held, delay, changed := p.silent || p.dropsResponses && responses, p.delay, p.updated
+		held, delay, changed := p.silent || p.holdsResponses && responses, p.delay, p.changed
 		p.mu.Unlock()
 		if !held {
 			time.Sleep(delay)
@@ -155,8 +155,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(p)
-	close(p.updated)
-	p.updated = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // reset resets all connections.
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -64,9 +64,9 @@
 
 // prober asks each entry for the route of the newest configuration that must be in force.
 type prober struct {
-	world  *cluster
-	mu     sync.Mutex
-	probes []probe
+	cluster *cluster
+	mu      sync.Mutex
+	probes  []probe
 }
 
 func (p *prober) run(stop <-chan struct{}) {
@@ -79,7 +79,7 @@
 			return
 		case <-ticker.C:
 		}
-		for _, e := range p.world.entries {
+		for _, e := range p.cluster.entries {
 			p.probe(client, e)
 		}
 	}
@@ -88,7 +88,7 @@
 // probe asks one entry. A failed request is ignored.
 func (p *prober) probe(client *http.Client, e *entry) {
 	now := time.Now()
-	version, acked := p.world.versionInForce(now.Add(-configDeadline))
+	version, acked := p.cluster.versionInForce(now.Add(-configDeadline))
 	if version == 0 {
 		return
 	}
@@ -104,7 +104,7 @@
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
-	if now, _ := p.world.versionInForce(time.Now()); now != version {
+	if now, _ := p.cluster.versionInForce(time.Now()); now != version {
 		return // a newer configuration has replaced the route in the meantime
 	}
 	p.mu.Lock()
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -26,7 +26,7 @@
 // TestConfigurationNotInForceIsReported checks the answers of entries against the configurations that must be in force.
 func TestConfigurationNotInForceIsReported(t *testing.T) {
 	start := time.Unix(1000, 0)
-	judged := func(status int, away interval) int {
+	violations := func(status int, away interval) int {
 		r := &observations{
 			Probes:       []probe{{Version: 3, Acked: start, At: start.Add(configDeadline), Status: status}},
 			StoreOutages: map[int][]interval{0: {away}},
@@ -37,12 +37,12 @@
 		return n
 	}
 	t.Run("a known route is in force", func(t *testing.T) {
-		assert.Zero(t, judged(http.StatusUnauthorized, interval{}))
+		assert.Zero(t, violations(http.StatusUnauthorized, interval{}))
 	})
 	t.Run("an unknown route is reported", func(t *testing.T) {
-		assert.Equal(t, 1, judged(http.StatusNotFound, interval{}))
+		assert.Equal(t, 1, violations(http.StatusNotFound, interval{}))
 	})
 	t.Run("an unknown route right after a store outage is ignored", func(t *testing.T) {
-		assert.Zero(t, judged(http.StatusNotFound, interval{start, start}))
+		assert.Zero(t, violations(http.StatusNotFound, interval{start, start}))
 	})
 }
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -22,7 +22,7 @@
 	faultDelay            fault = "delay connections to runner"
 	faultReset            fault = "reset connections to runner"
 	faultSilence          fault = "silence runner"
-	faultDropResponses    fault = "cut answers of runner"
+	faultHoldResponses    fault = "cut answers of runner"
 	faultStoreDown        fault = "store refuses"
 	faultStoreSilent      fault = "store is silent for one entry"
 	faultStoreForget      fault = "store forgets its history"
@@ -90,7 +90,7 @@
 )
 
 var faults = []fault{
-	faultPause, faultKill, faultStop, faultStopAll, faultReload, faultBadReload, faultCrash, faultLeave, faultDelay, faultReset, faultSilence, faultDropResponses,
+	faultPause, faultKill, faultStop, faultStopAll, faultReload, faultBadReload, faultCrash, faultLeave, faultDelay, faultReset, faultSilence, faultHoldResponses,
 	faultStoreDown, faultStoreSilent, faultStoreForget, faultRemoveKey, faultNewVersion,
 	faultAgentPause, faultAgentKill, faultAgentStop, faultAgentsStop, faultAgentStoreSilent, faultEngineCrash, faultEngineReset, faultDelayOrders, faultWeights,
 }
@@ -108,7 +108,7 @@
 	// warmUp is the time for all processes to start, and coolDown the time for them to recover before the end.
 	warmUp   = time.Second
 	coolDown = 7 * time.Second
-	// meanFaultInterval is the mean time between faults. It is shorter than most faults, which therefore overlap.
+	// meanFaultInterval is the mean time between faults. It is shorter than most faults, so that they overlap.
 	meanFaultInterval = 600 * time.Millisecond
 	shortFault        = 200 * time.Millisecond
 	longFault         = 2500 * time.Millisecond
@@ -134,7 +134,7 @@
 	return min(max(a.Duration*2/5, minSignalInterval), maxSignalInterval)
 }
 
-// schedule returns the actions for a seed, which are always the same.
+// schedule returns actions with the faults of regular schedules. The same seed always gives the same actions.
 func schedule(seed uint64, length time.Duration) []action {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var actions []action
@@ -152,8 +152,7 @@
 	return sortByTime(actions)
 }
 
-// engineSchedule returns the actions for a seed with only the given faults. They are always the same for the same
-// faults.
+// engineSchedule returns actions with only the given faults. The same seed and faults always give the same actions.
 func engineSchedule(seed uint64, length time.Duration, from []fault) []action {
 	random := rand.New(rand.NewPCG(seed, 3))
 	var actions []action
@@ -179,7 +178,7 @@
 	return actions
 }
 
-// drawRollout returns the rollout of weights for a seed, which is always the same.
+// drawRollout returns a rollout of weights. The same seed always gives the same rollout.
 func drawRollout(seed uint64) action {
 	random := rand.New(rand.NewPCG(seed, 2))
 	a := draw(random, []fault{faultRollout}, warmUp+time.Duration(random.Int64N(int64(rolloutWithin))))
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -52,10 +52,10 @@
 // assertGuarantees runs a schedule and checks the guarantees that have no time limit.
 func assertGuarantees(t *testing.T, binary string, actions []action) {
 	t.Helper()
-	w, err := newCluster(binary, t.TempDir(), clusterSize{Entries: 3, Runners: 3, Callers: 30}, t.Logf)
+	c, err := newCluster(binary, t.TempDir(), clusterSize{Entries: 3, Runners: 3, Callers: 30}, t.Logf)
 	require.NoError(t, err)
-	defer w.close()
-	r := w.run(actions, shortLength)
+	defer c.close()
+	r := c.run(actions, shortLength)
 	assert.NotEmpty(t, r.Executions)
 	assert.Empty(t, checkGuarantees(r, false))
 }
@@ -144,8 +144,8 @@
 		r.removeExecutions(c)
 	}
 	cases := map[string]struct {
-		spoil func(r *observations)
-		want  string
+		modify func(r *observations)
+		want   string
 	}{
 		"no violation":                        {func(*observations) {}, ""},
 		"non-idempotent request runs twice":   {func(r *observations) { r.Executions = append(r.Executions, execution{ID: "once"}) }, "ran 2 times"},
@@ -239,7 +239,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := good()
-			c.spoil(r)
+			c.modify(r)
 			got := strings.Join(checkGuarantees(r, true), "; ")
 			if c.want == "" {
 				assert.Empty(t, got)
--- a/soak/world.go
+++ b/soak/world.go
@@ -63,31 +63,31 @@
 type clusterSize struct{ Entries, Runners, Callers int }
 
 func newCluster(binary, dir string, counts clusterSize, report func(string, ...any)) (*cluster, error) {
-	w := &cluster{
+	c := &cluster{
 		store: site.NewStore(), report: report, keysRemoved: map[string]time.Time{}, leavingSince: map[string]time.Time{}, disturbances: map[int][]interval{},
 		storeOutages: map[int][]interval{}, weightsPublished: map[uint64]time.Time{}, runnerFaults: map[string][]interval{},
 	}
-	w.server = httptest.NewServer(w.store)
+	c.server = httptest.NewServer(c.store)
 	for i := range counts.Runners {
 		p, err := newProxy(runnerHost(i), netip.AddrPort{})
 		if err != nil {
 			return nil, err
 		}
-		runner := &plainRunner{proxy: p, events: &w.events, number: i}
-		runner.crashAndReplace = func() bool { return runner.replaceMu.TryLock() && w.replaceRunner(runner) }
-		w.plainRunners = append(w.plainRunners, runner)
-		w.register(runner, runner.start(), "ready")
+		runner := &plainRunner{proxy: p, events: &c.events, number: i}
+		runner.crashAndReplace = func() bool { return runner.replaceMu.TryLock() && c.replaceRunner(runner) }
+		c.plainRunners = append(c.plainRunners, runner)
+		c.register(runner, runner.start(), "ready")
 	}
-	w.publishConfig()
-	w.publishWeights()
-	store := netip.MustParseAddrPort(strings.TrimPrefix(w.server.URL, "http://"))
+	c.publishConfig()
+	c.publishWeights()
+	store := netip.MustParseAddrPort(strings.TrimPrefix(c.server.URL, "http://"))
 	peers, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
 	peerPort := netip.MustParseAddrPort(peers).Port()
 	for i := range counts.Runners {
-		if err := w.addEngine(i, binary, dir, store, peerPort); err != nil {
+		if err := c.addEngine(i, binary, dir, store, peerPort); err != nil {
 			return nil, err
 		}
 	}
@@ -99,11 +99,11 @@
 		if err := e.start(); err != nil {
 			return nil, err
 		}
-		w.entries = append(w.entries, e)
+		c.entries = append(c.entries, e)
 	}
-	w.balancer = newBalancer(w.entries)
-	w.callers = &callers{balancer: w.balancer, host: host, keys: w.keys(), callerCount: counts.Callers}
-	return w, w.awaitReady()
+	c.balancer = newBalancer(c.entries)
+	c.callers = &callers{balancer: c.balancer, host: host, keys: c.keys(), callerCount: counts.Callers}
+	return c, c.awaitReady()
 }
 
 // addEngine starts an engine and its agent.
@@ -203,11 +203,11 @@
 }
 
 // recordRunnerFault records a fault of a plain runner or engine, or of its connections, that lasts for the given time.
-func (c *cluster) recordRunnerFault(place string, d time.Duration) {
+func (c *cluster) recordRunnerFault(name string, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.runnerFaults[place] = append(c.runnerFaults[place], interval{From: now, To: now.Add(d)})
+	c.runnerFaults[name] = append(c.runnerFaults[name], interval{From: now, To: now.Add(d)})
 }
 
 // schedule runs fn after the given time. The soak does not end before it has returned.
@@ -225,7 +225,7 @@
 func (c *cluster) run(actions []action, length time.Duration) *observations {
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	c.prober.world = c
+	c.prober.cluster = c
 	callers.Go(func() { c.balancer.run(stop) })
 	callers.Go(func() { c.prober.run(stop) })
 	callers.Go(func() { c.callers.run(stop) })
@@ -257,9 +257,9 @@
 		r.LoadedWeights[id] = weights
 	}
 	for _, e := range c.entries {
-		past := e.historySnapshot()
-		r.Entries[e.number] = past
-		r.Disturbances[e.number] = append(r.Disturbances[e.number], past.disturbances()...)
+		history := e.historySnapshot()
+		r.Entries[e.number] = history
+		r.Disturbances[e.number] = append(r.Disturbances[e.number], history.disturbances()...)
 	}
 	c.callers.mu.Lock()
 	defer c.callers.mu.Unlock()
