--- a/soak/backpressure.go
+++ b/soak/backpressure.go
@@ -11,106 +11,117 @@
 )
 
 const (
-	// askedLimit is the limit that runners name, in requests a second, and limitAtLeast for how long they do at the least.
-	askedLimit   = 2.0
-	limitAtLeast = 5 * time.Second
-	// limitWindow, limitOver and limitSlack bound what comes within a limit: in any such time so many times what it allows, and a few more.
+	// announcedLimit is the rate limit in requests per second that runners announce, and minLimitDuration is the
+	// minimum time for which they do.
+	announcedLimit   = 2.0
+	minLimitDuration = 5 * time.Second
+	// Within any limitWindow, a runner may receive limitFactor times what its limit allows, plus limitSlack requests.
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
-	// askedRest is the rest that runners ask for, mostInRest how many requests may still come in it.
-	askedRest  = 2 * time.Second
-	mostInRest = 2
-	// toldBefore is how long before a request its entry must have been told of a limit or a rest for it to count.
-	toldBefore = 500 * time.Millisecond
+	// retryAfter is the Retry-After that refusing runners send, and maxDuringRetryAfter is the number of requests that
+	// may still arrive in that time.
+	retryAfter          = 2 * time.Second
+	maxDuringRetryAfter = 2
+	// noticeDelay is the minimum time between an entry learning of a limit or a Retry-After and a request that counts
+	// as a violation.
+	noticeDelay = 500 * time.Millisecond
 )
 
-// pressure is what a runner asks for in its answers, and in nothing else.
-type pressure struct {
-	mu      sync.Mutex
-	limited time.Time
-	refuses time.Time
-	leaving string
+// backpressureControl holds the backpressure signals that a runner sends in its responses, and nowhere else.
+type backpressureControl struct {
+	mu            sync.Mutex
+	limitedUntil  time.Time
+	refusingUntil time.Time
+	leavingRunner string
 }
 
-// limit has the runner name a limit for a time, refuse has it turn requests away and ask for rest, and leave has one run of it say that it leaves.
-func (p *pressure) limit(d time.Duration) { p.set(func() { p.limited = time.Now().Add(d) }) }
+// limitFor makes the runner announce a rate limit for the given time. refuseFor makes it refuse requests with a
+// Retry-After, and leave makes one run of it announce that it is leaving.
+func (p *backpressureControl) limitFor(d time.Duration) {
+	p.update(func() { p.limitedUntil = time.Now().Add(d) })
+}
 
-func (p *pressure) refuse(d time.Duration) { p.set(func() { p.refuses = time.Now().Add(d) }) }
+func (p *backpressureControl) refuseFor(d time.Duration) {
+	p.update(func() { p.refusingUntil = time.Now().Add(d) })
+}
 
-func (p *pressure) leave(run string) { p.set(func() { p.leaving = run }) }
+func (p *backpressureControl) leave(run string) { p.update(func() { p.leavingRunner = run }) }
 
-func (p *pressure) set(do func()) {
+func (p *backpressureControl) update(fn func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	do()
+	fn()
 }
 
-// arrival is a request as it came to a runner, with what its answer asked for.
+// arrival is a request that reached a runner, with the backpressure signals in its response.
 type arrival struct {
 	ID     string
 	Runner string
 	At     time.Time
-	// Limited says that the answer named a limit, Leaving that the runner leaves, and Refused that it was turned away and its entry asked for rest.
+	// Limited reports whether the response announced a limit, Leaving whether it announced that the runner is leaving,
+	// and Refused whether the request was refused with a Retry-After.
 	Limited bool
 	Leaving bool
 	Refused bool
 }
 
-// take notes a request that came to a run of the runner, has its answer ask for what is asked for now, and reports whether it was turned away.
-func (p *pressure) take(l *ledger, label string, w http.ResponseWriter, r *http.Request) (refused bool) {
+// handle records a request that reached a run of the runner and adds the current backpressure signals to its response.
+// It reports whether the request was refused.
+func (p *backpressureControl) handle(l *eventLog, label string, w http.ResponseWriter, r *http.Request) (refused bool) {
 	p.mu.Lock()
 	now := time.Now()
-	a := arrival{ID: site.RequestID(r), Runner: label, At: now, Limited: now.Before(p.limited), Leaving: p.leaving == label, Refused: now.Before(p.refuses)}
+	a := arrival{ID: site.RequestID(r), Runner: label, At: now, Limited: now.Before(p.limitedUntil), Leaving: p.leavingRunner == label, Refused: now.Before(p.refusingUntil)}
 	p.mu.Unlock()
-	l.arrive(a)
+	l.recordArrival(a)
 	if a.Limited {
-		w.Header().Set("Server-Limit", fmt.Sprint(askedLimit))
+		w.Header().Set("Server-Limit", fmt.Sprint(announcedLimit))
 	}
 	if a.Leaving {
 		w.Header().Set("Server-Leaving", "1")
 	}
 	if a.Refused {
-		w.Header().Set("Retry-After", strconv.FormatFloat(askedRest.Seconds(), 'f', -1, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 		site.WriteNotExecuted(w, r)
 	}
 	return a.Refused
 }
 
-func (l *ledger) arrive(a arrival) {
+func (l *eventLog) recordArrival(a arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals = append(l.arrivals, a)
 }
 
-// injectPressure has a plain runner or an engine ask for less in its answers.
-func (w *world) injectPressure(a action, p *place, n *engine) {
-	asks := &p.pressure
-	if a.Which%2 == 1 {
-		asks = &n.pressure
+// injectBackpressure makes a plain runner or an engine send backpressure signals in its responses.
+func (c *cluster) injectBackpressure(a action, p *plainRunner, n *engine) {
+	control := &p.backpressure
+	if a.Target%2 == 1 {
+		control = &n.backpressure
 	}
 	switch a.Fault {
-	case faultLimit:
-		asks.limit(limitAtLeast + a.For)
-		w.later(limitAtLeast+a.For, func() {})
-	case faultRest:
-		asks.refuse(a.For)
-		w.later(a.For+askedRest, func() {})
-	case faultLeaveUntold:
-		w.leaveUntold(a, p, n)
+	case faultRateLimit:
+		control.limitFor(minLimitDuration + a.Duration)
+		c.schedule(minLimitDuration+a.Duration, func() {})
+	case faultRetryAfter:
+		control.refuseFor(a.Duration)
+		c.schedule(a.Duration+retryAfter, func() {})
+	case faultLeaveInResponses:
+		c.injectLeaveInResponses(a, p, n)
 	}
 }
 
-// leaveUntold has a runner say in its answers alone that it leaves, and ends it some time later.
-func (w *world) leaveUntold(a action, p *place, n *engine) {
-	ends := leaveWithin + time.Second + a.For
-	if a.Which%2 == 1 {
-		n.replacing.Lock()
-		n.pressure.leave(n.label())
-		w.later(ends, func() { w.replaceEngine(n) })
+// injectLeaveInResponses makes a runner announce only in its responses that it is leaving, and replaces it some time
+// later.
+func (c *cluster) injectLeaveInResponses(a action, p *plainRunner, n *engine) {
+	endsAfter := leaveWithin + time.Second + a.Duration
+	if a.Target%2 == 1 {
+		n.replaceMu.Lock()
+		n.backpressure.leave(n.label())
+		c.schedule(endsAfter, func() { c.replaceEngine(n) })
 		return
 	}
-	p.replacing.Lock()
-	p.pressure.leave(p.id())
-	w.later(ends, func() { w.replacePlace(p) })
+	p.replaceMu.Lock()
+	p.backpressure.leave(p.id())
+	c.schedule(endsAfter, func() { c.replaceRunner(p) })
 }
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -18,31 +18,31 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// callers send requests through the balancer until they are told to stop: half of them open a connection for each request,
-// the others go on using theirs until it is closed.
+// callers sends requests through the balancer until it is stopped. Half of the callers open a connection for each
+// request, and the others reuse theirs until it is closed.
 type callers struct {
-	balancer *balancer
-	host     string
-	keys     []string
-	count    int
+	balancer    *balancer
+	host        string
+	keys        []string
+	callerCount int
 
-	next  atomic.Int64
-	mu    sync.Mutex
-	calls []call
+	nextID atomic.Int64
+	mu     sync.Mutex
+	calls  []callRecord
 }
 
 const (
-	thinkTime = 25 * time.Millisecond
-	giveUp    = 10 * time.Second
+	thinkTime   = 25 * time.Millisecond
+	callTimeout = 10 * time.Second
 )
 
 var kinds = []kind{kindRepeat, kindOnce, kindStream, kindFlow, kindPrompt, kindChat}
 
 func (c *callers) run(stop <-chan struct{}) {
 	var wg sync.WaitGroup
-	for i := range c.count {
-		one := &caller{callers: c}
-		wg.Go(func() { one.run(i, stop) })
+	for i := range c.callerCount {
+		sender := &caller{callers: c}
+		wg.Go(func() { sender.run(i, stop) })
 	}
 	wg.Wait()
 }
@@ -51,13 +51,14 @@
 type caller struct {
 	callers *callers
 	client  *http.Client
-	// entry is the one that the latest connection leads to; fresh says that no request has used it yet.
-	entry *entry
-	fresh bool
+	// entry is the entry at the other end of the latest connection. newConnection reports whether the connection was
+	// opened for the current request.
+	entry         *entry
+	newConnection bool
 }
 
 func (c *caller) run(number int, stop <-chan struct{}) {
-	c.client = &http.Client{Timeout: giveUp, Transport: &http.Transport{
+	c.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{
 		DisableCompression: true, DisableKeepAlives: number%2 == 0, DialContext: c.dial,
 	}}
 	defer c.client.CloseIdleConnections()
@@ -67,23 +68,23 @@
 			return
 		case <-time.After(thinkTime):
 		}
-		c.one(kinds[n%len(kinds)], c.callers.keys[n/len(kinds)%len(c.callers.keys)], "")
+		c.call(kinds[n%len(kinds)], c.callers.keys[n/len(kinds)%len(c.callers.keys)], "")
 	}
 }
 
-// dial connects to whichever entry the balancer gives, since the URL names none.
+// dial connects to the entry that the balancer chooses. The URL does not name one.
 func (c *caller) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	conn, e, err := c.callers.balancer.dial(ctx)
-	c.entry, c.fresh = e, true
+	c.entry, c.newConnection = e, true
 	return conn, err
 }
 
-// one sends a request of the kind, which is a fatal one where that is named.
-func (c *caller) one(k kind, key, fatal string) {
-	seen := call{ID: fmt.Sprintf("%s-%d", k, c.callers.next.Add(1)), Kind: k, Key: key, Fatal: fatal, Sent: time.Now()}
-	c.fresh = false
+// call sends a request of the given kind, or the fatal request with the given name if it is not empty.
+func (c *caller) call(k kind, key, fatal string) {
+	seen := callRecord{ID: fmt.Sprintf("%s-%d", k, c.callers.nextID.Add(1)), Kind: k, Key: key, Fatal: fatal, SentAt: time.Now()}
+	c.newConnection = false
 	c.send(&seen)
-	seen.Ended, seen.Fresh = time.Now(), c.fresh
+	seen.EndedAt, seen.NewConnection = time.Now(), c.newConnection
 	if c.entry != nil {
 		seen.Entry = c.entry.number
 	}
@@ -92,17 +93,17 @@
 	c.callers.calls = append(c.callers.calls, seen)
 }
 
-func (c *caller) send(seen *call) {
+func (c *caller) send(seen *callRecord) {
 	var written atomic.Pointer[time.Time]
 	ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
 		if now := time.Now(); info.Err == nil {
 			written.Store(&now)
 		}
 	}})
-	// A POST without a way to make its body anew is sent once by the client, whatever happens to the connection.
+	// The client sends a POST without GetBody only once, whatever happens to the connection.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/%s/%s", c.callers.host, seen.Kind, cmp.Or(seen.Fatal, "x")), io.LimitReader(zeros{}, 10))
 	if err != nil {
-		seen.Cut = true
+		seen.Truncated = true
 		return
 	}
 	site.SetRequestID(req, seen.ID)
@@ -117,14 +118,14 @@
 		body, err = io.ReadAll(resp.Body)
 		seen.Status, seen.Body = resp.StatusCode, string(body)
 	}
-	seen.Cut, seen.Refused = err != nil, errors.Is(err, syscall.ECONNREFUSED)
+	seen.Truncated, seen.Refused = err != nil, errors.Is(err, syscall.ECONNREFUSED)
 	if at := written.Load(); at != nil {
-		seen.Written = *at
+		seen.WrittenAt = *at
 	}
 }
 
-// zeros is a reader of zeros.
+// zeros is a reader that returns zero bytes.
 type zeros struct{}
 
-// Read fills the buffer.
+// Read implements io.Reader.
 func (zeros) Read(buf []byte) (int, error) { return len(buf), nil }
--- a/soak/engine.go
+++ b/soak/engine.go
@@ -10,110 +10,113 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// given is an order as an engine got it.
-type given struct {
+// receivedOrder is an order that an engine received.
+type receivedOrder struct {
 	Engine string
 	Order  site.Order
 }
 
-// engine is where a model engine lives, with its agent beside it: one run after another, behind one proxy.
+// engine runs a model engine and its agent. It runs one engine at a time, and all its runs use the same proxy.
 type engine struct {
 	agent  *agent
 	proxy  *proxy
-	ledger *ledger
+	events *eventLog
 	number int
-	// pressure is what the engine asks for in its answers.
-	pressure pressure
-	// fatal ends the run and starts another soon, unless that is being done; it reports whether it ended it.
-	fatal func() bool
+	// backpressure holds the backpressure signals in the engine's responses.
+	backpressure backpressureControl
+	// crashAndReplace ends the current run and schedules another, unless a replacement is in progress. It reports
+	// whether it ended the run.
+	crashAndReplace func() bool
 
-	// replacing is held while the run, or its record, is being replaced.
-	replacing sync.Mutex
+	// replaceMu is held while the run or its store record is being replaced.
+	replaceMu sync.Mutex
 
-	mu       sync.Mutex
-	runs     int
-	born     int64
-	losing   time.Time
-	refusing time.Time
-	slow     time.Time
-	queue    time.Duration
-	current  *site.Engine
+	mu                 sync.Mutex
+	starts             int
+	startedAt          int64
+	ordersDelayedUntil time.Time
+	refusingUntil      time.Time
+	slowUntil          time.Time
+	queueDelay         time.Duration
+	current            *site.Engine
 }
 
-// slowBy is how many times as long an engine that runs slow takes for each event.
-const slowBy = 2
+// slowFactor is the factor by which a slow engine delays each event.
+const slowFactor = 2
 
-// loadTime is how long an engine of the soak takes for new weights.
+// loadTime is how long an engine takes to load new weights.
 const loadTime = 300 * time.Millisecond
 
-// runnerHost is the address of loopback on which a plain runner lives, where no other process takes its port while it is down.
+// runnerHost returns the loopback address of a plain runner. Each runner has its own, so that no other process takes
+// its port while it is down.
 func runnerHost(number int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 2, byte(number + 1)}) }
 
-// engineHost is the address of loopback on which an engine and its agent live.
+// engineHost returns the loopback address of an engine and its agent.
 func engineHost(number int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 1, byte(number + 1)}) }
 
-// name names the place of the engine, in whatever runs there.
+// name returns the name of the engine, which all its runs share.
 func (e *engine) name() string { return fmt.Sprintf("e-%d", e.number) }
 
-// start begins a new run with the weights under a new id, and tells its start.
+// start starts a run with the given weights under a new ID, and reports its start time.
 func (e *engine) start(weights uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.begin(fmt.Sprintf("%s-%d", e.name(), e.runs+1), weights, true)
+	e.startLocked(fmt.Sprintf("%s-%d", e.name(), e.starts+1), weights, true)
 }
 
-// startAgain begins a new run under the id and with the weights of the last, and tells its start or does not.
-func (e *engine) startAgain(told bool) {
+// restart starts a run with the ID and the weights of the last one. It reports its start time only if reportStart is
+// true.
+func (e *engine) restart(reportStart bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.begin(e.current.ID, e.current.LoadedVersion(), told)
-}
-
-// begin begins a new run; e.mu is held.
-func (e *engine) begin(id string, weights uint64, told bool) {
-	e.runs++
-	label := e.labelOf(e.runs)
-	e.born = max(e.born+1, time.Now().UnixMilli())
-	one := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, QueueDelay: e.queueing, RefusesRequests: e.refuses}
-	one.ID = id
-	if told {
-		one.StartUnixMS = e.born
+	e.startLocked(e.current.ID, e.current.LoadedVersion(), reportStart)
+}
+
+// startLocked starts a run. The caller must hold e.mu.
+func (e *engine) startLocked(id string, weights uint64, reportStart bool) {
+	e.starts++
+	label := e.startLabel(e.starts)
+	e.startedAt = max(e.startedAt+1, time.Now().UnixMilli())
+	next := &site.Engine{Model: site.Model, Version: weights, LoadTime: loadTime, QueueDelay: e.currentQueueDelay, RefusesRequests: e.refusing}
+	next.ID = id
+	if reportStart {
+		next.StartUnixMS = e.startedAt
 	}
-	one.Handle = func(w http.ResponseWriter, r *http.Request) {
-		begun := run{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), At: time.Now(), Weights: one.LoadedVersion(), Fatal: fatalOf(r)}
-		if begun.Fatal != "" {
-			e.ledger.endUnder(begun, e.fatal)
+	next.Handle = func(w http.ResponseWriter, r *http.Request) {
+		started := execution{ID: site.RequestID(r), Runner: label, Zone: zoneOf(e.number), StartedAt: time.Now(), Weights: next.LoadedVersion(), Fatal: fatalName(r)}
+		if started.Fatal != "" {
+			e.events.crashRunner(started, e.crashAndReplace)
 		}
-		if e.pressure.take(e.ledger, label, w, r) {
+		if e.backpressure.handle(e.events, label, w, r) {
 			return
 		}
-		open := e.ledger.begin(begun)
-		streamPieces(w, r, open, e.pause(r))
+		open := e.events.beginExecution(started)
+		streamPieces(w, r, open, e.eventInterval(r))
 	}
-	one.OnOrder = func(o site.Order) bool {
-		e.ledger.order(given{Engine: label, Order: o})
-		return e.loses()
+	next.OnOrder = func(o site.Order) bool {
+		e.events.recordOrder(receivedOrder{Engine: label, Order: o})
+		return e.delaysOrders()
 	}
-	one.OnDelayedOrder = func(o site.Order) { e.carryOut(id, o) }
-	one.Start()
-	e.current = one
-	if err := e.proxy.open(one.Address()); err != nil {
-		panic(err) // nothing else takes the engine's address
+	next.OnDelayedOrder = func(o site.Order) { e.applyOrder(id, o) }
+	next.Start()
+	e.current = next
+	if err := e.proxy.listenFor(next.Address()); err != nil {
+		panic(err) // no other process uses the engine's address
 	}
 }
 
-// labelOf names one of the runs that lived here, also among those with the same id.
-func (e *engine) labelOf(run int) string { return fmt.Sprintf("%s-%d", e.name(), run) }
+// startLabel returns a label for one of the engine's runs, which is unique even among runs with the same ID.
+func (e *engine) startLabel(run int) string { return fmt.Sprintf("%s-%d", e.name(), run) }
 
-// label names the run that lives here now.
+// label returns the label of the current run.
 func (e *engine) label() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.labelOf(e.runs)
+	return e.startLabel(e.starts)
 }
 
-// carryOut gives a late order to the run with the id, which may have started again meanwhile.
-func (e *engine) carryOut(id string, o site.Order) {
+// applyOrder passes a delayed order to the run with the given ID, which may have been restarted in the meantime.
+func (e *engine) applyOrder(id string, o site.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.current.ID == id {
@@ -121,8 +124,8 @@
 	}
 }
 
-// record is what the run that lives here now records in the object store.
-func (e *engine) record() (id string, spec map[string]any) {
+// storeRecord returns the object store record of the current run.
+func (e *engine) storeRecord() (id string, spec map[string]any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	spec = e.current.RecordAt(e.proxy.address(), "ready")
@@ -130,77 +133,77 @@
 	return e.current.ID, spec
 }
 
-// pause is how long the engine takes for each event of a request.
-func (e *engine) pause(r *http.Request) time.Duration {
+// eventInterval returns the time between two events of a response.
+func (e *engine) eventInterval(r *http.Request) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	pause := lasts(kindOf(r), site.RequestID(r)) / pieces
-	if time.Now().Before(e.slow) {
-		return slowBy * pause
+	pause := streamDuration(requestKind(r), site.RequestID(r)) / streamEvents
+	if time.Now().Before(e.slowUntil) {
+		return slowFactor * pause
 	}
 	return pause
 }
 
-// slowDown has what begins within a time run slow.
-func (e *engine) slowDown(d time.Duration) {
+// slowFor makes requests that begin within the given time run slowly.
+func (e *engine) slowFor(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = time.Now().Add(d)
+	e.slowUntil = time.Now().Add(d)
 }
 
-// refuse has the engine refuse what has not begun for a time, whatever its report says.
-func (e *engine) refuse(d time.Duration) {
+// startRefusing makes the engine refuse new requests for the given time, whatever its load report says.
+func (e *engine) startRefusing(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.refusing = time.Now().Add(d)
+	e.refusingUntil = time.Now().Add(d)
 }
 
-func (e *engine) refuses() bool {
+func (e *engine) refusing() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Now().Before(e.refusing)
+	return time.Now().Before(e.refusingUntil)
 }
 
-// loses reports whether orders get no answer now.
-func (e *engine) loses() bool {
+// delaysOrders reports whether orders currently get no response.
+func (e *engine) delaysOrders() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Now().Before(e.losing)
+	return time.Now().Before(e.ordersDelayedUntil)
 }
 
-// lose has orders get no answer for a time, and be carried out late.
-func (e *engine) lose(d time.Duration) {
+// delayOrders makes orders get no response for the given time and take effect late.
+func (e *engine) delayOrders(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.losing = time.Now().Add(d)
+	e.ordersDelayedUntil = time.Now().Add(d)
 }
 
-// setQueue has each request wait for the time before it begins.
-func (e *engine) setQueue(d time.Duration) {
+// setQueueDelay sets how long each request waits in the engine's queue.
+func (e *engine) setQueueDelay(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.queue = d
+	e.queueDelay = d
 }
 
-func (e *engine) queueing() time.Duration {
+func (e *engine) currentQueueDelay() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.queue
+	return e.queueDelay
 }
 
-// run names the run that lives here now, and its weights.
-func (e *engine) run() (id string, weights uint64) {
+// idAndWeights returns the ID of the current run and the version of its weights.
+func (e *engine) idAndWeights() (id string, weights uint64) {
 	e.mu.Lock()
 	current := e.current
 	e.mu.Unlock()
 	return current.ID, current.LoadedVersion()
 }
 
-// crash ends the run and every connection of it.
+// crash ends the current run and closes all its connections.
 func (e *engine) crash() {
 	e.mu.Lock()
 	current := e.current
 	e.mu.Unlock()
 	current.Crash()
-	e.proxy.shut()
+	e.proxy.stopListening()
 }
--- a/soak/engine_faults.go
+++ b/soak/engine_faults.go
@@ -3,88 +3,91 @@
 import "time"
 
 const (
-	// mostNames is how many names come at the most in quick succession; leastBetween and mostBetween bound the time between them.
-	mostNames    = 5
-	leastBetween = 500 * time.Millisecond
-	mostBetween  = 2500 * time.Millisecond
-	// heldBack is how long agents stand still at the least, so that several have orders to give when they go on.
-	heldBack = 2 * time.Second
-	// refuseFor is how long an engine refuses whatever its report says.
+	// maxBurstWeights is the maximum number of weights versions in a burst. minWeightsInterval and maxWeightsInterval
+	// bound the time between two of them.
+	maxBurstWeights    = 5
+	minWeightsInterval = 500 * time.Millisecond
+	maxWeightsInterval = 2500 * time.Millisecond
+	// minAgentPause is the minimum time for which agents are paused, so that several have orders to send when they
+	// resume.
+	minAgentPause = 2 * time.Second
+	// refuseFor is how long an engine refuses requests, whatever its load report says.
 	refuseFor = time.Second
-	// leastFreeze and mostFreeze bound how long an engine stands still.
-	leastFreeze = 500 * time.Millisecond
-	mostFreeze  = 2 * time.Second
+	// minFreeze and maxFreeze bound how long an engine is frozen.
+	minFreeze = 500 * time.Millisecond
+	maxFreeze = 2 * time.Second
 )
 
-// injectAtEngine does one fault of those drawn for engines and for their entries in the store.
-func (w *world) injectAtEngine(a action, n *engine) {
+// injectEngineOrStore injects one of the faults of engines and of their records in the store.
+func (c *cluster) injectEngineOrStore(a action, n *engine) {
 	switch a.Fault {
-	case faultNames, faultLoadsAtOnce:
-		w.injectLoads(a)
-	case faultRefuse, faultFreeze, faultSlow:
-		w.injectWeakness(a, n)
-	case faultAgain, faultAgainUntold:
-		w.injectRestart(a, n)
-	case faultBadEntries, faultSpoiledEntry:
-		w.injectBadEntries(a, n)
+	case faultWeightsBurst, faultConcurrentLoads:
+		c.injectLoads(a)
+	case faultEngineRefuse, faultEngineFreeze, faultEngineSlow:
+		c.injectEngineDegradation(a, n)
+	case faultRestartEngine, faultRestartEngineUnreported:
+		c.injectRestart(a, n)
+	case faultBadRecords, faultOverwrittenRecord:
+		c.injectBadRecords(a, n)
 	}
 }
 
-// injectLoads has engines load under the requests that they answer.
-func (w *world) injectLoads(a action) {
+// injectLoads makes engines load weights while they serve requests.
+func (c *cluster) injectLoads(a action) {
 	switch a.Fault {
-	case faultNames:
-		between := a.within(leastBetween, mostBetween)
-		for i := range 2 + a.Which%(mostNames-1) {
-			w.later(time.Duration(i)*between, w.nameNextWeights)
-			w.later(time.Duration(i)*between+a.gap(), w.configure)
+	case faultWeightsBurst:
+		between := a.scaleDuration(minWeightsInterval, maxWeightsInterval)
+		for i := range 2 + a.Target%(maxBurstWeights-1) {
+			c.schedule(time.Duration(i)*between, c.publishNextWeights)
+			c.schedule(time.Duration(i)*between+a.signalInterval(), c.publishConfig)
 		}
-	case faultLoadsAtOnce:
-		w.nameNextWeights()
-		for _, n := range w.engines {
-			w.pause(action{For: heldBack + a.For}, &n.agent.process)
+	case faultConcurrentLoads:
+		c.publishNextWeights()
+		for _, n := range c.engines {
+			c.pause(action{Duration: minAgentPause + a.Duration}, &n.agent.process)
 		}
 	}
 }
 
-// nameNextWeights names the next version, unless one was just named: overlapping series are no faster than one is at the most.
-func (w *world) nameNextWeights() {
-	w.mu.Lock()
-	last := w.named[w.weights]
-	w.mu.Unlock()
-	if time.Since(last) >= leastBetween {
-		w.nameWeights()
+// publishNextWeights publishes the next version of the weights, unless another was published less than
+// minWeightsInterval ago. Overlapping bursts are therefore no faster than the fastest single one.
+func (c *cluster) publishNextWeights() {
+	c.mu.Lock()
+	last := c.weightsPublished[c.weightsVersion]
+	c.mu.Unlock()
+	if time.Since(last) >= minWeightsInterval {
+		c.publishWeights()
 	}
 }
 
-// within maps how long the fault lasts to a time between two others.
-func (a *action) within(least, most time.Duration) time.Duration {
-	return least + time.Duration(float64(a.For-shortFault)/float64(longFault-shortFault)*float64(most-least))
+// scaleDuration maps the fault's duration linearly to the range between minimum and maximum.
+func (a *action) scaleDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(float64(a.Duration-shortFault)/float64(longFault-shortFault)*float64(maximum-minimum))
 }
 
-// injectWeakness has an engine be worse than it says of itself, without breaking anything off.
-func (w *world) injectWeakness(a action, n *engine) {
+// injectEngineDegradation makes an engine perform worse than it reports, without breaking connections.
+func (c *cluster) injectEngineDegradation(a action, n *engine) {
 	switch a.Fault {
-	case faultRefuse:
-		n.refuse(refuseFor)
-		w.later(refuseFor, func() {})
-	case faultSlow:
-		n.slowDown(a.For)
-		w.later(a.For, func() {})
-	case faultFreeze:
-		n.proxy.set(func(x *proxy) { x.silent = true })
-		w.later(a.within(leastFreeze, mostFreeze), func() { n.proxy.set(func(x *proxy) { x.silent = false }) })
+	case faultEngineRefuse:
+		n.startRefusing(refuseFor)
+		c.schedule(refuseFor, func() {})
+	case faultEngineSlow:
+		n.slowFor(a.Duration)
+		c.schedule(a.Duration, func() {})
+	case faultEngineFreeze:
+		n.proxy.update(func(x *proxy) { x.silent = true })
+		c.schedule(a.scaleDuration(minFreeze, maxFreeze), func() { n.proxy.update(func(x *proxy) { x.silent = false }) })
 	}
 }
 
-// injectRestart ends an engine and starts it again under its id.
-func (w *world) injectRestart(a action, n *engine) {
-	n.replacing.Lock()
-	w.harm(n.name(), 0)
+// injectRestart ends an engine and restarts it with the same ID.
+func (c *cluster) injectRestart(a action, n *engine) {
+	n.replaceMu.Lock()
+	c.recordRunnerFault(n.name(), 0)
 	n.crash()
-	w.later(restartAfter, func() {
-		defer n.replacing.Unlock()
-		n.startAgain(a.Fault == faultAgain)
-		w.listEngine(n)
+	c.schedule(restartDelay, func() {
+		defer n.replaceMu.Unlock()
+		n.restart(a.Fault == faultRestartEngine)
+		c.registerEngine(n)
 	})
 }
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -11,23 +11,26 @@
 )
 
 const (
-	// fatalPath is what the last part of a fatal request's path begins with.
+	// fatalPath is the prefix of the last path segment of a fatal request.
 	fatalPath = "fatal-"
-	// fatalFor is how long such a request comes again and again: for some seconds after entries must know it.
-	fatalFor = contact + 3*time.Second
-	// fatalShare is the part of a fault's length that passes between two of its sends.
+	// fatalDuration is how long a fatal request is repeated. It lasts a few seconds beyond the time by which entries
+	// must have quarantined it.
+	fatalDuration = settleTime + 3*time.Second
+	// fatalShare divides the duration of the fault into the pauses between two repetitions of the request.
 	fatalShare = 8
-	// mostAfter is how many sends may reach runners once entries must know the request.
-	mostAfter = 3
-	// heldBackBody is what the answer to a request begins with that is held back.
-	heldBackBody = "crashes-runners"
-	// releasedWithin is for how long requests that end no runner are held back at the most: those that were under way may end with their runners
-	// for as long as the longest streams last, one is tried 1 to 3 s after that, and takes as long again to be whole.
-	releasedWithin = longStream + 3*time.Second + longStream
+	// maxAfterQuarantine is the number of repetitions that may reach runners after the request must be quarantined.
+	maxAfterQuarantine = 3
+	// quarantinedBody is the prefix of the response to a quarantined request.
+	quarantinedBody = "crashes-runners"
+	// maxQuarantine is the maximum time for which requests that crash no runner are quarantined. Those in progress may
+	// end with their runners for as long as the longest streams last. One is tried 1 to 3 s after that, and takes as
+	// long again to complete.
+	maxQuarantine = longStream + 3*time.Second + longStream
 )
 
-// fatalOf names the request where it ends the runners that begin it.
-func fatalOf(r *http.Request) string {
+// fatalName returns the name of a request that crashes the runners that start it, and an empty string for other
+// requests.
+func fatalName(r *http.Request) string {
 	last := r.URL.Path[strings.LastIndex(r.URL.Path, "/")+1:]
 	if !strings.HasPrefix(last, fatalPath) {
 		return ""
@@ -35,115 +38,120 @@
 	return last
 }
 
-// endUnder notes a run of a fatal request, and ends its runner by the function and the request with it.
-func (l *ledger) endUnder(r run, end func() bool) {
-	open := l.begin(r)
+// crashRunner records an execution of a fatal request, crashes its runner with the given function, and aborts the
+// request.
+func (l *eventLog) crashRunner(r execution, end func() bool) {
+	open := l.beginExecution(r)
 	time.Sleep(workTime)
 	killed := end()
-	open.change(func(r *run) { r.Killed = killed })
+	open.update(func(r *execution) { r.Killed = killed })
 	open.end(false)
 	panic(http.ErrAbortHandler)
 }
 
-// injectFatal has a caller send one fatal request again and again, to whichever entry the balancer gives.
-func (w *world) injectFatal(a action) {
-	w.later(0, func() {
-		one := &caller{callers: w.callers}
-		one.client = &http.Client{Timeout: giveUp, Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: one.dial}}
-		name := fmt.Sprint(fatalPath, w.callers.next.Add(1))
-		for until := time.Now().Add(fatalFor); time.Now().Before(until); time.Sleep(a.For / fatalShare) {
-			one.one(kinds[a.Which%len(kinds)], keptKey, name)
+// injectFatal makes a caller repeat one fatal request, each time to the entry that the balancer chooses.
+func (c *cluster) injectFatal(a action) {
+	c.schedule(0, func() {
+		sender := &caller{callers: c.callers}
+		sender.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true, DialContext: sender.dial}}
+		name := fmt.Sprint(fatalPath, c.callers.nextID.Add(1))
+		for until := time.Now().Add(fatalDuration); time.Now().Before(until); time.Sleep(a.Duration / fatalShare) {
+			sender.call(kinds[a.Target%len(kinds)], permanentKey, name)
 		}
 	})
 }
 
-// judgeFatal finds fatal requests that were sent on once entries must have known them, and other requests that were held back.
-func (r *record) judgeFatal(add func(string, ...any)) {
+// checkFatalRequests reports fatal requests that were sent to runners after they had to be quarantined, and other
+// requests that were quarantined.
+func (r *observations) checkFatalRequests(report func(string, ...any)) {
 	byID := r.callsByID()
-	runs := map[string][]run{}
-	for _, one := range r.Runs {
-		if one.Fatal != "" {
-			runs[one.Fatal] = append(runs[one.Fatal], one)
+	byName := map[string][]execution{}
+	for _, e := range r.Executions {
+		if e.Fatal != "" {
+			byName[e.Fatal] = append(byName[e.Fatal], e)
 		}
 	}
-	for name, all := range runs {
-		known := knownFrom(all)
-		late := slices.DeleteFunc(slices.Clone(all), func(one run) bool {
-			c := byID[one.ID]
-			return known.IsZero() || !one.At.After(known) || c == nil || r.outOfTouch(c, one.At)
+	for name, all := range byName {
+		deadline := quarantineDeadline(all)
+		late := slices.DeleteFunc(slices.Clone(all), func(e execution) bool {
+			c := byID[e.ID]
+			return deadline.IsZero() || !e.StartedAt.After(deadline) || c == nil || r.entryDisconnected(c, e.StartedAt)
 		})
-		if len(late) > mostAfter {
-			add("request %s ended %d runners and was sent %d times once that had to be known", name, killed(all), len(late))
+		if len(late) > maxAfterQuarantine {
+			report("request %s ended %d runners and was sent %d times once that had to be known", name, countKilled(all), len(late))
 		}
 	}
-	r.judgeHeldBack(add)
+	r.checkQuarantined(report)
 }
 
-// same are the requests that a runner can't tell apart: callers of a kind send the same bytes.
-type same struct {
+// requestGroup identifies requests that a runner cannot tell apart, since callers send the same bytes for the same kind
+// and key.
+type requestGroup struct {
 	Kind kind
 	Key  string
 }
 
-// judgeHeldBack finds requests that end no runner and were held back for long, though runners had answered them before. One of them is under
-// way at each runner that ends, so that for a moment they can't be told from one that ends it; and those of which none was ever answered are
-// like one that ends runners in all that entries see.
-func (r *record) judgeHeldBack(add func(string, ...any)) {
-	since := map[same]time.Time{}
-	answered := map[same]bool{}
-	for _, c := range r.innocent() {
-		s := same{c.Kind, c.Key}
-		answered[s] = answered[s] || c.Status == statusOK && !c.Cut
+// checkQuarantined reports requests that crash no runner and were quarantined for too long, though runners had answered
+// equal requests before. Such requests are in progress at every runner that crashes, so that for a short time entries
+// cannot tell them from the request that causes the crash. Requests that were never answered look like fatal ones to
+// entries and are ignored.
+func (r *observations) checkQuarantined(report func(string, ...any)) {
+	since := map[requestGroup]time.Time{}
+	answered := map[requestGroup]bool{}
+	for _, c := range r.nonFatalCalls() {
+		s := requestGroup{c.Kind, c.Key}
+		answered[s] = answered[s] || c.Status == statusOK && !c.Truncated
 		if !answered[s] {
 			continue
 		}
-		if !strings.HasPrefix(c.Body, heldBackBody) {
+		if !strings.HasPrefix(c.Body, quarantinedBody) {
 			delete(since, s)
 			continue
 		}
 		first, known := since[s]
 		if !known {
-			since[s] = c.Ended
+			since[s] = c.EndedAt
 			continue
 		}
-		if held := c.Ended.Sub(first); held > releasedWithin {
-			add("request %s of kind %s, like others for %s, was held back, and ends no runner", c.ID, c.Kind, held)
+		if held := c.EndedAt.Sub(first); held > maxQuarantine {
+			report("request %s of kind %s, like others for %s, was held back, and ends no runner", c.ID, c.Kind, held)
 		}
 	}
 }
 
-// innocent are the calls that end no runner, in the order of their ends.
-func (r *record) innocent() []*call {
-	var calls []*call
+// nonFatalCalls returns the calls that crash no runner, ordered by their end.
+func (r *observations) nonFatalCalls() []*callRecord {
+	var calls []*callRecord
 	for i := range r.Calls {
 		if c := &r.Calls[i]; c.Fatal == "" {
 			calls = append(calls, c)
 		}
 	}
-	slices.SortFunc(calls, func(a, b *call) int { return a.Ended.Compare(b.Ended) })
+	slices.SortFunc(calls, func(a, b *callRecord) int { return a.EndedAt.Compare(b.EndedAt) })
 	return calls
 }
 
-// knownFrom is when entries have to know a request that has ended so many runners, zero where it has not.
-func knownFrom(runs []run) time.Time {
+// quarantineDeadline returns the time by which entries must quarantine the request, or the zero time if it has not
+// crashed enough runners.
+func quarantineDeadline(executions []execution) time.Time {
 	var ended []time.Time
-	for _, one := range runs {
-		if one.Killed {
-			ended = append(ended, one.Until)
+	for _, e := range executions {
+		if e.Killed {
+			ended = append(ended, e.EndedAt)
 		}
 	}
 	slices.SortFunc(ended, time.Time.Compare)
 	if len(ended) < poison.MaxCrashes {
 		return time.Time{}
 	}
-	return ended[poison.MaxCrashes-1].Add(contact)
+	return ended[poison.MaxCrashes-1].Add(settleTime)
 }
 
-// killed is how many runners the runs have ended.
-func killed(runs []run) int {
+// countKilled returns the number of runners that the executions crashed.
+func countKilled(executions []execution) int {
 	n := 0
-	for _, one := range runs {
-		if one.Killed {
+	for _, e := range executions {
+		if e.Killed {
 			n++
 		}
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -7,257 +7,264 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// inject does one fault, and sees to it that it ends.
-func (w *world) inject(a action) {
-	e, p, n := w.entries[a.Which%len(w.entries)], w.places[a.Which%len(w.places)], w.engines[a.Which%len(w.engines)]
+// inject injects one fault and schedules its end.
+func (c *cluster) inject(a action) {
+	e, p, n := c.entries[a.Target%len(c.entries)], c.plainRunners[a.Target%len(c.plainRunners)], c.engines[a.Target%len(c.engines)]
 	switch a.Fault {
 	case faultPause, faultKill, faultStop, faultReload, faultBadReload:
-		w.injectEntry(a, e)
+		c.injectEntry(a, e)
 	case faultStopAll, faultAgentsStop:
-		w.injectSeries(a)
-	case faultAgentPause, faultAgentKill, faultAgentStop, faultAgentMute:
-		w.injectAgent(a, n.agent)
-	case faultEngine, faultEngineLink, faultLoseOrders:
-		w.injectEngine(a, n)
+		c.injectRollingRestart(a)
+	case faultAgentPause, faultAgentKill, faultAgentStop, faultAgentStoreSilent:
+		c.injectAgent(a, n.agent)
+	case faultEngineCrash, faultEngineReset, faultDelayOrders:
+		c.injectEngine(a, n)
 	case faultCrash, faultLeave:
-		w.injectRunner(a, p)
-	case faultDelay, faultReset, faultSilence, faultOneWay:
-		w.injectLink(a, p)
-	case faultStoreDown, faultStoreMute, faultForget:
-		w.injectStore(a, e)
+		c.injectRunner(a, p)
+	case faultDelay, faultReset, faultSilence, faultHoldResponses:
+		c.injectNetwork(a, p)
+	case faultStoreDown, faultStoreSilent, faultStoreForget:
+		c.injectStore(a, e)
 	case faultRemoveKey, faultNewVersion, faultWeights:
-		w.operate(a)
+		c.injectOperatorChange(a)
 	case faultRollout:
-		w.injectRollout(a)
-	case faultFatal, faultEvacuate, faultRestore, faultLimit, faultRest, faultLeaveUntold:
-		w.injectSeparate(a, p, n)
+		c.injectRollout(a)
+	case faultFatal, faultEvacuate, faultRestore, faultRateLimit, faultRetryAfter, faultLeaveInResponses:
+		c.injectDedicated(a, p, n)
 	default:
-		w.injectAtEngine(a, n)
+		c.injectEngineOrStore(a, n)
 	}
 }
 
-// injectSeparate does one of the faults that are drawn by themselves.
-func (w *world) injectSeparate(a action, p *place, n *engine) {
+// injectDedicated injects one of the faults that only dedicated schedules contain.
+func (c *cluster) injectDedicated(a action, p *plainRunner, n *engine) {
 	switch a.Fault {
 	case faultFatal:
-		w.injectFatal(a)
+		c.injectFatal(a)
 	case faultEvacuate:
-		w.injectEvacuation(a)
+		c.injectEvacuation(a)
 	case faultRestore:
-		w.injectRestore(a)
+		c.injectRestore(a)
 	default:
-		w.injectPressure(a, p, n)
+		c.injectBackpressure(a, p, n)
 	}
 }
 
 const (
-	// agentsAway is how long agents stand still in a rollout: until their engines' old weights may be used no longer.
-	agentsAway = weightsWithin + time.Second
-	// queueFrom and queueFor are when in a rollout requests begin to wait at engines, and for how long.
-	queueFrom = 5 * time.Second
-	queueFor  = weightsWithin
+	// agentPauseDuration is how long agents are paused in a rollout. It exceeds the time for which their engines' old
+	// weights may still be used.
+	agentPauseDuration = weightsWithin + time.Second
+	// queueDelayAfter is the time in a rollout after which requests begin to queue at engines, and queueDelayDuration
+	// is how long they do.
+	queueDelayAfter    = 5 * time.Second
+	queueDelayDuration = weightsWithin
 )
 
-// injectRollout names weights which no agent has its engine load in time, while requests wait at the engines.
-func (w *world) injectRollout(a action) {
-	w.nameWeights()
-	for _, n := range w.engines {
-		w.pause(action{For: agentsAway}, &n.agent.process)
-		w.later(queueFrom, func() { n.setQueue(a.For) })
-		w.later(queueFrom+queueFor, func() { n.setQueue(0) })
+// injectRollout publishes weights that no agent makes its engine load in time, while requests queue at the engines.
+func (c *cluster) injectRollout(a action) {
+	c.publishWeights()
+	for _, n := range c.engines {
+		c.pause(action{Duration: agentPauseDuration}, &n.agent.process)
+		c.schedule(queueDelayAfter, func() { n.setQueueDelay(a.Duration) })
+		c.schedule(queueDelayAfter+queueDelayDuration, func() { n.setQueueDelay(0) })
 	}
 }
 
-// injectSeries stops all entries or all agents, one soon after another, and starts each again when it has ended.
-func (w *world) injectSeries(a action) {
+// injectRollingRestart stops all entries or all agents shortly after one another, and restarts each once it has exited.
+func (c *cluster) injectRollingRestart(a action) {
 	var all []*process
-	for _, e := range w.entries {
+	for _, e := range c.entries {
 		all = append(all, &e.process)
 	}
 	if a.Fault == faultAgentsStop {
 		all = nil
-		for _, n := range w.engines {
+		for _, n := range c.engines {
 			all = append(all, &n.agent.process)
 		}
 	}
 	for i, p := range all {
-		w.later(time.Duration(i)*a.gap(), func() { w.restart(p, syscall.SIGTERM) })
+		c.schedule(time.Duration(i)*a.signalInterval(), func() { c.restart(p, syscall.SIGTERM) })
 	}
 }
 
-// operate changes what the operator writes.
-func (w *world) operate(a action) {
+// injectOperatorChange makes a change that an operator would make.
+func (c *cluster) injectOperatorChange(a action) {
 	switch a.Fault {
 	case faultRemoveKey:
-		w.removeKey(a.Which)
+		c.removeKey(a.Target)
 	case faultNewVersion:
-		w.configure()
+		c.publishConfig()
 	case faultWeights:
-		w.nameWeights()
+		c.publishWeights()
 	}
 }
 
-func (w *world) injectEntry(a action, e *entry) {
+func (c *cluster) injectEntry(a action, e *entry) {
 	switch a.Fault {
 	case faultPause:
-		w.pause(a, &e.process)
+		c.pause(a, &e.process)
 	case faultKill:
-		w.later(0, func() { w.restart(&e.process, syscall.SIGKILL) })
+		c.schedule(0, func() { c.restart(&e.process, syscall.SIGKILL) })
 	case faultStop:
-		w.later(0, func() { w.restart(&e.process, syscall.SIGTERM) })
+		c.schedule(0, func() { c.restart(&e.process, syscall.SIGTERM) })
 	case faultReload:
-		w.later(0, func() { w.reload(e, e.settings.TOML()) })
+		c.schedule(0, func() { c.reload(e, e.settings.TOML()) })
 	case faultBadReload:
-		w.later(0, func() { w.reload(e, "= =") })
-		w.later(a.For, func() { w.reload(e, e.settings.TOML()) })
+		c.schedule(0, func() { c.reload(e, "= =") })
+		c.schedule(a.Duration, func() { c.reload(e, e.settings.TOML()) })
 	}
 }
 
-func (w *world) pause(a action, p *process) {
-	p.change(func(h *history) { h.Outages = append(h.Outages, span{From: time.Now(), To: time.Now().Add(a.For)}) })
+func (c *cluster) pause(a action, p *process) {
+	p.updateHistory(func(h *processHistory) {
+		h.Outages = append(h.Outages, interval{From: time.Now(), To: time.Now().Add(a.Duration)})
+	})
 	p.signal(syscall.SIGSTOP)
-	w.later(a.For, func() { p.signal(syscall.SIGCONT) })
+	c.schedule(a.Duration, func() { p.signal(syscall.SIGCONT) })
 }
 
-func (w *world) injectAgent(a action, g *agent) {
+func (c *cluster) injectAgent(a action, g *agent) {
 	switch a.Fault {
 	case faultAgentPause:
-		w.pause(a, &g.process)
+		c.pause(a, &g.process)
 	case faultAgentKill:
-		w.later(0, func() { w.restart(&g.process, syscall.SIGKILL) })
+		c.schedule(0, func() { c.restart(&g.process, syscall.SIGKILL) })
 	case faultAgentStop:
-		w.later(0, func() { w.restart(&g.process, syscall.SIGTERM) })
-	case faultAgentMute:
-		w.mute(a, &g.process)
+		c.schedule(0, func() { c.restart(&g.process, syscall.SIGTERM) })
+	case faultAgentStoreSilent:
+		c.silenceStore(a, &g.process)
 	}
 }
 
-// mute has the store be silent for one process.
-func (w *world) mute(a action, p *process) {
-	p.store.set(func(x *proxy) { x.silent = true })
-	w.later(a.For, func() { p.store.set(func(x *proxy) { x.silent = false }) })
+// silenceStore makes the store silent for one process.
+func (c *cluster) silenceStore(a action, p *process) {
+	p.storeProxy.update(func(x *proxy) { x.silent = true })
+	c.schedule(a.Duration, func() { p.storeProxy.update(func(x *proxy) { x.silent = false }) })
 }
 
-func (w *world) injectEngine(a action, n *engine) {
+func (c *cluster) injectEngine(a action, n *engine) {
 	switch a.Fault {
-	case faultLoseOrders:
-		n.lose(a.For)
-		w.later(a.For, func() {})
-	case faultEngineLink:
-		w.harm(n.name(), 0)
+	case faultDelayOrders:
+		n.delayOrders(a.Duration)
+		c.schedule(a.Duration, func() {})
+	case faultEngineReset:
+		c.recordRunnerFault(n.name(), 0)
 		n.proxy.reset()
-		w.later(0, func() {})
-	case faultEngine:
-		n.replacing.Lock()
-		w.replaceEngine(n)
+		c.schedule(0, func() {})
+	case faultEngineCrash:
+		n.replaceMu.Lock()
+		c.replaceEngine(n)
 	}
 }
 
-// replaceEngine ends an engine's run and starts another under a new id; n.replacing is held, and given back once that is done.
-func (w *world) replaceEngine(n *engine) bool {
-	old, weights := n.run()
-	w.harm(n.name(), 0)
+// replaceEngine ends an engine's run and starts another under a new ID. The caller must hold n.replaceMu, which is
+// released once the new run has started.
+func (c *cluster) replaceEngine(n *engine) bool {
+	old, weights := n.idAndWeights()
+	c.recordRunnerFault(n.name(), 0)
 	n.crash()
-	w.later(restartAfter, func() {
-		defer n.replacing.Unlock()
+	c.schedule(restartDelay, func() {
+		defer n.replaceMu.Unlock()
 		n.start(weights)
-		w.listEngine(n)
-		w.store.Remove("servers", old)
+		c.registerEngine(n)
+		c.store.Remove("servers", old)
 	})
 	return true
 }
 
-// nameWeights names the next version of the weights.
-func (w *world) nameWeights() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.weights++
-	w.store.Put("versions", site.Model, site.NewModelWeights(w.weights))
-	w.named[w.weights] = time.Now()
+// publishWeights publishes the next version of the weights.
+func (c *cluster) publishWeights() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.weightsVersion++
+	c.store.Put("versions", site.Model, site.NewModelWeights(c.weightsVersion))
+	c.weightsPublished[c.weightsVersion] = time.Now()
 }
 
-func (w *world) restart(p *process, sig syscall.Signal) {
-	p.restarts.Lock()
-	defer p.restarts.Unlock()
-	p.end(sig)
-	time.Sleep(restartAfter)
-	p.files.Lock()
-	defer p.files.Unlock()
+func (c *cluster) restart(p *process, sig syscall.Signal) {
+	p.restartMu.Lock()
+	defer p.restartMu.Unlock()
+	p.terminate(sig)
+	time.Sleep(restartDelay)
+	p.settingsMu.Lock()
+	defer p.settingsMu.Unlock()
 	begun := time.Now()
 	if err := p.write(p.settings.TOML()); err != nil {
-		w.report("settings not written: %v", err)
+		c.report("settings not written: %v", err)
 	}
 	if err := p.start(); err != nil {
-		w.report("%s not started: %v", p.settings.Name, err)
+		c.report("%s not started: %v", p.settings.Name, err)
 	}
-	if took := time.Since(begun); took > slowStart {
-		w.report("the machine took %s to start %s", took, p.settings.Name)
+	if took := time.Since(begun); took > slowStartThreshold {
+		c.report("the machine took %s to start %s", took, p.settings.Name)
 	}
 }
 
-// slowStart is how long writing the settings and starting a process may take before it is reported, for whoever traces a
-// promise that is bound in time.
-const slowStart = time.Second
+// slowStartThreshold is the time for writing the settings and starting a process above which it is reported. This helps
+// to explain violations of guarantees with a time limit.
+const slowStartThreshold = time.Second
 
-// reload changes the settings of an entry that runs, since one that starts with broken ones rightly ends.
-func (w *world) reload(e *entry, text string) {
-	e.files.Lock()
-	defer e.files.Unlock()
-	if h := e.past(); text != e.settings.TOML() && h.Lives[len(h.Lives)-1].Ready.IsZero() {
+// reload changes the settings of a running entry. It does not write invalid settings while the entry is starting, since
+// the entry would rightly exit.
+func (c *cluster) reload(e *entry, text string) {
+	e.settingsMu.Lock()
+	defer e.settingsMu.Unlock()
+	if h := e.historySnapshot(); text != e.settings.TOML() && h.Lifetimes[len(h.Lifetimes)-1].Ready.IsZero() {
 		return
 	}
 	if err := e.write(text); err != nil {
-		w.report("settings not written: %v", err)
+		c.report("settings not written: %v", err)
 	}
 	e.signal(syscall.SIGHUP)
 }
 
-func (w *world) injectRunner(a action, p *place) {
-	p.replacing.Lock()
+func (c *cluster) injectRunner(a action, p *plainRunner) {
+	p.replaceMu.Lock()
 	if a.Fault == faultCrash {
-		w.replacePlace(p)
+		c.replaceRunner(p)
 		return
 	}
 	old := p.id()
-	w.list(p, old, "draining")
-	w.mu.Lock()
-	w.left[old] = time.Now()
-	w.mu.Unlock()
-	w.later(gracePause, func() {
-		defer p.replacing.Unlock()
-		w.harm(p.name(), 0)
+	c.register(p, old, "draining")
+	c.mu.Lock()
+	c.leavingSince[old] = time.Now()
+	c.mu.Unlock()
+	c.schedule(leaveDuration, func() {
+		defer p.replaceMu.Unlock()
+		c.recordRunnerFault(p.name(), 0)
 		p.crash()
-		w.store.Remove("servers", old)
-		w.list(p, p.start(), "ready")
+		c.store.Remove("servers", old)
+		c.register(p, p.start(), "ready")
 	})
 }
 
-// replacePlace ends a runner and starts another under a new id; p.replacing is held, and given back once that is done.
-func (w *world) replacePlace(p *place) bool {
+// replaceRunner ends a runner and starts another under a new ID. The caller must hold p.replaceMu, which is released
+// once the new runner has started.
+func (c *cluster) replaceRunner(p *plainRunner) bool {
 	old := p.id()
-	w.harm(p.name(), 0)
+	c.recordRunnerFault(p.name(), 0)
 	p.crash()
-	w.later(restartAfter, func() {
-		defer p.replacing.Unlock()
-		w.list(p, p.start(), "ready")
-		w.store.Remove("servers", old)
+	c.schedule(restartDelay, func() {
+		defer p.replaceMu.Unlock()
+		c.register(p, p.start(), "ready")
+		c.store.Remove("servers", old)
 	})
 	return true
 }
 
-func (w *world) removeKey(which int) {
-	key := w.keys()[1+which%keyCount]
-	w.mu.Lock()
-	_, gone := w.removed[key]
+func (c *cluster) removeKey(which int) {
+	key := c.keys()[1+which%keyCount]
+	c.mu.Lock()
+	_, gone := c.keysRemoved[key]
 	if !gone {
-		w.removed[key] = time.Now()
+		c.keysRemoved[key] = time.Now()
 	}
-	w.mu.Unlock()
+	c.mu.Unlock()
 	if gone {
 		return
 	}
-	w.configure()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.removed[key] = time.Now()
+	c.publishConfig()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.keysRemoved[key] = time.Now()
 }
--- a/soak/network_faults.go
+++ b/soak/network_faults.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// injectLink harms the connections to a runner.
-func (w *world) injectLink(a action, p *place) {
-	w.harm(p.name(), a.For)
+// injectNetwork disrupts the connections to a runner.
+func (c *cluster) injectNetwork(a action, p *plainRunner) {
+	c.recordRunnerFault(p.name(), a.Duration)
 	if a.Fault == faultReset {
-		w.harm(p.name(), 0)
+		c.recordRunnerFault(p.name(), 0)
 		p.proxy.reset()
-		w.later(0, func() {})
+		c.schedule(0, func() {})
 		return
 	}
-	w.disturbAll(a.For) // a runner that is out of reach makes no entry late by its own fault
+	c.recordDisturbanceForAll(a.Duration) // entries may be late if a runner is unreachable
 	set := func(on bool) func(x *proxy) {
 		return func(x *proxy) {
 			switch a.Fault {
 			case faultDelay:
 				x.delay = 0
 				if on {
-					x.delay = a.For / 20
+					x.delay = a.Duration / 20
 				}
 			case faultSilence:
 				x.silent = on
-			case faultOneWay:
-				x.oneWay = on
+			case faultHoldResponses:
+				x.holdsResponses = on
 			}
 		}
 	}
-	p.proxy.set(set(true))
-	w.later(a.For, func() { p.proxy.set(set(false)) })
+	p.proxy.update(set(true))
+	c.schedule(a.Duration, func() { p.proxy.update(set(false)) })
 }
 
-// injectStore has the object store refuse, forget its history, or be silent for one entry.
-func (w *world) injectStore(a action, e *entry) {
+// injectStore makes the object store unavailable, drop its history, or stay silent for one entry.
+func (c *cluster) injectStore(a action, e *entry) {
 	switch a.Fault {
-	case faultForget:
-		w.store.DropHistory()
+	case faultStoreForget:
+		c.store.DropHistory()
 	case faultStoreDown:
-		w.disturbAll(a.For)
-		for _, one := range w.entries {
-			w.cutOff(one, a.For)
+		c.recordDisturbanceForAll(a.Duration)
+		for _, each := range c.entries {
+			c.recordStoreOutage(each, a.Duration)
 		}
-		w.store.FailWithStatus(http.StatusServiceUnavailable)
-		w.later(a.For, func() { w.store.FailWithStatus(0) })
-	case faultStoreMute:
-		w.disturb(e, a.For)
-		w.cutOff(e, a.For)
-		w.mute(a, &e.process)
+		c.store.FailWithStatus(http.StatusServiceUnavailable)
+		c.schedule(a.Duration, func() { c.store.FailWithStatus(0) })
+	case faultStoreSilent:
+		c.recordDisturbance(e, a.Duration)
+		c.recordStoreOutage(e, a.Duration)
+		c.silenceStore(a, &e.process)
 	}
 }
 
-// disturbAll notes that every entry is under a fault for a time.
-func (w *world) disturbAll(d time.Duration) {
-	for _, e := range w.entries {
-		w.disturb(e, d)
+// recordDisturbanceForAll records that every entry is under a fault for the given time.
+func (c *cluster) recordDisturbanceForAll(d time.Duration) {
+	for _, e := range c.entries {
+		c.recordDisturbance(e, d)
 	}
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -11,20 +11,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// proxy stands between two processes on loopback and spoils what passes.
+// proxy forwards connections between two processes on loopback and injects network faults.
 type proxy struct {
-	at netip.AddrPort
+	listenAddress netip.AddrPort
 
 	mu       sync.Mutex
 	listener net.Listener
-	// shuts says that nobody listens.
-	shuts   bool
-	to      netip.AddrPort
-	conns   map[net.Conn]bool
-	delay   time.Duration
-	silent  bool
-	oneWay  bool
-	changed chan struct{}
+	// closed reports whether the proxy refuses connections.
+	closed         bool
+	target         netip.AddrPort
+	conns          map[net.Conn]bool
+	delay          time.Duration
+	silent         bool
+	holdsResponses bool
+	changed        chan struct{}
 }
 
 func newProxy(host netip.Addr, to netip.AddrPort) (*proxy, error) {
@@ -33,50 +33,50 @@
 		return nil, err
 	}
 	at := netip.MustParseAddrPort(l.Addr().String())
-	p := &proxy{at: at, listener: l, to: to, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
+	p := &proxy{listenAddress: at, listener: l, target: to, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
 	go p.accept(l)
 	return p, nil
 }
 
-// loopback is where everything lives that needs no address of its own.
+// loopback is the address of everything that needs no loopback address of its own.
 var loopback = netip.MustParseAddr("127.0.0.1")
 
-// listen listens on a free port of an address of loopback.
+// listen listens on a free port of a loopback address.
 func listen(host netip.Addr) (net.Listener, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", netip.AddrPortFrom(host, 0).String())
 	return l, errors.Wrap(err, "listen on loopback")
 }
 
-func (p *proxy) address() netip.AddrPort { return p.at }
+func (p *proxy) address() netip.AddrPort { return p.listenAddress }
 
-// shut has new connections refused and breaks all others, as where the process behind it has ended.
-func (p *proxy) shut() {
-	p.set(func(p *proxy) {
+// stopListening refuses new connections and breaks all others, as if the process behind the proxy had exited.
+func (p *proxy) stopListening() {
+	p.update(func(p *proxy) {
 		_ = p.listener.Close()
-		p.shuts = true
+		p.closed = true
 	})
 	p.reset()
 }
 
-// open takes connections for a process that has started.
-func (p *proxy) open(to netip.AddrPort) error {
-	p.set(func(p *proxy) { p.to = to })
-	if !p.isShut() {
+// listenFor accepts connections for a process that has started.
+func (p *proxy) listenFor(to netip.AddrPort) error {
+	p.update(func(p *proxy) { p.target = to })
+	if !p.isClosed() {
 		return nil
 	}
-	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", p.at.String())
+	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", p.listenAddress.String())
 	if err != nil {
 		return errors.Wrap(err, "listen again")
 	}
-	p.set(func(p *proxy) { p.listener, p.shuts = l, false })
+	p.update(func(p *proxy) { p.listener, p.closed = l, false })
 	go p.accept(l)
 	return nil
 }
 
-func (p *proxy) isShut() bool {
+func (p *proxy) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.shuts
+	return p.closed
 }
 
 func (p *proxy) accept(l net.Listener) {
@@ -85,40 +85,40 @@
 		if err != nil {
 			return
 		}
-		go p.join(c)
+		go p.relay(c)
 	}
 }
 
-func (p *proxy) join(near net.Conn) {
-	defer p.close(near)
+func (p *proxy) relay(client net.Conn) {
+	defer p.close(client)
 	p.mu.Lock()
-	to := p.to
+	to := p.target
 	p.mu.Unlock()
 	if !to.IsValid() {
-		_ = near.(*net.TCPConn).SetLinger(0)
+		_ = client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	far, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", to.String())
+	server, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", to.String())
 	if err != nil {
-		_ = near.(*net.TCPConn).SetLinger(0)
+		_ = client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	defer p.close(far)
+	defer p.close(server)
 	p.mu.Lock()
-	p.conns[near], p.conns[far] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.copy(far, near, false) })
-	wg.Go(func() { p.copy(near, far, true) })
+	wg.Go(func() { p.copy(server, client, false) })
+	wg.Go(func() { p.copy(client, server, true) })
 	wg.Wait()
 }
 
-// copy passes bytes on in one direction, as the faults of the moment allow.
-func (p *proxy) copy(to, from net.Conn, answers bool) {
+// copy forwards bytes in one direction, subject to the current faults.
+func (p *proxy) copy(to, from net.Conn, responses bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		p.hold(answers)
+		p.waitUntilOpen(responses)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
@@ -136,11 +136,11 @@
 	}
 }
 
-// hold waits while nothing may pass.
-func (p *proxy) hold(answers bool) {
+// waitUntilOpen waits until the current faults allow bytes to pass in the given direction.
+func (p *proxy) waitUntilOpen(responses bool) {
 	for {
 		p.mu.Lock()
-		held, delay, changed := p.silent || p.oneWay && answers, p.delay, p.changed
+		held, delay, changed := p.silent || p.holdsResponses && responses, p.delay, p.changed
 		p.mu.Unlock()
 		if !held {
 			time.Sleep(delay)
@@ -150,8 +150,8 @@
 	}
 }
 
-// set changes the faults.
-func (p *proxy) set(change func(p *proxy)) {
+// update changes the faults.
+func (p *proxy) update(change func(p *proxy)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(p)
@@ -159,7 +159,7 @@
 	p.changed = make(chan struct{})
 }
 
-// reset breaks every connection.
+// reset resets all connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/runner.go
+++ b/soak/runner.go
@@ -12,160 +12,167 @@
 	"github.com/rillreach/rillreach/internal/standin/site"
 )
 
-// ledger is what all runners have run.
-type ledger struct {
-	mu     sync.Mutex
-	runs   []run
-	orders []given
-	// arrivals are what runners that ask for less get, and others.
+// eventLog records what all runners received and executed.
+type eventLog struct {
+	mu         sync.Mutex
+	executions []execution
+	orders     []receivedOrder
+	// arrivals holds the requests that reached runners, whether or not these sent backpressure signals.
 	arrivals []arrival
 }
 
-// begin notes that a run has begun, and returns where the rest of it is noted.
-func (l *ledger) begin(r run) *openRun {
+// beginExecution records the start of an execution, and returns a handle for recording the rest of it.
+func (l *eventLog) beginExecution(r execution) *openExecution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs = append(l.runs, r)
-	return &openRun{ledger: l, number: len(l.runs) - 1}
+	l.executions = append(l.executions, r)
+	return &openExecution{log: l, index: len(l.executions) - 1}
 }
 
-// openRun is a run that has begun, of which the rest is noted later.
-type openRun struct {
-	ledger *ledger
-	number int
+// openExecution is a handle to an execution that has started.
+type openExecution struct {
+	log   *eventLog
+	index int
 }
 
-func (o *openRun) change(do func(r *run)) {
-	o.ledger.mu.Lock()
-	defer o.ledger.mu.Unlock()
-	do(&o.ledger.runs[o.number])
+func (o *openExecution) update(fn func(r *execution)) {
+	o.log.mu.Lock()
+	defer o.log.mu.Unlock()
+	fn(&o.log.executions[o.index])
 }
 
-// first notes the first event, end the end of the run, and whether its answer was whole then.
-func (o *openRun) first() { o.change(func(r *run) { r.First = time.Now() }) }
+// recordFirstEvent records that the first event is being sent. end records the end of the execution and whether its
+// response was complete.
+func (o *openExecution) recordFirstEvent() {
+	o.update(func(r *execution) { r.FirstEventAt = time.Now() })
+}
 
-func (o *openRun) end(whole bool) {
-	o.change(func(r *run) { r.Until, r.Whole = time.Now(), whole })
+func (o *openExecution) end(complete bool) {
+	o.update(func(r *execution) { r.EndedAt, r.Complete = time.Now(), complete })
 }
 
-func (l *ledger) order(o given) {
+func (l *eventLog) recordOrder(o receivedOrder) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.orders = append(l.orders, o)
 }
 
-// place is where a runner lives: one run after another, behind one proxy.
-type place struct {
+// plainRunner runs a runner that is not an engine. It runs one at a time, and all its runs use the same proxy.
+type plainRunner struct {
 	proxy  *proxy
-	ledger *ledger
+	events *eventLog
 	number int
-	// pressure is what the runner asks for in its answers.
-	pressure pressure
-	// fatal ends the run and starts another soon, unless that is being done; it reports whether it ended it.
-	fatal func() bool
-
-	// replacing is held while the place's run is being replaced.
-	replacing sync.Mutex
-
-	mu     sync.Mutex
-	runs   int
-	runner *site.Runner
+	// backpressure holds the backpressure signals in the runner's responses.
+	backpressure backpressureControl
+	// crashAndReplace ends the current run and schedules another, unless a replacement is in progress. It reports
+	// whether it ended the run.
+	crashAndReplace func() bool
+
+	// replaceMu is held while the run is being replaced.
+	replaceMu sync.Mutex
+
+	mu      sync.Mutex
+	starts  int
+	current *site.Runner
 }
 
-// id names the run that lives here now.
-func (p *place) id() string {
+// id returns the ID of the current run.
+func (p *plainRunner) id() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runner.ID
+	return p.current.ID
 }
 
-// name names the place, in whatever runs there.
-func (p *place) name() string { return fmt.Sprintf("i-%d", p.number) }
+// name returns the name of the runner, which all its runs share.
+func (p *plainRunner) name() string { return fmt.Sprintf("i-%d", p.number) }
 
 const (
 	workTime = 15 * time.Millisecond
-	// shortStream, middleStream and longStream bound how long streams last; a stream of the last tenths outlasts the time that
-	// the balancer takes to notice a stop.
+	// shortStream, mediumStream and longStream bound the durations of streams. The longest streams outlast the time
+	// that the balancer takes to notice that an entry is stopping.
 	shortStream  = 200 * time.Millisecond
-	middleStream = 3200 * time.Millisecond
+	mediumStream = 3200 * time.Millisecond
 	longStream   = 5500 * time.Millisecond
-	// shortTenths and middleTenths are the shares of streams that last up to the first two.
-	shortTenths  = 7
-	middleTenths = 1
-	// shortChat and longChat bound the streams that last long enough for loads to meet them.
+	// shortStreamTenths is the share of streams that last shortStream, in tenths, and mediumStreamTenths that of
+	// streams that last up to mediumStream.
+	shortStreamTenths  = 7
+	mediumStreamTenths = 1
+	// shortChat and longChat bound the durations of chats, which last long enough to overlap with loads of weights.
 	shortChat = time.Second
 	longChat  = 3 * time.Second
 )
 
-// lasts is how long the stream of a request lasts, which follows from its id.
-func lasts(k kind, id string) time.Duration {
+// streamDuration returns how long the stream of a request lasts. It depends only on the kind and the ID of the request.
+func streamDuration(k kind, id string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
 	sum := hash.Sum64()
-	within := func(least, most time.Duration) time.Duration { return least + time.Duration(sum/10%uint64(most-least)) }
+	within := func(minimum, maximum time.Duration) time.Duration {
+		return minimum + time.Duration(sum/10%uint64(maximum-minimum))
+	}
 	switch tenth := sum % 10; {
 	case k == kindChat:
 		return within(shortChat, longChat)
-	case tenth < shortTenths:
+	case tenth < shortStreamTenths:
 		return shortStream
-	case tenth < shortTenths+middleTenths:
-		return within(shortStream, middleStream)
+	case tenth < shortStreamTenths+mediumStreamTenths:
+		return within(shortStream, mediumStream)
 	default:
-		return within(middleStream, longStream)
+		return within(mediumStream, longStream)
 	}
 }
 
-// start begins a new run, and returns its name.
-func (p *place) start() string {
+// start starts a new run and returns its ID.
+func (p *plainRunner) start() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.runs++
-	id := fmt.Sprintf("%s-%d", p.name(), p.runs)
-	p.runner = &site.Runner{ID: id}
-	p.runner.Handle = func(w http.ResponseWriter, r *http.Request) { p.handle(id, w, r) }
-	p.runner.Start()
-	if err := p.proxy.open(p.runner.Address()); err != nil {
-		panic(err) // nothing else takes the runner's address
+	p.starts++
+	id := fmt.Sprintf("%s-%d", p.name(), p.starts)
+	p.current = &site.Runner{ID: id}
+	p.current.Handle = func(w http.ResponseWriter, r *http.Request) { p.handle(id, w, r) }
+	p.current.Start()
+	if err := p.proxy.listenFor(p.current.Address()); err != nil {
+		panic(err) // no other process uses the runner's address
 	}
 	return id
 }
 
-// crash ends the run and every connection of it.
-func (p *place) crash() {
+// crash ends the current run and closes all its connections.
+func (p *plainRunner) crash() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.runner.Crash()
-	p.proxy.shut()
+	p.current.Crash()
+	p.proxy.stopListening()
 }
 
-func (p *place) handle(id string, w http.ResponseWriter, r *http.Request) {
-	one := run{ID: site.RequestID(r), Runner: id, Zone: zoneOf(p.number), At: time.Now(), Fatal: fatalOf(r)}
-	if one.Fatal != "" {
-		p.ledger.endUnder(one, p.fatal)
+func (p *plainRunner) handle(id string, w http.ResponseWriter, r *http.Request) {
+	started := execution{ID: site.RequestID(r), Runner: id, Zone: zoneOf(p.number), StartedAt: time.Now(), Fatal: fatalName(r)}
+	if started.Fatal != "" {
+		p.events.crashRunner(started, p.crashAndReplace)
 	}
-	if p.pressure.take(p.ledger, id, w, r) {
+	if p.backpressure.handle(p.events, id, w, r) {
 		return
 	}
-	if k := kindOf(r); k.streams() {
-		streamPieces(w, r, p.ledger.begin(one), lasts(k, one.ID)/pieces)
+	if k := requestKind(r); k.streams() {
+		streamPieces(w, r, p.events.beginExecution(started), streamDuration(k, started.ID)/streamEvents)
 		return
 	}
-	open := p.ledger.begin(one)
-	wanted := wait(r, workTime)
-	if wanted {
-		site.WriteResponse(w, r, expected(one.ID, kindOnce))
+	open := p.events.beginExecution(started)
+	completed := waitOrCanceled(r, workTime)
+	if completed {
+		site.WriteResponse(w, r, expected(started.ID, kindOnce))
 	}
-	open.end(wanted)
+	open.end(completed)
 }
 
-// kindOf is the kind of a request, which its path begins with.
-func kindOf(r *http.Request) kind {
+// requestKind returns the kind of a request, which is the first segment of its path.
+func requestKind(r *http.Request) kind {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return kind(first)
 }
 
-// wait takes the time of some work; it reports whether the request is still wanted.
-func wait(r *http.Request, d time.Duration) bool {
+// waitOrCanceled waits for the given time. It returns false if the request is canceled first.
+func waitOrCanceled(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -174,11 +181,11 @@
 	}
 }
 
-// streamPieces runs a request that is answered by events, one after each pause.
-func streamPieces(w http.ResponseWriter, r *http.Request, open *openRun, pause time.Duration) {
-	whole := false
-	defer func() { open.end(whole) }()
-	if !wait(r, workTime) {
+// streamPieces answers a request with a stream of events, with the given pause after each.
+func streamPieces(w http.ResponseWriter, r *http.Request, open *openExecution, pause time.Duration) {
+	complete := false
+	defer func() { open.end(complete) }()
+	if !waitOrCanceled(r, workTime) {
 		return
 	}
 	site.SetSealHeaders(w, r)
@@ -187,12 +194,12 @@
 	if err != nil {
 		from = 0
 	}
-	open.first()
-	for i := from + 1; i <= pieces; i++ {
+	open.recordFirstEvent()
+	for i := from + 1; i <= streamEvents; i++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s %d\n\n", i, site.RequestID(r), i)
-		if http.NewResponseController(w).Flush() != nil || !wait(r, pause) {
+		if http.NewResponseController(w).Flush() != nil || !waitOrCanceled(r, pause) {
 			return
 		}
 	}
-	whole = true
+	complete = true
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -17,80 +17,81 @@
 )
 
 const (
-	host    = "shop.example"
-	keptKey = "key-that-stays"
-	// restartAfter is how long after its end a process or runner is started again.
-	restartAfter = 300 * time.Millisecond
-	// gracePause is how long a leaving runner goes on.
-	gracePause = 3 * time.Second
-	keyCount   = 6
+	host         = "shop.example"
+	permanentKey = "key-that-stays"
+	// restartDelay is the time between the end of a process or runner and its restart.
+	restartDelay = 300 * time.Millisecond
+	// leaveDuration is how long a leaving runner keeps running.
+	leaveDuration = 3 * time.Second
+	keyCount      = 6
 )
 
-// world is a site: a store, runners behind proxies, entries as processes, callers.
-type world struct {
-	store    *site.Store
-	server   *httptest.Server
-	places   []*place
-	entries  []*entry
-	engines  []*engine
-	balancer *balancer
-	callers  *callers
-	ledger   ledger
-	report   func(format string, args ...any)
+// cluster is the system under test: an object store, runners and engines behind proxies, entry and agent processes, and
+// callers.
+type cluster struct {
+	store        *site.Store
+	server       *httptest.Server
+	plainRunners []*plainRunner
+	entries      []*entry
+	engines      []*engine
+	balancer     *balancer
+	callers      *callers
+	events       eventLog
+	report       func(format string, args ...any)
 
-	// restoring is held while the store comes back from a copy, until what that has lost is written again.
-	restoring sync.Mutex
+	// restoreMu is held while the store is restored from a copy, until the lost changes have been written again.
+	restoreMu sync.Mutex
 	prober    prober
 
-	mu      sync.Mutex
-	version int
-	// versionAt is when the version was acknowledged.
-	versionAt time.Time
-	weights   uint64
-	named     map[uint64]time.Time
-	removed   map[string]time.Time
-	left      map[string]time.Time
-	disturbed map[int][]span
-	cutOffs   map[int][]span
-	harmed    map[string][]span
-	evacuated []span
-	last      time.Time
-	work      sync.WaitGroup
+	mu            sync.Mutex
+	configVersion int
+	// versionAckedAt is when the current version of the configuration was acknowledged.
+	versionAckedAt   time.Time
+	weightsVersion   uint64
+	weightsPublished map[uint64]time.Time
+	keysRemoved      map[string]time.Time
+	leavingSince     map[string]time.Time
+	disturbances     map[int][]interval
+	storeOutages     map[int][]interval
+	runnerFaults     map[string][]interval
+	evacuations      []interval
+	lastFaultEnd     time.Time
+	scheduled        sync.WaitGroup
 }
 
-// size is how much a world has of everything.
-type size struct{ Entries, Runners, Callers int }
+// clusterSize is the number of entries, of runners and of callers in a cluster. There are as many engines as runners.
+type clusterSize struct{ Entries, Runners, Callers int }
 
-func newWorld(binary, dir string, n size, report func(string, ...any)) (*world, error) {
-	w := &world{
-		store: site.NewStore(), report: report, removed: map[string]time.Time{}, left: map[string]time.Time{}, disturbed: map[int][]span{},
-		cutOffs: map[int][]span{}, named: map[uint64]time.Time{}, harmed: map[string][]span{},
+func newCluster(binary, dir string, counts clusterSize, report func(string, ...any)) (*cluster, error) {
+	c := &cluster{
+		store: site.NewStore(), report: report, keysRemoved: map[string]time.Time{}, leavingSince: map[string]time.Time{}, disturbances: map[int][]interval{},
+		storeOutages: map[int][]interval{}, weightsPublished: map[uint64]time.Time{}, runnerFaults: map[string][]interval{},
 	}
-	w.server = httptest.NewServer(w.store)
-	for i := range n.Runners {
+	c.server = httptest.NewServer(c.store)
+	for i := range counts.Runners {
 		p, err := newProxy(runnerHost(i), netip.AddrPort{})
 		if err != nil {
 			return nil, err
 		}
-		one := &place{proxy: p, ledger: &w.ledger, number: i}
-		one.fatal = func() bool { return one.replacing.TryLock() && w.replacePlace(one) }
-		w.places = append(w.places, one)
-		w.list(one, one.start(), "ready")
+		runner := &plainRunner{proxy: p, events: &c.events, number: i}
+		runner.crashAndReplace = func() bool { return runner.replaceMu.TryLock() && c.replaceRunner(runner) }
+		c.plainRunners = append(c.plainRunners, runner)
+		c.register(runner, runner.start(), "ready")
 	}
-	w.configure()
-	w.nameWeights()
-	store := netip.MustParseAddrPort(strings.TrimPrefix(w.server.URL, "http://"))
+	c.publishConfig()
+	c.publishWeights()
+	store := netip.MustParseAddrPort(strings.TrimPrefix(c.server.URL, "http://"))
 	peers, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
 	peerPort := netip.MustParseAddrPort(peers).Port()
-	for i := range n.Runners {
-		if err := w.addEngine(i, binary, dir, store, peerPort); err != nil {
+	for i := range counts.Runners {
+		if err := c.addEngine(i, binary, dir, store, peerPort); err != nil {
 			return nil, err
 		}
 	}
-	for i := range n.Entries {
+	for i := range counts.Entries {
 		e, err := newEntry(i, binary, dir, store, peerPort)
 		if err != nil {
 			return nil, err
@@ -98,83 +99,83 @@
 		if err := e.start(); err != nil {
 			return nil, err
 		}
-		w.entries = append(w.entries, e)
+		c.entries = append(c.entries, e)
 	}
-	w.balancer = newBalancer(w.entries)
-	w.callers = &callers{balancer: w.balancer, host: host, keys: w.keys(), count: n.Callers}
-	return w, w.awaitReady()
+	c.balancer = newBalancer(c.entries)
+	c.callers = &callers{balancer: c.balancer, host: host, keys: c.keys(), callerCount: counts.Callers}
+	return c, c.awaitReady()
 }
 
-// addEngine starts an engine and the agent beside it.
-func (w *world) addEngine(number int, binary, dir string, store netip.AddrPort, peerPort uint16) error {
+// addEngine starts an engine and its agent.
+func (c *cluster) addEngine(number int, binary, dir string, store netip.AddrPort, peerPort uint16) error {
 	p, err := newProxy(engineHost(number), netip.AddrPort{})
 	if err != nil {
 		return err
 	}
-	n := &engine{proxy: p, ledger: &w.ledger, number: number}
-	n.fatal = func() bool { return n.replacing.TryLock() && w.replaceEngine(n) }
+	n := &engine{proxy: p, events: &c.events, number: number}
+	n.crashAndReplace = func() bool { return n.replaceMu.TryLock() && c.replaceEngine(n) }
 	n.start(1)
-	w.listEngine(n)
+	c.registerEngine(n)
 	if n.agent, err = newAgent(number, binary, dir, store, p.address(), peerPort); err != nil {
 		return err
 	}
-	w.engines = append(w.engines, n)
+	c.engines = append(c.engines, n)
 	return n.agent.start()
 }
 
-func (w *world) listEngine(n *engine) {
-	id, spec := n.record()
-	w.store.Put("servers", id, spec)
+func (c *cluster) registerEngine(n *engine) {
+	id, spec := n.storeRecord()
+	c.store.Put("servers", id, spec)
 }
 
 const (
-	readyTries = 200
-	readyPause = 50 * time.Millisecond
+	maxReadyProbes     = 200
+	readyProbeInterval = 50 * time.Millisecond
 )
 
-// awaitReady waits until every entry calls itself ready.
-func (w *world) awaitReady() error {
-	for _, e := range w.entries {
+// awaitReady waits until every entry reports being ready.
+func (c *cluster) awaitReady() error {
+	for _, e := range c.entries {
 		tries := 0
-		for !isReady(e) {
-			if tries++; tries > readyTries {
+		for !probeReady(e) {
+			if tries++; tries > maxReadyProbes {
 				return errors.Newf("entry %d does not become ready", e.number)
 			}
-			time.Sleep(readyPause)
+			time.Sleep(readyProbeInterval)
 		}
 	}
 	return nil
 }
 
-func (w *world) keys() []string {
-	keys := []string{keptKey}
+func (c *cluster) keys() []string {
+	keys := []string{permanentKey}
 	for i := range keyCount {
 		keys = append(keys, fmt.Sprintf("key-%d", i))
 	}
 	return keys
 }
 
-func (w *world) list(p *place, id, state string) {
+func (c *cluster) register(p *plainRunner, id, state string) {
 	spec := site.NewRunnerRecord(p.proxy.address(), state)
 	spec["zone"] = zoneOf(p.number)
-	w.store.Put("servers", id, spec)
+	c.store.Put("servers", id, spec)
 }
 
-// configure writes the next version, without the keys that are taken away.
-func (w *world) configure() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version += 3
+// publishConfig publishes the next version of the configuration, without the removed keys.
+func (c *cluster) publishConfig() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.configVersion += 3
 	var keys []string
-	for _, key := range w.keys() {
-		if _, gone := w.removed[key]; !gone {
+	for _, key := range c.keys() {
+		if _, gone := c.keysRemoved[key]; !gone {
 			keys = append(keys, key)
 		}
 	}
-	defer func() { w.versionAt = time.Now() }()
-	w.store.Put("config", "main", site.NewConfig(
-		w.version, keys,
-		site.Route{Name: versionRoute(w.version), Host: host, Kind: "idempotent", Attempts: 1},
+	defer func() { c.versionAckedAt = time.Now() }()
+	c.store.Put("config", "main", site.NewConfig(
+		c.configVersion, keys,
+		site.Route{Name: versionRoute(c.configVersion), Host: host, Kind: "idempotent", Attempts: 1},
 		site.Route{Name: string(kindRepeat), Host: host, Kind: "idempotent", Attempts: 2},
 		site.Route{Name: string(kindOnce), Host: host, Kind: "non_idempotent", Attempts: 2},
 		site.Route{Name: string(kindStream), Host: host, Kind: "streaming", Attempts: 3, Resumable: true, Timeout: streamTimeout},
@@ -184,98 +185,99 @@
 	))
 }
 
-// disturb notes that an entry is under a fault of its own for a time.
-func (w *world) disturb(e *entry, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordDisturbance records that an entry is under a fault for the given time.
+func (c *cluster) recordDisturbance(e *entry, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	w.disturbed[e.number] = append(w.disturbed[e.number], span{From: now, To: now.Add(d)})
+	c.disturbances[e.number] = append(c.disturbances[e.number], interval{From: now, To: now.Add(d)})
 }
 
-// cutOff notes that an entry has no path to the object store, or that the store serves nobody, for a time.
-func (w *world) cutOff(e *entry, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordStoreOutage records that an entry cannot reach the object store, or that the store serves nobody, for the given
+// time.
+func (c *cluster) recordStoreOutage(e *entry, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	w.cutOffs[e.number] = append(w.cutOffs[e.number], span{From: now, To: now.Add(d)})
+	c.storeOutages[e.number] = append(c.storeOutages[e.number], interval{From: now, To: now.Add(d)})
 }
 
-// harm notes that the runners of a place, or their links, are under a fault for a time.
-func (w *world) harm(place string, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordRunnerFault records a fault of a plain runner or engine, or of its connections, that lasts for the given time.
+func (c *cluster) recordRunnerFault(name string, d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	w.harmed[place] = append(w.harmed[place], span{From: now, To: now.Add(d)})
+	c.runnerFaults[name] = append(c.runnerFaults[name], interval{From: now, To: now.Add(d)})
 }
 
-// later does something after a time, and keeps the end of the soak waiting for it.
-func (w *world) later(d time.Duration, do func()) {
-	w.work.Go(func() {
+// schedule runs fn after the given time. The soak does not end before it has returned.
+func (c *cluster) schedule(d time.Duration, fn func()) {
+	c.scheduled.Go(func() {
 		time.Sleep(d)
-		do()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.last = time.Now()
+		fn()
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.lastFaultEnd = time.Now()
 	})
 }
 
-// play runs the schedule and returns what was seen.
-func (w *world) play(actions []action, length time.Duration) *record {
+// run runs the schedule and returns the observations.
+func (c *cluster) run(actions []action, length time.Duration) *observations {
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	w.prober.world = w
-	callers.Go(func() { w.balancer.run(stop) })
-	callers.Go(func() { w.prober.run(stop) })
-	callers.Go(func() { w.callers.run(stop) })
+	c.prober.cluster = c
+	callers.Go(func() { c.balancer.run(stop) })
+	callers.Go(func() { c.prober.run(stop) })
+	callers.Go(func() { c.callers.run(stop) })
 	begun := time.Now()
 	for _, a := range actions {
 		time.Sleep(time.Until(begun.Add(a.At)))
-		w.report("%7.3f s  %s, number %d, for %s", time.Since(begun).Seconds(), a.Fault, a.Which, a.For)
-		w.inject(a)
+		c.report("%7.3f s %s, number %d, for %s", time.Since(begun).Seconds(), a.Fault, a.Target, a.Duration)
+		c.inject(a)
 	}
-	w.work.Wait()
-	time.Sleep(max(time.Until(begun.Add(length)), time.Until(w.last.Add(quietAfter))))
+	c.scheduled.Wait()
+	time.Sleep(max(time.Until(begun.Add(length)), time.Until(c.lastFaultEnd.Add(coolDown))))
 	close(stop)
 	callers.Wait()
-	return w.record()
+	return c.collect()
 }
 
-func (w *world) record() *record {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ledger.mu.Lock()
-	defer w.ledger.mu.Unlock()
-	r := &record{
-		Runs: slices.Clone(w.ledger.runs), Arrivals: slices.Clone(w.ledger.arrivals), Orders: slices.Clone(w.ledger.orders), Disturbed: w.disturbed, Left: maps.Clone(w.left),
-		Removed: w.removed, Quiet: w.last, Named: maps.Clone(w.named), Loaded: map[string]uint64{}, Ended: time.Now(),
-		Harmed: w.harmed, Evacuated: slices.Clone(w.evacuated), CutOff: maps.Clone(w.cutOffs), Entries: map[int]history{},
+func (c *cluster) collect() *observations {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.events.mu.Lock()
+	defer c.events.mu.Unlock()
+	r := &observations{
+		Executions: slices.Clone(c.events.executions), Arrivals: slices.Clone(c.events.arrivals), ReceivedOrders: slices.Clone(c.events.orders), Disturbances: c.disturbances, LeavingSince: maps.Clone(c.leavingSince),
+		KeysRemoved: c.keysRemoved, LastFaultEnd: c.lastFaultEnd, WeightsPublished: maps.Clone(c.weightsPublished), LoadedWeights: map[string]uint64{}, Ended: time.Now(),
+		RunnerFaults: c.runnerFaults, Evacuations: slices.Clone(c.evacuations), StoreOutages: maps.Clone(c.storeOutages), Entries: map[int]processHistory{},
 	}
-	for _, n := range w.engines {
-		id, weights := n.run()
-		r.Loaded[id] = weights
+	for _, n := range c.engines {
+		id, weights := n.idAndWeights()
+		r.LoadedWeights[id] = weights
 	}
-	for _, e := range w.entries {
-		past := e.past()
-		r.Entries[e.number] = past
-		r.Disturbed[e.number] = append(r.Disturbed[e.number], past.disturbed()...)
+	for _, e := range c.entries {
+		history := e.historySnapshot()
+		r.Entries[e.number] = history
+		r.Disturbances[e.number] = append(r.Disturbances[e.number], history.disturbances()...)
 	}
-	w.callers.mu.Lock()
-	defer w.callers.mu.Unlock()
-	r.Calls = slices.Clone(w.callers.calls)
-	w.prober.mu.Lock()
-	defer w.prober.mu.Unlock()
-	r.Probes = slices.Clone(w.prober.seen)
+	c.callers.mu.Lock()
+	defer c.callers.mu.Unlock()
+	r.Calls = slices.Clone(c.callers.calls)
+	c.prober.mu.Lock()
+	defer c.prober.mu.Unlock()
+	r.Probes = slices.Clone(c.prober.probes)
 	return r
 }
 
-// close ends everything that the soak has started.
-func (w *world) close() {
-	for _, e := range w.entries {
-		e.end(syscall.SIGKILL)
+// close ends all processes and servers of the cluster.
+func (c *cluster) close() {
+	for _, e := range c.entries {
+		e.terminate(syscall.SIGKILL)
 	}
-	for _, n := range w.engines {
-		n.agent.end(syscall.SIGKILL)
+	for _, n := range c.engines {
+		n.agent.terminate(syscall.SIGKILL)
 	}
-	w.server.CloseClientConnections()
-	w.server.Close()
+	c.server.CloseClientConnections()
+	c.server.Close()
 }
